--- a/src/main/java/passhatch/agent/Agent.java
+++ b/src/main/java/passhatch/agent/Agent.java
@@ -15,7 +15,7 @@
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.distribution.DistributionSettings.Role;
 import passhatch.proxy.base.EventLog;
 import passhatch.proxy.base.HangUp;
@@ -28,30 +28,30 @@
     private static final Logger LOG = LoggerFactory.getLogger(Agent.class);
 
     /** So long the others are told that this one goes. */
-    private static final long FAREWELL_MS = 1_000;
+    private static final long LEAVE_GOSSIP_MS = 1_000;
 
     /** Within the store's folder: what there is on disk of the distribution of changes. */
     private static final String CHANGES_FOLDER = "changes";
 
-    private final Path file;
+    private final Path configFile;
     private final Map<String, String> env;
     private final EventLoop loop;
     private AgentConfig config;
     private AgentStore store;
 
     /** Null where no fleet is configured. */
-    private FleetNode node;
+    private FleetNode fleetNode;
 
     /** Null where no duties are configured. */
-    private DutyNode duties;
+    private DutyNode dutyNode;
 
     /** Null where no distribution of changes is configured. */
-    private ChangesNode changes;
+    private ChangesNode changesNode;
 
     private ChangesCalls changesCalls;
 
-    private Agent(Path file, Map<String, String> env) {
-        this.file = file;
+    private Agent(Path configFile, Map<String, String> env) {
+        this.configFile = configFile;
         this.env = env;
         this.loop =
                 new MultiThreadIoEventLoopGroup(
@@ -64,14 +64,14 @@
     /**
      * Runs until SIGTERM.
      *
-     * @throws BadInput where the configuration cannot be used
+     * @throws InvalidInputException where the configuration cannot be used
      * @throws StoreException where the store cannot be
      * @throws IOException where an address cannot be
      */
-    public static void run(Path file, Map<String, String> env, String version)
+    public static void run(Path configFile, Map<String, String> env, String version)
             throws IOException, StoreException, InterruptedException {
         AgentLog.toStandardError();
-        Agent agent = new Agent(file, env);
+        Agent agent = new Agent(configFile, env);
         agent.start(version);
         if (!HangUp.handle(() -> agent.loop.execute(agent::reload))) {
             LOG.atWarn()
@@ -90,13 +90,14 @@
     }
 
     private void start(String version) throws IOException, StoreException, InterruptedException {
-        config = AgentConfig.read(file, env);
+        config = AgentConfig.read(configFile, env);
         if (config.fleet() != null) {
             store = new AgentStore(config.store(), config.fleet().self());
-            store.notes().forEach(n -> LOG.atWarn().addKeyValue("event", "store").log(n));
-            node = new FleetNode(loop, config.fleet(), store);
+            store.warnings()
+                    .forEach(warning -> LOG.atWarn().addKeyValue("event", "store").log(warning));
+            fleetNode = new FleetNode(loop, config.fleet(), store);
             SplittableRandom random = new SplittableRandom(new SecureRandom().nextLong());
-            node.start(version, random);
+            fleetNode.start(version, random);
             if (config.changes() != null) {
                 startChanges(random);
             }
@@ -107,8 +108,8 @@
         new Control(
                         loop,
                         new EventLog(System.err),
-                        () -> node == null || node.takesPart(),
-                        this::figures,
+                        () -> fleetNode == null || fleetNode.participates(),
+                        this::metrics,
                         this::answer)
                 .listen(config.control());
         LOG.atInfo()
@@ -120,45 +121,60 @@
 
     private void startChanges(RandomGenerator random)
             throws IOException, StoreException, InterruptedException {
-        changes = new ChangesNode(loop, config.changes(), config.fleet());
-        changes.start(config.store().resolve(CHANGES_FOLDER), random);
-        changesCalls = new ChangesCalls(changes);
+        changesNode = new ChangesNode(loop, config.changes(), config.fleet());
+        changesNode.start(config.store().resolve(CHANGES_FOLDER), random);
+        changesCalls = new ChangesCalls(changesNode);
     }
 
     private void startDuties(RandomGenerator random) {
-        boolean mayLead = changes != null && changes.role() == Role.REPLICA;
-        Map<String, DutyHolder> holders = mayLead ? Map.of(ChangesConfig.DUTY, changes) : Map.of();
-        duties =
+        boolean mayLead = changesNode != null && changesNode.role() == Role.REPLICA;
+        Map<String, DutyListener> listeners =
+                mayLead ? Map.of(ChangesConfig.DUTY, changesNode) : Map.of();
+        dutyNode =
                 new DutyNode(
-                        loop, node, store, config.duties(), config.fleet().self(), random, holders);
+                        loop,
+                        fleetNode,
+                        store,
+                        config.duties(),
+                        config.fleet().self(),
+                        random,
+                        listeners);
         if (mayLead) {
-            changes.onStepDown(() -> duties.giveUp(ChangesConfig.DUTY, null));
+            changesNode.onStepDown(() -> dutyNode.giveUp(ChangesConfig.DUTY, null));
         }
     }
 
-    private String figures() {
-        return (node == null ? "" : MembersText.figures(node))
-                + (changes == null ? "" : changesCalls.figures());
+    private String metrics() {
+        return (fleetNode == null ? "" : MembersText.metrics(fleetNode))
+                + (changesNode == null ? "" : changesCalls.metrics());
     }
 
     private String answer(String call) {
         String[] words = call.split(" +");
         if (ChangesCalls.isCall(words[0])) {
-            return changes == null
+            return changesNode == null
                     ? "error no distribution of changes is configured\n"
                     : changesCalls.answer(words);
         }
         return switch (words[0]) {
             case "members" ->
-                    node == null ? "error no fleet is configured\n" : MembersText.json(node);
-            case "duties" -> duties == null ? "error no duties are configured\n" : duties.json();
-            case "found" -> duties == null ? "error no duties are configured\n" : duties.found();
+                    fleetNode == null
+                            ? "error no fleet is configured\n"
+                            : MembersText.json(fleetNode);
+            case "duties" ->
+                    dutyNode == null ? "error no duties are configured\n" : dutyNode.json();
+            case "found" ->
+                    dutyNode == null
+                            ? "error no duties are configured\n"
+                            : dutyNode.initializeVoter();
             case "act" ->
-                    duties == null || words.length != 2 ? "error act DUTY\n" : duties.act(words[1]);
+                    dutyNode == null || words.length != 2
+                            ? "error act DUTY\n"
+                            : dutyNode.act(words[1]);
             case "give-up" ->
-                    duties == null || words.length < 2
+                    dutyNode == null || words.length < 2
                             ? "error give-up DUTY [TO]\n"
-                            : duties.giveUp(words[1], words.length > 2 ? words[2] : null);
+                            : dutyNode.giveUp(words[1], words.length > 2 ? words[2] : null);
             default -> null;
         };
     }
@@ -169,7 +185,7 @@
      */
     private void reload() {
         try {
-            AgentConfig newer = AgentConfig.read(file, env);
+            AgentConfig newer = AgentConfig.read(configFile, env);
             boolean possible =
                     newer.control().equals(config.control())
                             && newer.store().equals(config.store())
@@ -177,7 +193,7 @@
                             && Objects.equals(newer.changes(), config.changes())
                             && (config.fleet() == null
                                     ? newer.fleet() == null
-                                    : config.fleet().sameButMembers(newer.fleet()));
+                                    : config.fleet().equalsExceptMembers(newer.fleet()));
             if (!possible) {
                 LOG.atError()
                         .addKeyValue("event", "configuration")
@@ -186,35 +202,35 @@
                                         + " the agent runs");
                 return;
             }
-            if (node != null && !newer.equals(config)) {
-                node.reconfigure(newer.fleet());
+            if (fleetNode != null && !newer.equals(config)) {
+                fleetNode.reconfigure(newer.fleet());
             }
             config = newer;
-        } catch (BadInput bad) {
+        } catch (InvalidInputException invalid) {
             LOG.atError()
                     .addKeyValue("event", "configuration")
-                    .log("nothing is changed: {}", bad.getMessage());
+                    .log("nothing is changed: {}", invalid.getMessage());
         }
     }
 
     private void stop() {
-        if (node == null) {
+        if (fleetNode == null) {
             return;
         }
         try {
-            loop.submit(node::leave).sync();
-            TimeUnit.MILLISECONDS.sleep(FAREWELL_MS);
+            loop.submit(fleetNode::leave).sync();
+            TimeUnit.MILLISECONDS.sleep(LEAVE_GOSSIP_MS);
             loop.submit(
                             () -> {
-                                if (changes != null) {
-                                    changes.close();
+                                if (changesNode != null) {
+                                    changesNode.close();
                                 }
                                 store.close();
                                 return null;
                             })
                     .sync();
             LOG.atInfo().addKeyValue("event", "ended").log("the agent has left");
-        } catch (InterruptedException stop) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/src/main/java/passhatch/agent/AgentConfig.java
+++ b/src/main/java/passhatch/agent/AgentConfig.java
@@ -10,7 +10,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.agent.config.TomlFile;
 import passhatch.fleet.Names;
 import passhatch.proxy.base.Addresses;
@@ -30,14 +30,14 @@
         InetSocketAddress control, Path store, Fleet fleet, Duties duties, ChangesConfig changes) {
 
     /** The shortest and the longest probe period. */
-    private static final Duration SHORTEST = Duration.ofMillis(50);
+    private static final Duration MIN_PERIOD = Duration.ofMillis(50);
 
-    private static final Duration LONGEST = Duration.ofMinutes(1);
+    private static final Duration MAX_PERIOD = Duration.ofMinutes(1);
 
     /** Less does not pay for the probes. */
-    private static final long LEAST_BYTES = 2_048;
+    private static final long MIN_BYTES_PER_SECOND = 2_048;
 
-    private static final int MOST_MEMBERS = 4_096;
+    private static final int MAX_MEMBERS = 4_096;
 
     private static final String DEFAULTS =
             """
@@ -79,21 +79,22 @@
     /**
      * The part on membership.
      *
-     * @param own place of the own address among the members, or -1 where it is not there
+     * @param ownAddressIndex place of the own address among the members, or -1 where it is not
+     *     there
      */
     record Fleet(
             String name,
             String self,
             InetSocketAddress listen,
             List<InetSocketAddress> members,
-            int own,
+            int ownAddressIndex,
             String roles,
             Duration period,
             long bytesPerSecond,
             Duration forgetAfter) {
 
         /** Whether the other differs in nothing but the members. */
-        boolean sameButMembers(Fleet other) {
+        boolean equalsExceptMembers(Fleet other) {
             return other != null
                     && other.equals(
                             new Fleet(
@@ -101,7 +102,7 @@
                                     self,
                                     listen,
                                     other.members,
-                                    other.own,
+                                    other.ownAddressIndex,
                                     roles,
                                     period,
                                     bytesPerSecond,
@@ -109,9 +110,9 @@
         }
     }
 
-    private record AgentPart(String control, String store) {}
+    private record AgentSection(String control, String store) {}
 
-    private record FleetPart(
+    private record FleetSection(
             String name,
             String self,
             String listen,
@@ -122,44 +123,48 @@
             @JsonProperty("bytes_per_second") Long bytesPerSecond,
             @JsonProperty("forget_after") Duration forgetAfter) {}
 
-    private record Whole(
-            AgentPart agent, FleetPart fleet, Duties duties, ChangesConfig.Part changes) {}
+    private record ConfigFile(
+            AgentSection agent, FleetSection fleet, Duties duties, ChangesConfig.Section changes) {}
 
-    /** Reads a file and the environment; throws {@link BadInput} with the key and the reason. */
+    /**
+     * Reads a file and the environment; throws {@link InvalidInputException} with the key and the
+     * reason.
+     */
     static AgentConfig read(Path path, Map<String, String> env) {
         TomlFile given = TomlFile.read(path);
         TomlFile file =
-                given.over(
+                given.withDefaults(
                         DEFAULTS
                                 + (given.tree().has("fleet") ? FLEET_DEFAULTS : "")
                                 + (given.tree().has("duties") ? DUTY_DEFAULTS : "")
                                 + (given.tree().has("changes") ? ChangesConfig.DEFAULTS : ""));
-        Whole whole = file.as(Whole.class);
+        ConfigFile sections = file.as(ConfigFile.class);
         file.require(
-                whole.agent().store() != null && !whole.agent().store().isBlank(),
+                sections.agent().store() != null && !sections.agent().store().isBlank(),
                 "agent.store",
                 "a folder that survives a power loss");
-        if (whole.duties() != null) {
-            check(file, whole);
+        if (sections.duties() != null) {
+            checkDuties(file, sections);
         }
-        Fleet fleet = whole.fleet() == null ? null : fleet(file, whole.fleet(), env);
+        Fleet fleet = sections.fleet() == null ? null : fleet(file, sections.fleet(), env);
         return new AgentConfig(
-                address(file, "agent.control", whole.agent().control()),
-                Path.of(whole.agent().store()),
+                parseAddress(file, "agent.control", sections.agent().control()),
+                Path.of(sections.agent().store()),
                 fleet,
-                whole.duties(),
-                whole.changes() == null
+                sections.duties(),
+                sections.changes() == null
                         ? null
-                        : ChangesConfig.checked(file, whole.changes(), fleet, whole.duties()));
+                        : ChangesConfig.checked(
+                                file, sections.changes(), fleet, sections.duties()));
     }
 
-    private static void check(TomlFile file, Whole whole) {
-        Duties duties = whole.duties();
-        file.require(whole.fleet() != null, "duties", "a part [fleet] beside it");
-        int voters = duties.voters() == null ? 0 : duties.voters().size();
+    private static void checkDuties(TomlFile file, ConfigFile sections) {
+        Duties duties = sections.duties();
+        file.require(sections.fleet() != null, "duties", "a part [fleet] beside it");
+        int voterCount = duties.voters() == null ? 0 : duties.voters().size();
         file.require(
-                (voters == 3 || voters == 5 || voters == 7)
-                        && new HashSet<>(duties.voters()).size() == voters
+                (voterCount == 3 || voterCount == 5 || voterCount == 7)
+                        && new HashSet<>(duties.voters()).size() == voterCount
                         && duties.voters().stream().allMatch(Names::isName),
                 "duties.voters",
                 "the names of three, five or seven members");
@@ -173,80 +178,99 @@
                 duties.wanted() != null
                         && duties.wanted().stream().allMatch(d -> !d.isEmpty() && Names.isLabel(d)),
                 "duties.wanted",
-                "names of at most " + Names.MOST_LABEL + " characters");
+                "names of at most " + Names.MAX_LABEL_LENGTH + " characters");
         file.require(duties.rank() >= 0 && duties.rank() <= 100, "duties.rank", "0 to 100");
     }
 
-    private static Fleet fleet(TomlFile file, FleetPart part, Map<String, String> env) {
+    private static Fleet fleet(TomlFile file, FleetSection section, Map<String, String> env) {
         file.require(
-                part.name() != null && !part.name().isEmpty() && Names.isLabel(part.name()),
+                section.name() != null
+                        && !section.name().isEmpty()
+                        && Names.isLabel(section.name()),
                 "fleet.name",
-                "1 to " + Names.MOST_LABEL + " letters, digits or . _ + , -");
-        String self = part.self() != null ? part.self() : env.get("PROXY_NAME");
+                "1 to " + Names.MAX_LABEL_LENGTH + " letters, digits or . _ + , -");
+        String self = section.self() != null ? section.self() : env.get("PROXY_NAME");
         file.require(
                 self != null && Names.isName(self),
                 "fleet.self",
                 "the process's own name, 1 to "
-                        + Names.MOST_NAME
+                        + Names.MAX_NAME_LENGTH
                         + " letters, digits or . _ -; or PROXY_NAME in the environment");
         file.require(
-                part.roles() != null && Names.isLabel(String.join(",", part.roles())),
+                section.roles() != null && Names.isLabel(String.join(",", section.roles())),
                 "fleet.roles",
                 "words of "
-                        + Names.MOST_LABEL
+                        + Names.MAX_LABEL_LENGTH
                         + " characters in all, commas between them among these");
-        file.require(within(part.period(), SHORTEST, LONGEST), "fleet.period", "50ms to 1m");
         file.require(
-                part.bytesPerSecond() != null && part.bytesPerSecond() >= LEAST_BYTES,
+                within(section.period(), MIN_PERIOD, MAX_PERIOD), "fleet.period", "50ms to 1m");
+        file.require(
+                section.bytesPerSecond() != null
+                        && section.bytesPerSecond() >= MIN_BYTES_PER_SECOND,
                 "fleet.bytes_per_second",
-                LEAST_BYTES + " or more");
+                MIN_BYTES_PER_SECOND + " or more");
         file.require(
-                within(part.forgetAfter(), part.period().multipliedBy(100), Duration.ofDays(365)),
+                within(
+                        section.forgetAfter(),
+                        section.period().multipliedBy(100),
+                        Duration.ofDays(365)),
                 "fleet.forget_after",
                 "a hundred periods to a year");
-        Map<String, Object> platform =
-                part.listen() != null && part.members() != null ? Map.of() : platform(env);
-        String listen = part.listen() != null ? part.listen() : text(platform.get("peer_listen"));
+        Map<String, Object> platformConfig =
+                section.listen() != null && section.members() != null
+                        ? Map.of()
+                        : readPlatformConfig(env);
+        String listen =
+                section.listen() != null
+                        ? section.listen()
+                        : textOrNull(platformConfig.get("peer_listen"));
         List<String> members =
-                part.members() != null ? part.members() : texts(platform.get("peers"));
+                section.members() != null
+                        ? section.members()
+                        : textsOrNull(platformConfig.get("peers"));
         file.require(
                 listen != null,
                 "fleet.listen",
                 "an address like 10.0.0.4:7946; or peer_listen in the file that PROXY_CONFIG"
                         + " names");
         file.require(
-                members != null && !members.isEmpty() && members.size() <= MOST_MEMBERS,
+                members != null && !members.isEmpty() && members.size() <= MAX_MEMBERS,
                 "fleet.members",
-                "1 to "
-                        + MOST_MEMBERS
-                        + " addresses; or peers in the file that PROXY_CONFIG names");
-        List<InetSocketAddress> all =
-                members.stream().map(m -> address(file, "fleet.members", m)).toList();
-        file.require(new HashSet<>(all).size() == all.size(), "fleet.members", "each address once");
-        int own = all.indexOf(address(file, "fleet.own", part.own() != null ? part.own() : listen));
-        file.require(part.own() == null || own >= 0, "fleet.own", "one of the members");
+                "1 to " + MAX_MEMBERS + " addresses; or peers in the file that PROXY_CONFIG names");
+        List<InetSocketAddress> addresses =
+                members.stream().map(m -> parseAddress(file, "fleet.members", m)).toList();
+        file.require(
+                new HashSet<>(addresses).size() == addresses.size(),
+                "fleet.members",
+                "each address once");
+        int ownAddressIndex =
+                addresses.indexOf(
+                        parseAddress(
+                                file, "fleet.own", section.own() != null ? section.own() : listen));
+        file.require(
+                section.own() == null || ownAddressIndex >= 0, "fleet.own", "one of the members");
         return new Fleet(
-                part.name(),
+                section.name(),
                 self,
-                address(file, "fleet.listen", listen),
-                all,
-                own,
-                String.join(",", part.roles()),
-                part.period(),
-                part.bytesPerSecond(),
-                part.forgetAfter());
+                parseAddress(file, "fleet.listen", listen),
+                addresses,
+                ownAddressIndex,
+                String.join(",", section.roles()),
+                section.period(),
+                section.bytesPerSecond(),
+                section.forgetAfter());
     }
 
-    private static boolean within(Duration given, Duration least, Duration most) {
-        return given != null && given.compareTo(least) >= 0 && given.compareTo(most) <= 0;
+    private static boolean within(Duration given, Duration min, Duration max) {
+        return given != null && given.compareTo(min) >= 0 && given.compareTo(max) <= 0;
     }
 
-    /** An address, or {@link BadInput} with its key. */
-    static InetSocketAddress address(TomlFile file, String key, String text) {
+    /** An address, or {@link InvalidInputException} with its key. */
+    static InetSocketAddress parseAddress(TomlFile file, String key, String text) {
         try {
             return Addresses.parse(text == null ? "" : text);
-        } catch (IllegalArgumentException bad) {
-            throw new BadInput(
+        } catch (IllegalArgumentException malformed) {
+            throw new InvalidInputException(
                     file.name()
                             + ": "
                             + key
@@ -256,26 +280,26 @@
         }
     }
 
-    private static Map<String, Object> platform(Map<String, String> env) {
+    private static Map<String, Object> readPlatformConfig(Map<String, String> env) {
         String file = env.get("PROXY_CONFIG");
         if (file == null) {
             return Map.of();
         }
         try {
             return JSON.std.mapFrom(Files.readString(Path.of(file)));
-        } catch (IOException bad) {
-            throw new BadInput(
+        } catch (IOException unreadable) {
+            throw new InvalidInputException(
                     file
                             + " (PROXY_CONFIG): cannot be read: "
-                            + bad.getMessage().lines().findFirst().orElse(""));
+                            + unreadable.getMessage().lines().findFirst().orElse(""));
         }
     }
 
-    private static String text(Object value) {
+    private static String textOrNull(Object value) {
         return value instanceof String text ? text : null;
     }
 
-    private static List<String> texts(Object value) {
+    private static List<String> textsOrNull(Object value) {
         return value instanceof List<?> list && list.stream().allMatch(String.class::isInstance)
                 ? list.stream().map(String.class::cast).toList()
                 : null;
--- a/src/main/java/passhatch/agent/AgentStore.java
+++ b/src/main/java/passhatch/agent/AgentStore.java
@@ -22,12 +22,12 @@
 final class AgentStore implements AutoCloseable {
 
     /** The kind of a record that holds an epoch, as eight bytes. */
-    private static final int EPOCH = 1;
+    private static final int EPOCH_RECORD = 1;
 
     /** The kind of a record that holds a promise, as JSON. */
-    private static final int PROMISE = 2;
+    private static final int PROMISE_RECORD = 2;
 
-    private final RecordLog log;
+    private final RecordLog recordLog;
     private final Map<String, Promise> promises = new HashMap<>();
     private long epoch;
 
@@ -39,14 +39,14 @@
     AgentStore(Path folder, String owner) throws IOException, StoreException {
         FolderDisk disk = FolderDisk.take(folder);
         try {
-            log = RecordLog.open(disk, owner, this::replay);
+            recordLog = RecordLog.open(disk, owner, this::replay);
             // The store's own epoch as well: after a salvage without the record it is still a newer
             // one.
-            epoch = Math.max(epoch + 1, log.epoch());
+            epoch = Math.max(epoch + 1, recordLog.epoch());
             // As a snapshot, so that the log does not grow with each start.
             List<Entry> state = new ArrayList<>(List.of(entry(epoch)));
-            promises.values().forEach(p -> state.add(entry(p)));
-            log.snapshot(state);
+            promises.values().forEach(promise -> state.add(entry(promise)));
+            recordLog.snapshot(state);
         } catch (StoreException failed) {
             disk.close();
             throw failed;
@@ -54,32 +54,32 @@
     }
 
     private void replay(Entry entry) {
-        if (entry.kind() == EPOCH) {
+        if (entry.kind() == EPOCH_RECORD) {
             epoch = Math.max(epoch, ByteBuffer.wrap(entry.bytes()).getLong());
-        } else if (entry.kind() == PROMISE) {
+        } else if (entry.kind() == PROMISE_RECORD) {
             try {
-                Map<String, Object> kept = JSON.std.mapFrom(entry.bytes());
+                Map<String, Object> fields = JSON.std.mapFrom(entry.bytes());
                 Promise promise =
                         new Promise(
-                                (String) kept.get("duty"),
-                                ((Number) kept.get("term")).longValue(),
-                                (String) kept.get("holder"));
+                                (String) fields.get("duty"),
+                                ((Number) fields.get("term")).longValue(),
+                                (String) fields.get("holder"));
                 promises.put(promise.duty(), promise);
-            } catch (IOException cannotBe) {
+            } catch (IOException unreadable) {
                 // Its checksum was right, so this program wrote it in another form.
-                throw new IllegalStateException(cannotBe);
+                throw new IllegalStateException(unreadable);
             }
         }
     }
 
     private static Entry entry(long epoch) {
-        return new Entry(EPOCH, ByteBuffer.allocate(Long.BYTES).putLong(epoch).array());
+        return new Entry(EPOCH_RECORD, ByteBuffer.allocate(Long.BYTES).putLong(epoch).array());
     }
 
     private static Entry entry(Promise promise) {
         try {
             return new Entry(
-                    PROMISE,
+                    PROMISE_RECORD,
                     JSON.std.asBytes(
                             Map.of(
                                     "duty",
@@ -88,8 +88,8 @@
                                     promise.term(),
                                     "holder",
                                     promise.holder())));
-        } catch (IOException cannotBe) {
-            throw new IllegalStateException(cannotBe);
+        } catch (IOException impossible) {
+            throw new IllegalStateException(impossible);
         }
     }
 
@@ -99,8 +99,8 @@
     }
 
     /** What opening had to note. */
-    List<String> notes() {
-        return log.notes();
+    List<String> warnings() {
+        return recordLog.notes();
     }
 
     /** The last promise of each duty. */
@@ -109,19 +109,19 @@
     }
 
     /** Makes a greater epoch durable. */
-    void claim(long newer) throws StoreException {
-        log.append(List.of(entry(newer)));
-        epoch = newer;
+    void persistEpoch(long newEpoch) throws StoreException {
+        recordLog.append(List.of(entry(newEpoch)));
+        epoch = newEpoch;
     }
 
     /** Makes a promise durable. */
-    void keep(Promise promise) throws StoreException {
-        log.append(List.of(entry(promise)));
+    void persistPromise(Promise promise) throws StoreException {
+        recordLog.append(List.of(entry(promise)));
         promises.put(promise.duty(), promise);
     }
 
     @Override
     public void close() throws StoreException {
-        log.close();
+        recordLog.close();
     }
 }
--- a/src/main/java/passhatch/agent/ChangesCalls.java
+++ b/src/main/java/passhatch/agent/ChangesCalls.java
@@ -13,7 +13,7 @@
 import passhatch.distribution.DistributionSettings.Role;
 import passhatch.distribution.InvalidChangeException;
 import passhatch.distribution.Participant;
-import passhatch.fleet.Drop;
+import passhatch.fleet.DropReason;
 
 /** What operators can ask of the distribution of changes at the control address. */
 final class ChangesCalls {
@@ -28,10 +28,10 @@
             JSON.builder(JsonFactory.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build())
                     .build();
 
-    private final ChangesNode node;
+    private final ChangesNode changesNode;
 
-    ChangesCalls(ChangesNode node) {
-        this.node = node;
+    ChangesCalls(ChangesNode changesNode) {
+        this.changesNode = changesNode;
     }
 
     /** Whether a word is one of these calls. */
@@ -43,7 +43,7 @@
     String answer(String... words) {
         return switch (words[0]) {
             case "changes" -> status();
-            case "changes-found" -> found();
+            case "changes-found" -> initialize();
             case "change-get" -> words.length > 2 ? "error change-get [KEY]\n" : get(words);
             case "change-put" ->
                     words.length < 3 || words.length > 4
@@ -61,38 +61,40 @@
         };
     }
 
-    private String found() {
-        if (node.role() != Role.REPLICA) {
+    private String initialize() {
+        if (changesNode.role() != Role.REPLICA) {
             return "error this process is no replica\n";
         }
-        if (node.participant().founded()) {
+        if (changesNode.participant().founded()) {
             return "error this replica counts towards majorities already\n";
         }
-        return node.found() ? "done\n" : "error the disk fails\n";
+        return changesNode.initialize() ? "done\n" : "error the disk fails\n";
     }
 
     private String submit(String key, String value, String ifVersion) {
-        long expected = ifVersion == null ? ANY_VERSION : number(ifVersion);
+        long expected = ifVersion == null ? ANY_VERSION : parseVersionOrTerm(ifVersion);
         if (ifVersion != null && expected < 0) {
             return "error '" + ifVersion + "': expected a version\n";
         }
-        if (!node.participant().isLeading() || node.participant().diskFailed()) {
+        if (!changesNode.participant().isLeading() || changesNode.participant().diskFailed()) {
             return "error not the leader\n";
         }
         try {
-            long version = node.submit(key, value, expected);
-            return "accepted " + version + " " + node.submitted().term() + "\n";
-        } catch (InvalidChangeException refused) {
-            if (node.participant().diskFailed()) {
+            long version = changesNode.submit(key, value, expected);
+            return "accepted " + version + " " + changesNode.submitted().term() + "\n";
+        } catch (InvalidChangeException rejected) {
+            if (changesNode.participant().diskFailed()) {
                 // It may be on the disk all the same, and show once this process starts again.
                 return "error outcome not known: the disk fails\n";
             }
-            return "error refused: " + refused.getMessage() + "\n";
+            return "error refused: " + rejected.getMessage() + "\n";
         }
     }
 
     private String outcome(String version, String term) {
-        return switch (node.submitted().outcome(number(version), number(term))) {
+        return switch (changesNode
+                .submitted()
+                .outcome(parseVersionOrTerm(version), parseVersionOrTerm(term))) {
             case COMMITTED -> "committed\n";
             case PENDING -> "pending\n";
             case UNKNOWN -> "unknown\n";
@@ -100,21 +102,22 @@
     }
 
     /** A version or term; negative where it is none. */
-    private static long number(String text) {
+    private static long parseVersionOrTerm(String text) {
         return text.matches("\\d{1,18}") ? Long.parseLong(text) : -1;
     }
 
     private String get(String... words) {
         Map<String, Object> values = new LinkedHashMap<>();
-        node.participant()
+        changesNode
+                .participant()
                 .values()
                 .forEach(
                         (key, value) -> {
                             if (words.length == 1 || words[1].equals(key)) {
-                                Map<String, Object> one = new LinkedHashMap<>();
-                                one.put("value", value);
-                                one.put("version", node.participant().versionOf(key));
-                                values.put(key, one);
+                                Map<String, Object> entry = new LinkedHashMap<>();
+                                entry.put("value", value);
+                                entry.put("version", changesNode.participant().versionOf(key));
+                                values.put(key, entry);
                             }
                         });
         return values.isEmpty() && words.length > 1
@@ -123,32 +126,33 @@
     }
 
     private String status() {
-        Participant participant = node.participant();
-        Map<String, Object> whole = new LinkedHashMap<>();
-        whole.put("role", ChangesConfig.label(node.role()));
-        whole.put("epoch", participant.epoch());
-        whole.put("version", participant.version());
-        whole.put("age_ms", ageMs());
-        whole.put("founded", participant.founded());
-        whole.put("leading", participant.isLeading());
-        whole.put("term", node.submitted().term());
-        whole.put("source", participant.source());
-        whole.put("disk_failed", participant.diskFailed());
-        whole.put("followers", followers());
+        Participant participant = changesNode.participant();
+        Map<String, Object> root = new LinkedHashMap<>();
+        root.put("role", ChangesConfig.label(changesNode.role()));
+        root.put("epoch", participant.epoch());
+        root.put("version", participant.version());
+        root.put("age_ms", ageMs());
+        root.put("founded", participant.founded());
+        root.put("leading", participant.isLeading());
+        root.put("term", changesNode.submitted().term());
+        root.put("source", participant.source());
+        root.put("disk_failed", participant.diskFailed());
+        root.put("followers", followers());
         Map<String, Object> dropped = new LinkedHashMap<>();
-        node.dropped().forEach((reason, count) -> dropped.put(reason.label(), count));
-        whole.put("dropped", dropped);
-        return json(whole);
+        changesNode.dropped().forEach((reason, count) -> dropped.put(reason.label(), count));
+        root.put("dropped", dropped);
+        return json(root);
     }
 
     private Map<String, Object> followers() {
-        Map<String, Long> confirmed = node.participant().confirmedVersions();
+        Map<String, Long> confirmed = changesNode.participant().confirmedVersions();
         Map<String, Long> countByVersion = new TreeMap<>();
         List<String> laggards = new ArrayList<>();
         confirmed.forEach(
                 (name, version) -> {
                     countByVersion.merge(Long.toString(version), 1L, Long::sum);
-                    if (version < node.participant().version() && laggards.size() < MAX_LAGGARDS) {
+                    if (version < changesNode.participant().version()
+                            && laggards.size() < MAX_LAGGARDS) {
                         laggards.add(name);
                     }
                 });
@@ -161,37 +165,37 @@
 
     /** How long ago the state was known to be current; -1 where it never was since the start. */
     private long ageMs() {
-        long ageMs = node.participant().ageUs(FleetNode.nowUs()) / 1_000;
+        long ageMs = changesNode.participant().ageUs(FleetNode.nowUs()) / 1_000;
         return ageMs < Long.MAX_VALUE / 8_000 ? ageMs : -1;
     }
 
     /** The figures in {@code vars}, a line each. */
-    String figures() {
-        Participant participant = node.participant();
+    String metrics() {
+        Participant participant = changesNode.participant();
         StringBuilder text = new StringBuilder();
-        line(text, "version", participant.version());
-        line(text, "epoch", participant.epoch());
-        line(text, "age_ms", ageMs());
-        line(text, "followers", participant.confirmedVersions().size());
-        Arrays.stream(Drop.values())
+        appendLine(text, "version", participant.version());
+        appendLine(text, "epoch", participant.epoch());
+        appendLine(text, "age_ms", ageMs());
+        appendLine(text, "followers", participant.confirmedVersions().size());
+        Arrays.stream(DropReason.values())
                 .forEach(
                         reason ->
-                                line(
+                                appendLine(
                                         text,
                                         "dropped{reason=\"" + reason.label() + "\"}",
-                                        node.dropped().getOrDefault(reason, 0L)));
+                                        changesNode.dropped().getOrDefault(reason, 0L)));
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void appendLine(StringBuilder text, String name, long value) {
         text.append("changes_").append(name).append(' ').append(value).append('\n');
     }
 
     private static String json(Map<String, Object> content) {
         try {
             return ASCII.asString(content) + "\n";
-        } catch (IOException cannotBe) {
-            throw new IllegalStateException(cannotBe);
+        } catch (IOException impossible) {
+            throw new IllegalStateException(impossible);
         }
     }
 }
--- a/src/main/java/passhatch/agent/ChangesConfig.java
+++ b/src/main/java/passhatch/agent/ChangesConfig.java
@@ -48,7 +48,7 @@
     private static final int MAX_SERVICES = 64;
 
     /** As it is written in the file. */
-    record Part(
+    record Section(
             String role,
             String listen,
             Long epoch,
@@ -59,27 +59,28 @@
 
     /** Checks the part; what cannot be used is told by its key. */
     static ChangesConfig checked(
-            TomlFile file, Part part, AgentConfig.Fleet fleet, AgentConfig.Duties duties) {
+            TomlFile file, Section section, AgentConfig.Fleet fleet, AgentConfig.Duties duties) {
         file.require(fleet != null, "changes", "a part [fleet] beside it");
-        Role role = role(file, part.role());
-        InetSocketAddress listen = AgentConfig.address(file, "changes.listen", part.listen());
+        Role role = role(file, section.role());
+        InetSocketAddress listen =
+                AgentConfig.parseAddress(file, "changes.listen", section.listen());
         file.require(
                 !listen.equals(fleet.listen()),
                 "changes.listen",
                 "another address than fleet.listen");
         file.require(
-                part.epoch() >= 1 && part.epoch() <= Integer.MAX_VALUE,
+                section.epoch() >= 1 && section.epoch() <= Integer.MAX_VALUE,
                 "changes.epoch",
                 "1 to " + Integer.MAX_VALUE);
         ChangesConfig config =
                 new ChangesConfig(
                         role,
                         listen,
-                        part.epoch(),
-                        addresses(file, "changes.replicas", part.replicas()),
-                        addresses(file, "changes.sources", part.sources()),
-                        List.copyOf(part.services()),
-                        part.publish() == null ? null : Path.of(part.publish()));
+                        section.epoch(),
+                        parseAddresses(file, "changes.replicas", section.replicas()),
+                        parseAddresses(file, "changes.sources", section.sources()),
+                        List.copyOf(section.services()),
+                        section.publish() == null ? null : Path.of(section.publish()));
         if (role == Role.REPLICA) {
             config.checkReplica(file, fleet, duties);
         } else {
@@ -88,14 +89,14 @@
         return config;
     }
 
-    private static Role role(TomlFile file, String text) {
+    private static Role role(TomlFile file, String label) {
         List<Role> roles = Arrays.asList(Role.values());
         List<String> labels = roles.stream().map(ChangesConfig::label).toList();
         file.require(
-                labels.contains(text),
+                labels.contains(label),
                 "changes.role",
                 labels.stream().map(l -> '"' + l + '"').collect(Collectors.joining(", ")));
-        return roles.get(labels.indexOf(text));
+        return roles.get(labels.indexOf(label));
     }
 
     /** A role as it is written. */
@@ -103,13 +104,13 @@
         return role.name().toLowerCase(Locale.ROOT);
     }
 
-    private static List<String> addresses(TomlFile file, String key, List<String> texts) {
-        List<String> all =
+    private static List<String> parseAddresses(TomlFile file, String key, List<String> texts) {
+        List<String> addresses =
                 texts.stream()
-                        .map(t -> MembersText.text(AgentConfig.address(file, key, t)))
+                        .map(t -> MembersText.format(AgentConfig.parseAddress(file, key, t)))
                         .toList();
-        file.require(new HashSet<>(all).size() == all.size(), key, "each address once");
-        return all;
+        file.require(new HashSet<>(addresses).size() == addresses.size(), key, "each address once");
+        return addresses;
     }
 
     private void checkReplica(TomlFile file, AgentConfig.Fleet fleet, AgentConfig.Duties duties) {
@@ -125,7 +126,7 @@
                 "changes.replicas",
                 "the addresses of three, five or seven replicas");
         file.require(
-                replicas.contains(MembersText.text(listen)),
+                replicas.contains(MembersText.format(listen)),
                 "changes.replicas",
                 "changes.listen among them");
         file.require(sources.isEmpty(), "changes.sources", "none, as a replica follows nobody");
@@ -138,7 +139,7 @@
                 "changes.sources",
                 "1 to " + MAX_SOURCES + " addresses, the preferred first");
         file.require(
-                !sources.contains(MembersText.text(listen)),
+                !sources.contains(MembersText.format(listen)),
                 "changes.sources",
                 "other addresses than changes.listen");
         file.require(
--- a/src/main/java/passhatch/agent/ChangesNode.java
+++ b/src/main/java/passhatch/agent/ChangesNode.java
@@ -18,7 +18,7 @@
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.distribution.DiskRecord;
 import passhatch.distribution.DistributionActions;
 import passhatch.distribution.DistributionSettings;
@@ -27,7 +27,7 @@
 import passhatch.distribution.Message;
 import passhatch.distribution.MessageCodec;
 import passhatch.distribution.Participant;
-import passhatch.fleet.Drop;
+import passhatch.fleet.DropReason;
 import passhatch.proxy.base.Addresses;
 import passhatch.store.StoreException;
 
@@ -36,11 +36,11 @@
  * own, on the agent's event loop. A replica leads while this process has the duty {@link
  * ChangesConfig#DUTY}.
  */
-final class ChangesNode implements DistributionActions, DutyHolder {
+final class ChangesNode implements DistributionActions, DutyListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(ChangesNode.class);
 
-    private static final int DATAGRAMS_A_TURN = 256;
+    private static final int MAX_DATAGRAMS_PER_READ = 256;
 
     /** Changes within this time are published together. */
     private static final long PUBLISH_DELAY_MS = 50;
@@ -50,7 +50,7 @@
     private final AgentConfig.Fleet fleet;
     private final ValuesFile valuesFile;
     private final SubmittedChanges submitted = new SubmittedChanges();
-    private final Map<Drop, Long> dropped = new EnumMap<>(Drop.class);
+    private final Map<DropReason, Long> dropped = new EnumMap<>(DropReason.class);
 
     /** Null where a follower goes on without a disk. */
     private ChangesStore store;
@@ -60,7 +60,7 @@
     private Runnable giveUpDuty = () -> {};
     private ScheduledFuture<?> timer;
     private long timerAtUs;
-    private boolean publishing;
+    private boolean publishScheduled;
 
     ChangesNode(EventLoop loop, ChangesConfig config, AgentConfig.Fleet fleet) {
         this.loop = loop;
@@ -75,25 +75,27 @@
      * @param folder where the records are kept
      * @throws IOException where the address cannot be used
      * @throws StoreException where a replica's store cannot be used
-     * @throws BadInput where the disk has a higher epoch than the configuration
+     * @throws InvalidInputException where the disk has a higher epoch than the configuration
      */
     void start(Path folder, RandomGenerator random)
             throws IOException, StoreException, InterruptedException {
         openStore(folder);
         List<DiskRecord> records = store == null ? List.of() : store.takeRecords();
         Channel bound =
-                DatagramListener.bind(loop, config.listen(), new Receiver(), DATAGRAMS_A_TURN);
+                DatagramListener.bind(
+                        loop, config.listen(), new Receiver(), MAX_DATAGRAMS_PER_READ);
         try {
             loop.submit(() -> begin(bound, records, random)).sync();
         } catch (IllegalArgumentException higherEpoch) {
-            throw new BadInput("changes.epoch: " + higherEpoch.getMessage());
+            throw new InvalidInputException("changes.epoch: " + higherEpoch.getMessage());
         }
     }
 
     private void openStore(Path folder) throws IOException, StoreException {
         try {
             store = ChangesStore.open(folder, fleet.self(), config.role(), config.services());
-            store.notes().forEach(note -> LOG.atWarn().addKeyValue("event", "store").log(note));
+            store.warnings()
+                    .forEach(warning -> LOG.atWarn().addKeyValue("event", "store").log(warning));
         } catch (IOException | StoreException failed) {
             if (config.role() == Role.REPLICA) {
                 throw failed;
@@ -110,19 +112,19 @@
                         fleet.self(),
                         config.role(),
                         config.epoch(),
-                        MembersText.text(config.listen()),
+                        MembersText.format(config.listen()),
                         config.replicas(),
                         config.sources(),
                         config.services());
         socket = channel;
         participant = new Participant(settings, records, FleetNode.nowUs(), random, this);
-        publishSoon();
-        settle();
+        schedulePublish();
+        compactAndSchedule();
     }
 
     /** What to do where this leader can lead no longer. */
-    void onStepDown(Runnable giveUp) {
-        giveUpDuty = giveUp;
+    void onStepDown(Runnable action) {
+        giveUpDuty = action;
     }
 
     /** The state machine; to be asked on the loop only. */
@@ -140,7 +142,7 @@
     }
 
     /** Datagrams that were not taken, by reason. */
-    Map<Drop, Long> dropped() {
+    Map<DropReason, Long> dropped() {
         return Collections.unmodifiableMap(dropped);
     }
 
@@ -149,12 +151,12 @@
         try {
             return participant.submit(FleetNode.nowUs(), key, value, ifVersion);
         } finally {
-            settle();
+            compactAndSchedule();
         }
     }
 
     /** Lets this replica count towards majorities though its disk is empty. */
-    boolean found() {
+    boolean initialize() {
         return participant.found();
     }
 
@@ -166,12 +168,12 @@
         }
     }
 
-    private void settle() {
-        compact();
-        plan();
+    private void compactAndSchedule() {
+        compactLog();
+        scheduleTimer();
     }
 
-    private void compact() {
+    private void compactLog() {
         if (store == null || participant.diskFailed() || !store.wantsSnapshot()) {
             return;
         }
@@ -185,28 +187,30 @@
         }
     }
 
-    private void plan() {
-        long at = participant.wakeAtUs();
-        if (timer != null && timerAtUs <= at && !timer.isDone()) {
+    private void scheduleTimer() {
+        long wakeUs = participant.wakeAtUs();
+        if (timer != null && timerAtUs <= wakeUs && !timer.isDone()) {
             return; // It looks again when that one has run.
         }
         if (timer != null) {
             timer.cancel(false);
         }
-        timerAtUs = at;
+        timerAtUs = wakeUs;
         timer =
                 loop.schedule(
-                        this::wake, Math.max(0, at - FleetNode.nowUs()), TimeUnit.MICROSECONDS);
+                        this::runTimer,
+                        Math.max(0, wakeUs - FleetNode.nowUs()),
+                        TimeUnit.MICROSECONDS);
     }
 
-    private void wake() {
+    private void runTimer() {
         timer = null;
         try {
             if (participant.wakeAtUs() <= FleetNode.nowUs()) {
                 participant.timer(FleetNode.nowUs());
             }
         } finally {
-            settle();
+            compactAndSchedule();
         }
     }
 
@@ -214,14 +218,14 @@
         MessageCodec.Read read = MessageCodec.decode(fleet.name(), bytes);
         if (read.fault() != null) {
             dropped.merge(read.fault(), 1L, Long::sum);
-        } else if (isStranger(from, read.message())) {
-            dropped.merge(Drop.STRANGER, 1L, Long::sum);
+        } else if (isUnknownSender(from, read.message())) {
+            dropped.merge(DropReason.STRANGER, 1L, Long::sum);
         } else {
             participant.hear(FleetNode.nowUs(), from, read.message());
         }
     }
 
-    private boolean isStranger(String from, Message message) {
+    private boolean isUnknownSender(String from, Message message) {
         if (message instanceof Message.Poll || message instanceof Message.Ack) {
             return false; // Whoever is of the fleet may follow.
         }
@@ -232,15 +236,17 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             if (participant != null) {
-                receive(MembersText.text(packet.sender()), ByteBufUtil.getBytes(packet.content()));
-                plan();
+                receive(
+                        MembersText.format(packet.sender()),
+                        ByteBufUtil.getBytes(packet.content()));
+                scheduleTimer();
             }
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (participant != null) {
-                settle();
+                compactAndSchedule();
             }
         }
 
@@ -250,14 +256,14 @@
         }
     }
 
-    private void publishSoon() {
-        if (valuesFile == null || publishing) {
+    private void schedulePublish() {
+        if (valuesFile == null || publishScheduled) {
             return;
         }
-        publishing = true;
+        publishScheduled = true;
         loop.schedule(
                 () -> {
-                    publishing = false;
+                    publishScheduled = false;
                     valuesFile.replace(
                             participant.epoch(), participant.version(), participant.values());
                 },
@@ -267,16 +273,16 @@
 
     @Override
     public void granted(long term) {
-        submitted.begin(term);
+        submitted.beginTerm(term);
         participant.granted(FleetNode.nowUs(), term);
-        settle();
+        compactAndSchedule();
     }
 
     @Override
     public void lost(long term) {
-        submitted.end();
+        submitted.endTerm();
         participant.lost();
-        settle();
+        compactAndSchedule();
     }
 
     @Override
@@ -307,7 +313,7 @@
 
     @Override
     public void inForce(long epoch, long version) {
-        publishSoon();
+        schedulePublish();
     }
 
     @Override
--- a/src/main/java/passhatch/agent/ChangesStore.java
+++ b/src/main/java/passhatch/agent/ChangesStore.java
@@ -25,24 +25,24 @@
 final class ChangesStore implements AutoCloseable {
 
     /** Kinds of entries: a record alone, or its place in a group of several. */
-    private static final int SINGLE = 1;
+    private static final int KIND_SINGLE = 1;
 
-    private static final int FIRST = 2;
-    private static final int MIDDLE = 3;
-    private static final int LAST = 4;
+    private static final int KIND_FIRST = 2;
+    private static final int KIND_MIDDLE = 3;
+    private static final int KIND_LAST = 4;
 
     /** The services whose keys the records cover, one a line; of subscribers only. */
-    private static final int SERVICES = 5;
+    private static final int KIND_SERVICES = 5;
 
     /** Bytes of records that are forced at once; a larger group is written in several parts. */
     private static final int MAX_FORCED_BYTES = 1 << 20;
 
-    private final RecordLog log;
+    private final RecordLog recordLog;
 
     /** One a line; null for other roles than a subscriber's. */
     private final String services;
 
-    private final List<DiskRecord> incomplete = new ArrayList<>();
+    private final List<DiskRecord> incompleteGroup = new ArrayList<>();
     private List<DiskRecord> records = new ArrayList<>();
     private String servicesOnDisk;
 
@@ -50,13 +50,13 @@
             throws StoreException {
         String owner = name + " " + role.name().toLowerCase(Locale.ROOT);
         this.services = role == Role.SUBSCRIBER ? String.join("\n", new TreeSet<>(services)) : null;
-        this.log =
+        this.recordLog =
                 role == Role.REPLICA
                         ? RecordLog.open(disk, owner, this::replay)
                         : RecordLog.openOrSetAside(disk, owner, this::replay);
-        incomplete.clear();
+        incompleteGroup.clear();
         if (this.services != null && !this.services.equals(servicesOnDisk)) {
-            records = forOtherServices(records);
+            records = withoutVersions(records);
             snapshot(records);
         }
     }
@@ -73,7 +73,7 @@
             throws IOException, StoreException {
         try {
             return new ChangesStore(disk, name, role, services);
-        } catch (UnreadableRecord unreadable) {
+        } catch (UnreadableRecordException unreadable) {
             throw new IOException(unreadable.getMessage(), unreadable);
         }
     }
@@ -91,30 +91,30 @@
     }
 
     /** A record whose checksum is right, but which this program cannot read. */
-    private static final class UnreadableRecord extends RuntimeException {
+    private static final class UnreadableRecordException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        UnreadableRecord(IOException cause) {
+        UnreadableRecordException(IOException cause) {
             super("a record on changes cannot be read: " + cause.getMessage(), cause);
         }
     }
 
     private void replay(Entry entry) {
-        if (entry.kind() == SERVICES) {
+        if (entry.kind() == KIND_SERVICES) {
             servicesOnDisk = new String(entry.bytes(), StandardCharsets.UTF_8);
             return;
         }
-        if (entry.kind() == SINGLE || entry.kind() == FIRST) {
-            incomplete.clear();
+        if (entry.kind() == KIND_SINGLE || entry.kind() == KIND_FIRST) {
+            incompleteGroup.clear();
         }
         try {
-            incomplete.add(DiskRecordCodec.decode(entry.bytes()));
+            incompleteGroup.add(DiskRecordCodec.decode(entry.bytes()));
         } catch (IOException unreadable) {
-            throw new UnreadableRecord(unreadable);
+            throw new UnreadableRecordException(unreadable);
         }
-        if (entry.kind() == SINGLE || entry.kind() == LAST) {
-            records.addAll(incomplete);
-            incomplete.clear();
+        if (entry.kind() == KIND_SINGLE || entry.kind() == KIND_LAST) {
+            records.addAll(incompleteGroup);
+            incompleteGroup.clear();
         }
     }
 
@@ -122,7 +122,7 @@
      * What the records say of values, without their versions: the keys of further services were
      * passed over, so the whole state is needed. The old values serve until it is there.
      */
-    private static List<DiskRecord> forOtherServices(List<DiskRecord> records) {
+    private static List<DiskRecord> withoutVersions(List<DiskRecord> records) {
         List<DiskRecord> values = new ArrayList<>();
         for (DiskRecord record : records) {
             if (record instanceof DiskRecord.Reset) {
@@ -144,53 +144,55 @@
     }
 
     /** What opening had to note. */
-    List<String> notes() {
-        return log.notes();
+    List<String> warnings() {
+        return recordLog.notes();
     }
 
     /** Returns once all of these records are on disk; after a crash all of them count, or none. */
     void append(List<DiskRecord> group) throws StoreException {
-        List<Entry> part = new ArrayList<>();
-        int bytes = 0;
+        List<Entry> chunk = new ArrayList<>();
+        int chunkBytes = 0;
         for (int i = 0; i < group.size(); i++) {
-            Entry entry = new Entry(kind(i, group.size()), DiskRecordCodec.encode(group.get(i)));
-            part.add(entry);
-            bytes += entry.bytes().length;
-            if (bytes > MAX_FORCED_BYTES) {
-                log.append(part);
-                part.clear();
-                bytes = 0;
+            Entry entry =
+                    new Entry(groupKind(i, group.size()), DiskRecordCodec.encode(group.get(i)));
+            chunk.add(entry);
+            chunkBytes += entry.bytes().length;
+            if (chunkBytes > MAX_FORCED_BYTES) {
+                recordLog.append(chunk);
+                chunk.clear();
+                chunkBytes = 0;
             }
         }
-        if (!part.isEmpty()) {
-            log.append(part);
+        if (!chunk.isEmpty()) {
+            recordLog.append(chunk);
         }
     }
 
-    private static int kind(int index, int size) {
+    private static int groupKind(int index, int size) {
         if (size == 1) {
-            return SINGLE;
+            return KIND_SINGLE;
         }
-        return index == 0 ? FIRST : index == size - 1 ? LAST : MIDDLE;
+        return index == 0 ? KIND_FIRST : index == size - 1 ? KIND_LAST : KIND_MIDDLE;
     }
 
     /** Whether so much was written that {@link #snapshot} is worth its cost. */
     boolean wantsSnapshot() {
-        return log.wantsSnapshot();
+        return recordLog.wantsSnapshot();
     }
 
     /** Puts records in the place of all that was written so far. */
     void snapshot(List<DiskRecord> state) throws StoreException {
         List<Entry> entries = new ArrayList<>();
         if (services != null) {
-            entries.add(new Entry(SERVICES, services.getBytes(StandardCharsets.UTF_8)));
+            entries.add(new Entry(KIND_SERVICES, services.getBytes(StandardCharsets.UTF_8)));
         }
-        state.forEach(record -> entries.add(new Entry(SINGLE, DiskRecordCodec.encode(record))));
-        log.snapshot(entries);
+        state.forEach(
+                record -> entries.add(new Entry(KIND_SINGLE, DiskRecordCodec.encode(record))));
+        recordLog.snapshot(entries);
     }
 
     @Override
     public void close() throws StoreException {
-        log.close();
+        recordLog.close();
     }
 }
--- a/src/main/java/passhatch/agent/DatagramListener.java
+++ b/src/main/java/passhatch/agent/DatagramListener.java
@@ -22,14 +22,14 @@
     /**
      * Binds a socket and hands what comes to a handler, on the loop. On no thread of the loop.
      *
-     * @param datagramsPerTurn how many are read in one turn of the loop at most
+     * @param maxDatagramsPerRead how many are read in one turn of the loop at most
      * @throws IOException where the address cannot be used
      */
     static Channel bind(
             EventLoop loop,
             InetSocketAddress address,
             ChannelHandler receiver,
-            int datagramsPerTurn)
+            int maxDatagramsPerRead)
             throws IOException, InterruptedException {
         ChannelFuture bound =
                 new Bootstrap()
@@ -38,7 +38,7 @@
                         .option(
                                 ChannelOption.RECVBUF_ALLOCATOR,
                                 new FixedRecvByteBufAllocator(RECEIVE_BYTES)
-                                        .maxMessagesPerRead(datagramsPerTurn))
+                                        .maxMessagesPerRead(maxDatagramsPerRead))
                         .handler(receiver)
                         .bind(address)
                         .await();
--- a/src/main/java/passhatch/agent/DutyHolder.java
+++ b/src/main/java/passhatch/agent/DutyListener.java
@@ -1,7 +1,7 @@
 package passhatch.agent;
 
 /** A part of this process that acts while it has a duty. */
-interface DutyHolder {
+interface DutyListener {
 
     /**
      * The duty is this process's.
--- a/src/main/java/passhatch/agent/DutyNode.java
+++ b/src/main/java/passhatch/agent/DutyNode.java
@@ -31,44 +31,44 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(DutyNode.class);
 
-    private static final long RECALL_EVERY_MS = 500;
+    private static final long RECALL_INTERVAL_MS = 500;
 
     private final EventLoop loop;
-    private final FleetNode fleet;
+    private final FleetNode fleetNode;
     private final AgentStore store;
     private final AgentConfig.Duties config;
     private final DutySettings settings;
     private final String self;
-    private final Map<String, Run> candidates = new TreeMap<>();
+    private final Map<String, WantedDuty> candidates = new TreeMap<>();
     private Voter voter;
 
     /** One duty that this process wants. */
-    private final class Run implements DutyActions {
+    private final class WantedDuty implements DutyActions {
         private final String duty;
         private final Candidate candidate;
-        private final DutyHolder told;
+        private final DutyListener listener;
         private ScheduledFuture<?> timer;
 
-        Run(String duty, String holder, RandomGenerator random, DutyHolder told) {
+        WantedDuty(String duty, String holder, RandomGenerator random, DutyListener listener) {
             this.duty = duty;
-            this.told = told;
+            this.listener = listener;
             this.candidate = new Candidate(settings, duty, holder, config.rank(), random, this);
         }
 
-        void plan() {
+        void scheduleTimer() {
             if (timer != null) {
                 timer.cancel(false);
             }
-            long at = candidate.wakeAtUs();
+            long wakeUs = candidate.wakeAtUs();
             timer =
-                    at == Long.MAX_VALUE
+                    wakeUs == Long.MAX_VALUE
                             ? null
                             : loop.schedule(
                                     () -> {
                                         candidate.timer(FleetNode.nowUs());
-                                        plan();
+                                        scheduleTimer();
                                     },
-                                    Math.max(0, at - FleetNode.nowUs()),
+                                    Math.max(0, wakeUs - FleetNode.nowUs()),
                                     TimeUnit.MICROSECONDS);
         }
 
@@ -84,8 +84,8 @@
                     .addKeyValue("duty", duty)
                     .addKeyValue("term", term)
                     .log("this process has the duty");
-            if (told != null) {
-                told.granted(term);
+            if (listener != null) {
+                listener.granted(term);
             }
         }
 
@@ -96,8 +96,8 @@
                     .addKeyValue("duty", duty)
                     .addKeyValue("term", term)
                     .log("the duty is gone");
-            if (told != null) {
-                told.lost(term);
+            if (listener != null) {
+                listener.lost(term);
             }
         }
     }
@@ -105,19 +105,19 @@
     /**
      * Takes part from now on; on the loop.
      *
-     * @param holders parts of this process that are told when it has a duty or has it no more;
+     * @param listeners parts of this process that are told when it has a duty or has it no more;
      *     their duties are wanted beside those that are configured
      */
     DutyNode(
             EventLoop loop,
-            FleetNode fleet,
+            FleetNode fleetNode,
             AgentStore store,
             AgentConfig.Duties config,
             String self,
             RandomGenerator random,
-            Map<String, DutyHolder> holders) {
+            Map<String, DutyListener> listeners) {
         this.loop = loop;
-        this.fleet = fleet;
+        this.fleetNode = fleetNode;
         this.store = store;
         this.config = config;
         this.self = self;
@@ -128,17 +128,18 @@
                         TimeUnit.MICROSECONDS.convert(config.lease()),
                         config.drift());
         if (config.voters().contains(self)) {
-            voter = new Voter(settings, FleetNode.nowUs(), store.promises(), this::keep);
+            voter = new Voter(settings, FleetNode.nowUs(), store.promises(), this::persistPromise);
         }
-        fleet.duties(this::hear);
+        fleetNode.onDutyMessage(this::receive);
         recall();
         Set<String> wanted = new TreeSet<>(config.wanted());
-        wanted.addAll(holders.keySet());
+        wanted.addAll(listeners.keySet());
         for (String duty : wanted) {
-            Run run = new Run(duty, self + ":" + store.epoch(), random, holders.get(duty));
-            candidates.put(duty, run);
-            run.candidate.want(FleetNode.nowUs());
-            run.plan();
+            WantedDuty wantedDuty =
+                    new WantedDuty(duty, self + ":" + store.epoch(), random, listeners.get(duty));
+            candidates.put(duty, wantedDuty);
+            wantedDuty.candidate.want(FleetNode.nowUs());
+            wantedDuty.scheduleTimer();
         }
     }
 
@@ -148,20 +149,20 @@
             config.voters().stream()
                     .filter(v -> !v.equals(self))
                     .forEach(v -> send(v, voter.recall()));
-            loop.schedule(this::recall, RECALL_EVERY_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::recall, RECALL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Lets this voter vote without a memory, at the first founding of the voters. */
-    String found() {
+    String initializeVoter() {
         return voter != null && voter.found()
                 ? "done\n"
                 : "error this process is no voter, or votes already\n";
     }
 
-    private boolean keep(Promise promise) {
+    private boolean persistPromise(Promise promise) {
         try {
-            store.keep(promise);
+            store.persistPromise(promise);
             return true;
         } catch (StoreException failed) {
             LOG.atError()
@@ -173,26 +174,26 @@
 
     private void send(String to, DutyMessage message) {
         if (to.equals(self)) {
-            loop.execute(() -> hear(self, message));
+            loop.execute(() -> receive(self, message));
         } else {
-            fleet.send(to, message);
+            fleetNode.send(to, message);
         }
     }
 
-    private void hear(String from, DutyMessage message) {
-        long now = FleetNode.nowUs();
+    private void receive(String from, DutyMessage message) {
+        long nowUs = FleetNode.nowUs();
         switch (message.kind()) {
             case REQUEST, RELEASE, RECALL, TERMS -> {
-                DutyMessage answer = voter == null ? null : voter.hear(now, from, message);
-                if (answer != null) {
-                    send(from, answer);
+                DutyMessage reply = voter == null ? null : voter.hear(nowUs, from, message);
+                if (reply != null) {
+                    send(from, reply);
                 }
             }
             case GRANT, REFUSAL, TAKE -> {
-                Run run = candidates.get(message.duty());
-                if (run != null) {
-                    run.candidate.hear(now, from, message);
-                    run.plan();
+                WantedDuty wantedDuty = candidates.get(message.duty());
+                if (wantedDuty != null) {
+                    wantedDuty.candidate.hear(nowUs, from, message);
+                    wantedDuty.scheduleTimer();
                 }
             }
         }
@@ -203,9 +204,9 @@
      * whoever carries it out, or {@code error ...}.
      */
     String act(String duty) {
-        Run run = candidates.get(duty);
-        long term = run == null ? 0 : run.candidate.term();
-        return run != null && run.candidate.guard(FleetNode.nowUs(), term)
+        WantedDuty wantedDuty = candidates.get(duty);
+        long term = wantedDuty == null ? 0 : wantedDuty.candidate.term();
+        return wantedDuty != null && wantedDuty.candidate.guard(FleetNode.nowUs(), term)
                 ? "done " + term + "\n"
                 : "error this process does not hold '" + duty + "'\n";
     }
@@ -215,16 +216,16 @@
      * over.
      */
     String giveUp(String duty, String to) {
-        Run run = candidates.get(duty);
-        if (run == null || !run.candidate.mayAct(FleetNode.nowUs())) {
+        WantedDuty wantedDuty = candidates.get(duty);
+        if (wantedDuty == null || !wantedDuty.candidate.mayAct(FleetNode.nowUs())) {
             return "error this process does not hold '" + duty + "'\n";
         }
-        run.candidate.giveUp(FleetNode.nowUs(), to);
-        run.plan();
+        wantedDuty.candidate.giveUp(FleetNode.nowUs(), to);
+        wantedDuty.scheduleTimer();
         loop.schedule(
                 () -> {
-                    run.candidate.want(FleetNode.nowUs());
-                    run.plan();
+                    wantedDuty.candidate.want(FleetNode.nowUs());
+                    wantedDuty.scheduleTimer();
                 },
                 settings.leaseUs(),
                 TimeUnit.MICROSECONDS);
@@ -233,15 +234,15 @@
 
     /** All that this process knows of the duties, one line. */
     String json() {
-        long now = FleetNode.nowUs();
-        List<Object> held = new ArrayList<>();
+        long nowUs = FleetNode.nowUs();
+        List<Object> wantedDuties = new ArrayList<>();
         candidates.forEach(
-                (duty, run) -> {
-                    Map<String, Object> one = new LinkedHashMap<>();
-                    one.put("duty", duty);
-                    one.put("term", run.candidate.term());
-                    one.put("left_ms", run.candidate.leftUs(now) / 1_000);
-                    held.add(one);
+                (duty, wantedDuty) -> {
+                    Map<String, Object> entry = new LinkedHashMap<>();
+                    entry.put("duty", duty);
+                    entry.put("term", wantedDuty.candidate.term());
+                    entry.put("left_ms", wantedDuty.candidate.leftUs(nowUs) / 1_000);
+                    wantedDuties.add(entry);
                 });
         List<Object> promised = new ArrayList<>();
         store.promises().stream()
@@ -250,27 +251,27 @@
                 .sorted()
                 .forEach(
                         duty -> {
-                            Map<String, Object> one = new LinkedHashMap<>();
-                            one.put("duty", duty);
-                            one.put("term", voter == null ? 0 : voter.promised(duty).term());
-                            one.put("holder", voter == null ? "" : voter.promised(duty).holder());
-                            one.put(
+                            Map<String, Object> entry = new LinkedHashMap<>();
+                            entry.put("duty", duty);
+                            entry.put("term", voter == null ? 0 : voter.promised(duty).term());
+                            entry.put("holder", voter == null ? "" : voter.promised(duty).holder());
+                            entry.put(
                                     "bound_ms",
-                                    voter == null ? 0 : voter.boundForUs(now, duty) / 1_000);
-                            promised.add(one);
+                                    voter == null ? 0 : voter.boundForUs(nowUs, duty) / 1_000);
+                            promised.add(entry);
                         });
-        Map<String, Object> whole = new LinkedHashMap<>();
-        whole.put("self", self);
-        whole.put("voter", voter != null);
-        whole.put("votes", voter != null && voter.votes());
-        whole.put("voters", config.voters());
-        whole.put("epoch", config.epoch());
-        whole.put("candidate", held);
-        whole.put("promised", promised);
+        Map<String, Object> root = new LinkedHashMap<>();
+        root.put("self", self);
+        root.put("voter", voter != null);
+        root.put("votes", voter != null && voter.votes());
+        root.put("voters", config.voters());
+        root.put("epoch", config.epoch());
+        root.put("candidate", wantedDuties);
+        root.put("promised", promised);
         try {
-            return JSON.std.asString(whole) + "\n";
-        } catch (IOException cannotBe) {
-            throw new IllegalStateException(cannotBe);
+            return JSON.std.asString(root) + "\n";
+        } catch (IOException impossible) {
+            throw new IllegalStateException(impossible);
         }
     }
 }
--- a/src/main/java/passhatch/agent/FleetNode.java
+++ b/src/main/java/passhatch/agent/FleetNode.java
@@ -21,7 +21,7 @@
 import org.slf4j.LoggerFactory;
 import passhatch.duty.DutyCodec;
 import passhatch.duty.DutyMessage;
-import passhatch.fleet.Drop;
+import passhatch.fleet.DropReason;
 import passhatch.fleet.FleetActions;
 import passhatch.fleet.FleetSettings;
 import passhatch.fleet.MemberInfo;
@@ -37,25 +37,25 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(FleetNode.class);
 
-    private static final int DATAGRAMS_A_TURN = 512;
+    private static final int MAX_DATAGRAMS_PER_READ = 512;
 
     /** A thousand members' changes of a moment need not be a thousand lines. */
-    private static final int LINES = 50;
+    private static final int MAX_LOGGED_CHANGES = 50;
 
-    private static final long LINES_FOR_US = 10_000_000;
+    private static final long LOG_INTERVAL_US = 10_000_000;
 
     private final EventLoop loop;
     private final AgentStore store;
     private AgentConfig.Fleet config;
     private Membership membership;
-    private Map<InetSocketAddress, Integer> places;
+    private Map<InetSocketAddress, Integer> addressIndexes;
     private Channel socket;
-    private BiConsumer<String, DutyMessage> duties;
+    private BiConsumer<String, DutyMessage> dutyListener;
     private ScheduledFuture<?> timer;
     private long timerAtUs;
-    private long linesSinceUs = Long.MIN_VALUE / 2;
-    private int lines;
-    private int untold;
+    private long logIntervalStartUs = Long.MIN_VALUE / 2;
+    private int changesInInterval;
+    private int suppressedChanges;
 
     FleetNode(EventLoop loop, AgentConfig.Fleet config, AgentStore store) {
         this.loop = loop;
@@ -70,11 +70,12 @@
      */
     void start(String version, RandomGenerator random) throws IOException, InterruptedException {
         Channel bound =
-                DatagramListener.bind(loop, config.listen(), new Receiver(), DATAGRAMS_A_TURN);
+                DatagramListener.bind(
+                        loop, config.listen(), new Receiver(), MAX_DATAGRAMS_PER_READ);
         loop.submit(
                         () -> {
                             socket = bound;
-                            places = places(config.members());
+                            addressIndexes = indexesByAddress(config.members());
                             membership =
                                     new Membership(
                                             new FleetSettings(
@@ -82,7 +83,7 @@
                                                     config.self(),
                                                     version,
                                                     config.roles(),
-                                                    config.own(),
+                                                    config.ownAddressIndex(),
                                                     config.members().size(),
                                                     TimeUnit.MICROSECONDS.convert(config.period()),
                                                     config.bytesPerSecond(),
@@ -92,17 +93,18 @@
                                             store.epoch(),
                                             random,
                                             this);
-                            plan();
+                            scheduleTimer();
                         })
                 .sync();
     }
 
-    private static Map<InetSocketAddress, Integer> places(List<InetSocketAddress> members) {
-        Map<InetSocketAddress, Integer> places = new HashMap<>();
+    private static Map<InetSocketAddress, Integer> indexesByAddress(
+            List<InetSocketAddress> members) {
+        Map<InetSocketAddress, Integer> indexes = new HashMap<>();
         for (InetSocketAddress member : members) {
-            places.put(member, places.size());
+            indexes.put(member, indexes.size());
         }
-        return places;
+        return indexes;
     }
 
     static long nowUs() {
@@ -110,15 +112,15 @@
     }
 
     /** Who hears messages on duties; on the loop. */
-    void duties(BiConsumer<String, DutyMessage> hears) {
-        duties = hears;
+    void onDutyMessage(BiConsumer<String, DutyMessage> listener) {
+        dutyListener = listener;
     }
 
     /** Sends a message on duties to a member, as far as its address is known; on the loop. */
     void send(String to, DutyMessage message) {
-        int address = membership.address(to);
-        if (address >= 0) {
-            send(address, DutyCodec.encode(config.name(), config.self(), message));
+        int addressIndex = membership.addressIndex(to);
+        if (addressIndex >= 0) {
+            send(addressIndex, DutyCodec.encode(config.name(), config.self(), message));
         }
     }
 
@@ -128,32 +130,32 @@
     }
 
     /** Whether it takes part: not where a newer process has its name. */
-    boolean takesPart() {
-        return membership != null && !membership.givenWay();
+    boolean participates() {
+        return membership != null && !membership.superseded();
     }
 
-    List<InetSocketAddress> members() {
+    List<InetSocketAddress> memberAddresses() {
         return config.members();
     }
 
-    private void plan() {
-        long at = membership.wakeAtUs();
-        if (timer != null && timerAtUs <= at && !timer.isDone()) {
+    private void scheduleTimer() {
+        long wakeUs = membership.wakeAtUs();
+        if (timer != null && timerAtUs <= wakeUs && !timer.isDone()) {
             return; // It looks again when that one has run.
         }
         if (timer != null) {
             timer.cancel(false);
         }
-        timerAtUs = at;
-        timer = loop.schedule(this::wake, Math.max(0, at - nowUs()), TimeUnit.MICROSECONDS);
+        timerAtUs = wakeUs;
+        timer = loop.schedule(this::runTimer, Math.max(0, wakeUs - nowUs()), TimeUnit.MICROSECONDS);
     }
 
-    private void wake() {
+    private void runTimer() {
         timer = null;
         if (membership.wakeAtUs() <= nowUs()) {
             membership.timer(nowUs());
         }
-        plan();
+        scheduleTimer();
     }
 
     private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
@@ -162,20 +164,20 @@
             if (membership == null) {
                 return;
             }
-            Integer place = places.get(packet.sender());
+            Integer addressIndex = addressIndexes.get(packet.sender());
             byte[] bytes = ByteBufUtil.getBytes(packet.content());
-            if (place == null) {
-                membership.dropped(Drop.STRANGER);
-            } else if (duties != null && bytes.length > 0 && bytes[0] == DutyCodec.FORMAT) {
+            if (addressIndex == null) {
+                membership.countDropped(DropReason.STRANGER);
+            } else if (dutyListener != null && bytes.length > 0 && bytes[0] == DutyCodec.FORMAT) {
                 DutyCodec.Read read = DutyCodec.decode(config.name(), bytes);
                 if (read.fault() != null) {
-                    membership.dropped(read.fault());
+                    membership.countDropped(read.fault());
                 } else {
-                    duties.accept(read.from(), read.message());
+                    dutyListener.accept(read.from(), read.message());
                 }
             } else {
-                membership.datagram(nowUs(), place, bytes);
-                plan();
+                membership.receive(nowUs(), addressIndex, bytes);
+                scheduleTimer();
             }
         }
 
@@ -187,16 +189,20 @@
 
     /** Takes another list of members; on the loop. */
     void reconfigure(AgentConfig.Fleet newer) {
-        Map<InetSocketAddress, Integer> to = places(newer.members());
-        int[] newPlaces = config.members().stream().mapToInt(m -> to.getOrDefault(m, -1)).toArray();
+        Map<InetSocketAddress, Integer> newIndexByAddress = indexesByAddress(newer.members());
+        int[] newIndexes =
+                config.members().stream()
+                        .mapToInt(m -> newIndexByAddress.getOrDefault(m, -1))
+                        .toArray();
         LOG.atInfo()
                 .addKeyValue("event", "members-configured")
-                .addKeyValue("gone", Arrays.stream(newPlaces).filter(p -> p < 0).count())
-                .log("{} addresses are configured now", to.size());
+                .addKeyValue("gone", Arrays.stream(newIndexes).filter(p -> p < 0).count())
+                .log("{} addresses are configured now", newIndexByAddress.size());
         config = newer;
-        places = to;
-        membership.readdress(nowUs(), newPlaces, newer.own(), to.size());
-        plan();
+        addressIndexes = newIndexByAddress;
+        membership.updateAddresses(
+                nowUs(), newIndexes, newer.ownAddressIndex(), newIndexByAddress.size());
+        scheduleTimer();
     }
 
     /**
@@ -205,20 +211,21 @@
      */
     void leave() {
         membership.leave(nowUs());
-        plan();
+        scheduleTimer();
     }
 
     @Override
-    public void send(int address, byte[] datagram) {
+    public void send(int addressIndex, byte[] datagram) {
         socket.writeAndFlush(
-                new DatagramPacket(Unpooled.wrappedBuffer(datagram), config.members().get(address)),
+                new DatagramPacket(
+                        Unpooled.wrappedBuffer(datagram), config.members().get(addressIndex)),
                 socket.voidPromise());
     }
 
     @Override
-    public boolean claim(long epoch) {
+    public boolean persistEpoch(long epoch) {
         try {
-            store.claim(epoch);
+            store.persistEpoch(epoch);
             return true;
         } catch (StoreException failed) {
             LOG.atError()
@@ -229,20 +236,20 @@
     }
 
     @Override
-    public void changed(Status before, MemberInfo after) {
+    public void memberChanged(Status before, MemberInfo after) {
         long now = nowUs();
-        if (now - linesSinceUs > LINES_FOR_US) {
-            if (untold > 0) {
+        if (now - logIntervalStartUs > LOG_INTERVAL_US) {
+            if (suppressedChanges > 0) {
                 LOG.atInfo()
                         .addKeyValue("event", "members")
-                        .log("{} further changes were not told", untold);
+                        .log("{} further changes were not told", suppressedChanges);
             }
-            linesSinceUs = now;
-            lines = 0;
-            untold = 0;
+            logIntervalStartUs = now;
+            changesInInterval = 0;
+            suppressedChanges = 0;
         }
-        if (++lines > LINES) {
-            untold++;
+        if (++changesInInterval > MAX_LOGGED_CHANGES) {
+            suppressedChanges++;
             return;
         }
         LOG.atInfo()
@@ -257,7 +264,7 @@
     }
 
     @Override
-    public void note(String text) {
+    public void warn(String text) {
         LOG.atWarn().addKeyValue("event", "identity").log(text);
     }
 }
--- a/src/main/java/passhatch/agent/MembersText.java
+++ b/src/main/java/passhatch/agent/MembersText.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import passhatch.fleet.Drop;
+import passhatch.fleet.DropReason;
 import passhatch.fleet.MemberInfo;
 import passhatch.fleet.Membership;
 import passhatch.fleet.Status;
@@ -26,75 +26,77 @@
     /** One line. */
     static String json(FleetNode node) {
         Membership membership = node.membership();
-        List<InetSocketAddress> addresses = node.members();
+        List<InetSocketAddress> addresses = node.memberAddresses();
         List<Map<String, Object>> members = new ArrayList<>();
         for (MemberInfo member : membership.members()) {
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("name", member.name());
-            one.put("status", label(member.status()));
-            one.put("incarnation", member.incarnation().toString());
-            one.put("version", member.version());
-            one.put("roles", member.roles());
-            one.put("for_ms", membership.ageUs(member) / 1_000);
-            one.put("address", member.address() < 0 ? "" : text(addresses.get(member.address())));
-            members.add(one);
+            Map<String, Object> entry = new LinkedHashMap<>();
+            entry.put("name", member.name());
+            entry.put("status", label(member.status()));
+            entry.put("incarnation", member.incarnation().toString());
+            entry.put("version", member.version());
+            entry.put("roles", member.roles());
+            entry.put("for_ms", membership.ageUs(member) / 1_000);
+            entry.put(
+                    "address",
+                    member.addressIndex() < 0 ? "" : format(addresses.get(member.addressIndex())));
+            members.add(entry);
         }
-        Membership.Figures figures = membership.figures();
-        Map<String, Object> whole = new LinkedHashMap<>();
-        whole.put("self", membership.name());
-        whole.put("incarnation", membership.incarnation().toString());
-        whole.put("given_way", membership.givenWay());
-        whole.put("local_health", figures.localHealth());
-        whole.put("digest", Integer.toHexString(membership.digest()));
-        whole.put("held_up", figures.heldUps());
-        whole.put("received", figures.received());
-        whole.put("sent", figures.sent());
-        whole.put("sent_bytes", figures.sentBytes());
+        Membership.Metrics metrics = membership.metrics();
+        Map<String, Object> root = new LinkedHashMap<>();
+        root.put("self", membership.name());
+        root.put("incarnation", membership.incarnation().toString());
+        root.put("given_way", membership.superseded());
+        root.put("local_health", metrics.localHealth());
+        root.put("digest", Integer.toHexString(membership.digest()));
+        root.put("held_up", metrics.stalls());
+        root.put("received", metrics.received());
+        root.put("sent", metrics.sent());
+        root.put("sent_bytes", metrics.sentBytes());
         Map<String, Object> dropped = new LinkedHashMap<>();
-        figures.dropped().forEach((why, n) -> dropped.put(why.label(), n));
-        whole.put("dropped", dropped);
-        whole.put("members", members);
+        metrics.dropped().forEach((reason, count) -> dropped.put(reason.label(), count));
+        root.put("dropped", dropped);
+        root.put("members", members);
         try {
-            return JSON.std.asString(whole) + "\n";
-        } catch (IOException cannotBe) {
-            throw new IllegalStateException(cannotBe);
+            return JSON.std.asString(root) + "\n";
+        } catch (IOException impossible) {
+            throw new IllegalStateException(impossible);
         }
     }
 
     /** An address as it is written. */
-    static String text(InetSocketAddress address) {
+    static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** A figure a line. */
-    static String figures(FleetNode node) {
+    static String metrics(FleetNode node) {
         Membership membership = node.membership();
-        Membership.Figures figures = membership.figures();
+        Membership.Metrics metrics = membership.metrics();
         StringBuilder text = new StringBuilder();
         List<MemberInfo> members = membership.members();
         for (Status status : Status.values()) {
-            line(
+            appendLine(
                     text,
                     "members{status=\"" + label(status) + "\"}",
                     members.stream().filter(m -> m.status() == status).count());
         }
-        line(text, "epoch", membership.incarnation().epoch());
-        line(text, "local_health", figures.localHealth());
-        line(text, "held_up", figures.heldUps());
-        line(text, "datagrams{way=\"in\"}", figures.received());
-        line(text, "datagrams{way=\"out\"}", figures.sent());
-        line(text, "sent_bytes", figures.sentBytes());
-        Arrays.stream(Drop.values())
+        appendLine(text, "epoch", membership.incarnation().epoch());
+        appendLine(text, "local_health", metrics.localHealth());
+        appendLine(text, "held_up", metrics.stalls());
+        appendLine(text, "datagrams{way=\"in\"}", metrics.received());
+        appendLine(text, "datagrams{way=\"out\"}", metrics.sent());
+        appendLine(text, "sent_bytes", metrics.sentBytes());
+        Arrays.stream(DropReason.values())
                 .forEach(
-                        why ->
-                                line(
+                        reason ->
+                                appendLine(
                                         text,
-                                        "dropped{reason=\"" + why.label() + "\"}",
-                                        figures.dropped().getOrDefault(why, 0L)));
+                                        "dropped{reason=\"" + reason.label() + "\"}",
+                                        metrics.dropped().getOrDefault(reason, 0L)));
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void appendLine(StringBuilder text, String name, long value) {
         text.append("fleet_").append(name).append(' ').append(value).append('\n');
     }
 }
--- a/src/main/java/passhatch/agent/SubmittedChanges.java
+++ b/src/main/java/passhatch/agent/SubmittedChanges.java
@@ -32,14 +32,14 @@
     private boolean leading;
 
     /** A term begins. */
-    void begin(long newTerm) {
+    void beginTerm(long newTerm) {
         term = newTerm;
         leading = true;
         committedByTerm.put(term, 0L);
     }
 
     /** The term is over. */
-    void end() {
+    void endTerm() {
         leading = false;
     }
 
@@ -54,10 +54,10 @@
     }
 
     /** What is known of a change by its version and the term in which it was submitted. */
-    Outcome outcome(long version, long ofTerm) {
-        if (version <= committedByTerm.getOrDefault(ofTerm, 0L)) {
+    Outcome outcome(long version, long submittedTerm) {
+        if (version <= committedByTerm.getOrDefault(submittedTerm, 0L)) {
             return Outcome.COMMITTED;
         }
-        return leading && ofTerm == term ? Outcome.PENDING : Outcome.UNKNOWN;
+        return leading && submittedTerm == term ? Outcome.PENDING : Outcome.UNKNOWN;
     }
 }
--- a/src/main/java/passhatch/agent/config/TomlFile.java
+++ b/src/main/java/passhatch/agent/config/TomlFile.java
@@ -39,7 +39,7 @@
                     .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
                     .addModule(
                             new SimpleModule()
-                                    .addDeserializer(Duration.class, new DurationReader()))
+                                    .addDeserializer(Duration.class, new DurationDeserializer()))
                     .build();
 
     private final String name;
@@ -55,7 +55,7 @@
         try {
             return of(file.toString(), Files.readString(file));
         } catch (IOException unreadable) {
-            throw new BadInput(file + ": cannot be read: " + unreadable);
+            throw new InvalidInputException(file + ": cannot be read: " + unreadable);
         }
     }
 
@@ -63,13 +63,13 @@
     public static TomlFile of(String name, String text) {
         try {
             return new TomlFile(name, TOML.readTree(text).deepCopy());
-        } catch (JsonProcessingException bad) {
-            JsonLocation at = bad.getLocation();
-            throw new BadInput(
+        } catch (JsonProcessingException malformed) {
+            JsonLocation location = malformed.getLocation();
+            throw new InvalidInputException(
                     name
-                            + (at == null ? "" : ":" + at.getLineNr())
+                            + (location == null ? "" : ":" + location.getLineNr())
                             + ": not TOML: "
-                            + firstLine(bad.getOriginalMessage()));
+                            + firstLine(malformed.getOriginalMessage()));
         }
     }
 
@@ -84,18 +84,19 @@
     }
 
     /** The same with values, given as TOML, for what it leaves out. */
-    public TomlFile over(String defaults) {
-        ObjectNode whole = of(name, defaults).tree;
-        merge(whole, tree);
-        return new TomlFile(name, whole);
+    public TomlFile withDefaults(String defaults) {
+        ObjectNode merged = of(name, defaults).tree;
+        merge(merged, tree);
+        return new TomlFile(name, merged);
     }
 
     private static void merge(ObjectNode into, JsonNode from) {
         from.properties()
                 .forEach(
                         field -> {
-                            JsonNode mine = into.get(field.getKey());
-                            if (mine instanceof ObjectNode object && field.getValue().isObject()) {
+                            JsonNode existing = into.get(field.getKey());
+                            if (existing instanceof ObjectNode object
+                                    && field.getValue().isObject()) {
                                 merge(object, field.getValue());
                             } else {
                                 into.set(field.getKey(), field.getValue());
@@ -108,7 +109,7 @@
         try {
             return TOML.treeToValue(tree, type);
         } catch (UnrecognizedPropertyException unknown) {
-            throw new BadInput(
+            throw new InvalidInputException(
                     name
                             + ": "
                             + path(unknown)
@@ -117,23 +118,23 @@
                                     .map(String::valueOf)
                                     .sorted()
                                     .collect(Collectors.joining(", ")));
-        } catch (JsonMappingException bad) {
-            throw new BadInput(name + ": " + path(bad) + ": " + reason(bad));
-        } catch (JsonProcessingException bad) {
-            throw new BadInput(name + ": " + firstLine(bad.getOriginalMessage()));
+        } catch (JsonMappingException invalid) {
+            throw new InvalidInputException(name + ": " + path(invalid) + ": " + reason(invalid));
+        } catch (JsonProcessingException invalid) {
+            throw new InvalidInputException(name + ": " + firstLine(invalid.getOriginalMessage()));
         }
     }
 
     /** Has a condition hold, or says which key should have had what. */
-    public void require(boolean holds, String key, String expected) {
-        if (!holds) {
-            throw new BadInput(name + ": " + key + ": expected " + expected);
+    public void require(boolean condition, String key, String expected) {
+        if (!condition) {
+            throw new InvalidInputException(name + ": " + key + ": expected " + expected);
         }
     }
 
-    private static String path(JsonMappingException bad) {
+    private static String path(JsonMappingException invalid) {
         StringBuilder path = new StringBuilder();
-        for (JsonMappingException.Reference step : bad.getPath()) {
+        for (JsonMappingException.Reference step : invalid.getPath()) {
             if (step.getFieldName() == null) {
                 path.append('[').append(step.getIndex() + 1).append(']');
             } else {
@@ -143,8 +144,8 @@
         return path.isEmpty() ? "the file" : path.toString();
     }
 
-    private static String reason(JsonMappingException bad) {
-        if (bad instanceof InvalidFormatException format
+    private static String reason(JsonMappingException invalid) {
+        if (invalid instanceof InvalidFormatException format
                 && format.getTargetType() != null
                 && format.getTargetType().isEnum()) {
             return "'"
@@ -154,7 +155,7 @@
                             .map(c -> c.toString().toLowerCase(Locale.ROOT))
                             .collect(Collectors.joining(", "));
         }
-        return firstLine(bad.getOriginalMessage());
+        return firstLine(invalid.getOriginalMessage());
     }
 
     private static String firstLine(String text) {
@@ -162,12 +163,12 @@
     }
 
     /** Times like 250ms, 5s, 2m, 0.5s. */
-    private static final class DurationReader extends StdDeserializer<Duration> {
+    private static final class DurationDeserializer extends StdDeserializer<Duration> {
         private static final long serialVersionUID = 1L;
-        private static final Pattern FORM =
+        private static final Pattern FORMAT =
                 Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)");
 
-        DurationReader() {
+        DurationDeserializer() {
             super(Duration.class);
         }
 
@@ -175,7 +176,7 @@
         public Duration deserialize(JsonParser parser, DeserializationContext context)
                 throws IOException {
             String text = parser.getValueAsString("");
-            Matcher parts = FORM.matcher(text.strip());
+            Matcher parts = FORMAT.matcher(text.strip());
             if (!parts.matches()) {
                 throw JsonMappingException.from(
                         parser, "'" + text + "': expected a time like \"250ms\" or \"5s\"");
--- a/src/main/java/passhatch/cli/AgentCall.java
+++ b/src/main/java/passhatch/cli/AgentCall.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.proxy.base.Addresses;
 import picocli.CommandLine.Option;
 
@@ -60,7 +60,7 @@
         try {
             return Addresses.parse(control);
         } catch (IllegalArgumentException bad) {
-            throw new BadInput("--control: " + bad.getMessage());
+            throw new InvalidInputException("--control: " + bad.getMessage());
         }
     }
 
--- a/src/main/java/passhatch/cli/ChangesCommand.java
+++ b/src/main/java/passhatch/cli/ChangesCommand.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.distribution.ConfigKey;
 import passhatch.distribution.InvalidChangeException;
 import passhatch.distribution.Setting;
@@ -68,10 +68,11 @@
             try {
                 Setting.check(key, value);
             } catch (InvalidChangeException invalid) {
-                throw new BadInput(invalid.getMessage());
+                throw new InvalidInputException(invalid.getMessage());
             }
             if (ifVersion != null && ifVersion < 0) {
-                throw new BadInput("--if-version: '" + ifVersion + "': expected 0 or more");
+                throw new InvalidInputException(
+                        "--if-version: '" + ifVersion + "': expected 0 or more");
             }
             String call =
                     word
@@ -130,7 +131,8 @@
         @Override
         String answer(ChangesCall agents) throws IOException {
             if (key != null && !ConfigKey.isKey(key)) {
-                throw new BadInput("'" + key + "': expected service/NAME/SETTING or fleet/SETTING");
+                throw new InvalidInputException(
+                        "'" + key + "': expected service/NAME/SETTING or fleet/SETTING");
             }
             return agents.ask("change-get" + (key == null ? "" : " " + key));
         }
--- a/src/main/java/passhatch/cli/Commands.java
+++ b/src/main/java/passhatch/cli/Commands.java
@@ -6,7 +6,7 @@
 import java.io.PrintWriter;
 import java.util.concurrent.Callable;
 import passhatch.adapter.Adapter;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.proxy.ProxyServer;
 import passhatch.proxy.Rehearsal;
 import picocli.CommandLine;
@@ -55,7 +55,7 @@
                                             + (failure.getMessage() == null
                                                     ? failure
                                                     : failure.getMessage()));
-                    return failure instanceof BadInput ? USAGE : FAILED;
+                    return failure instanceof InvalidInputException ? USAGE : FAILED;
                 });
         return line;
     }
--- a/src/main/java/passhatch/cli/StoreCommand.java
+++ b/src/main/java/passhatch/cli/StoreCommand.java
@@ -9,7 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.store.Entry;
 import passhatch.store.FolderDisk;
 import passhatch.store.Inspection;
@@ -56,7 +56,7 @@
 
     private static FolderDisk take(Path folder) throws IOException, StoreException {
         if (!Files.isDirectory(folder)) {
-            throw new BadInput(folder + ": there is no such folder");
+            throw new InvalidInputException(folder + ": there is no such folder");
         }
         return FolderDisk.take(folder);
     }
@@ -133,7 +133,7 @@
         @Override
         public Integer call() throws IOException, StoreException {
             if (Files.exists(to)) {
-                throw new BadInput(to + ": is there already");
+                throw new InvalidInputException(to + ": is there already");
             }
             try (FolderDisk from = take(folder);
                     FolderDisk disk = FolderDisk.take(to)) {
--- a/src/main/java/passhatch/distribution/DiskRecordCodec.java
+++ b/src/main/java/passhatch/distribution/DiskRecordCodec.java
@@ -103,14 +103,14 @@
     public static DiskRecord decode(byte[] bytes) throws IOException {
         try (JsonParser parser = CBOR.createParser(bytes)) {
             CborReader cbor = new CborReader(parser);
-            cbor.begin();
-            long version = cbor.number(1, Integer.MAX_VALUE);
+            cbor.beginArray();
+            long version = cbor.readLong(1, Integer.MAX_VALUE);
             if (version != FORMAT_VERSION) {
                 throw new IOException("a record of format " + version + ", of a newer program");
             }
-            Kind kind = Kind.values()[cbor.integer(0, Kind.values().length - 1)];
+            Kind kind = Kind.values()[cbor.readInt(0, Kind.values().length - 1)];
             DiskRecord record = read(cbor, kind);
-            cbor.passOver();
+            cbor.skipToArrayEnd();
             return record;
         }
     }
@@ -135,15 +135,17 @@
     }
 
     private static long number(CborReader cbor) throws IOException {
-        return cbor.number(0, MAX_NUMBER);
+        return cbor.readLong(0, MAX_NUMBER);
     }
 
     private static List<LogEntry> entries(CborReader cbor) throws IOException {
         List<LogEntry> entries = new ArrayList<>();
-        cbor.begin();
-        while (cbor.beginOrEnd()) {
-            entries.add(new LogEntry(number(cbor), number(cbor), cbor.text(), cbor.textOrNull()));
-            cbor.passOver();
+        cbor.beginArray();
+        while (cbor.beginArrayOrEnd()) {
+            entries.add(
+                    new LogEntry(
+                            number(cbor), number(cbor), cbor.readText(), cbor.readTextOrNull()));
+            cbor.skipToArrayEnd();
         }
         return List.copyOf(entries);
     }
--- a/src/main/java/passhatch/distribution/MessageCodec.java
+++ b/src/main/java/passhatch/distribution/MessageCodec.java
@@ -19,7 +19,7 @@
 import passhatch.distribution.Message.Prepared;
 import passhatch.distribution.Message.SnapshotPart;
 import passhatch.fleet.CborReader;
-import passhatch.fleet.Drop;
+import passhatch.fleet.DropReason;
 import passhatch.fleet.Frame;
 import passhatch.fleet.Names;
 
@@ -52,13 +52,13 @@
     }
 
     /** A message, or why there is none. */
-    public record Read(Message message, Drop fault) {}
+    public record Read(Message message, DropReason fault) {}
 
     private MessageCodec() {}
 
     /** As a datagram within a fleet. */
     public static byte[] encode(String fleet, Message message) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MOST_BYTES);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MAX_BYTES);
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
             cbor.writeStartArray();
             cbor.writeString(fleet);
@@ -155,22 +155,23 @@
 
     /** Reads a datagram; whatever it is, the answer is a message within its bounds or a fault. */
     public static Read decode(String fleet, byte[] bytes) {
-        Drop fault = Frame.fault(FORMAT, bytes);
+        DropReason fault = Frame.dropReason(FORMAT, bytes);
         if (fault != null) {
             return new Read(null, fault);
         }
-        try (JsonParser parser = CBOR.createParser(bytes, Frame.HEAD, bytes.length - Frame.HEAD)) {
+        try (JsonParser parser =
+                CBOR.createParser(bytes, Frame.HEADER_BYTES, bytes.length - Frame.HEADER_BYTES)) {
             CborReader cbor = new CborReader(parser);
-            cbor.begin();
-            if (!fleet.equals(cbor.text())) {
-                return new Read(null, Drop.FLEET);
+            cbor.beginArray();
+            if (!fleet.equals(cbor.readText())) {
+                return new Read(null, DropReason.FLEET);
             }
-            Kind kind = Kind.values()[cbor.integer(0, Kind.values().length - 1)];
-            Message message = read(cbor, kind, cbor.number(0, Integer.MAX_VALUE));
-            cbor.passOver();
+            Kind kind = Kind.values()[cbor.readInt(0, Kind.values().length - 1)];
+            Message message = read(cbor, kind, cbor.readLong(0, Integer.MAX_VALUE));
+            cbor.skipToArrayEnd();
             return new Read(message, null);
         } catch (IOException | IllegalArgumentException bad) {
-            return new Read(null, Drop.FORM);
+            return new Read(null, DropReason.FORM);
         }
     }
 
@@ -206,7 +207,7 @@
             case APPENDED -> {
                 long term = term(cbor);
                 long version = version(cbor);
-                yield new Appended(epoch, term, cbor.bool(), version, cbor.bool());
+                yield new Appended(epoch, term, cbor.readBoolean(), version, cbor.readBoolean());
             }
             case BEHIND -> new Behind(epoch, term(cbor));
             case POLL -> poll(cbor, epoch);
@@ -225,47 +226,47 @@
                             version(cbor),
                             term(cbor),
                             age(cbor),
-                            cbor.integer(Integer.MIN_VALUE, Integer.MAX_VALUE),
-                            cbor.bool(),
-                            cbor.bool(),
+                            cbor.readInt(Integer.MIN_VALUE, Integer.MAX_VALUE),
+                            cbor.readBoolean(),
+                            cbor.readBoolean(),
                             entries(cbor));
         };
     }
 
     private static Message poll(CborReader cbor, long epoch) throws IOException {
         long version = version(cbor);
-        String cursor = cbor.textOrNull();
+        String cursor = cbor.readTextOrNull();
         CborReader.require(cursor == null || ConfigKey.isKey(cursor));
-        ServiceFilter filter = ServiceFilter.decode(cbor.binary());
-        String name = cbor.text();
+        ServiceFilter filter = ServiceFilter.decode(cbor.readBytes());
+        String name = cbor.readText();
         CborReader.require(Names.isName(name));
         return new Poll(epoch, version, cursor, filter, name);
     }
 
     private static long term(CborReader cbor) throws IOException {
-        return cbor.number(0, MAX_VERSION);
+        return cbor.readLong(0, MAX_VERSION);
     }
 
     private static long version(CborReader cbor) throws IOException {
-        return cbor.number(0, MAX_VERSION);
+        return cbor.readLong(0, MAX_VERSION);
     }
 
     private static long age(CborReader cbor) throws IOException {
-        return cbor.number(0, Integer.MAX_VALUE);
+        return cbor.readLong(0, Integer.MAX_VALUE);
     }
 
     private static List<LogEntry> entries(CborReader cbor) throws IOException {
         List<LogEntry> entries = new ArrayList<>();
-        cbor.begin();
-        while (cbor.beginOrEnd()) {
-            long version = cbor.number(1, MAX_VERSION);
-            long term = cbor.number(1, MAX_VERSION);
-            String key = cbor.text();
-            String value = cbor.textOrNull();
+        cbor.beginArray();
+        while (cbor.beginArrayOrEnd()) {
+            long version = cbor.readLong(1, MAX_VERSION);
+            long term = cbor.readLong(1, MAX_VERSION);
+            String key = cbor.readText();
+            String value = cbor.readTextOrNull();
             CborReader.require(key.isEmpty() ? value == null : ConfigKey.isKey(key));
             CborReader.require(value == null || ConfigKey.isValue(value));
             entries.add(new LogEntry(version, term, key, value));
-            cbor.passOver();
+            cbor.skipToArrayEnd();
         }
         return List.copyOf(entries);
     }
--- a/src/main/java/passhatch/duty/DutyCodec.java
+++ b/src/main/java/passhatch/duty/DutyCodec.java
@@ -6,7 +6,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import passhatch.fleet.CborReader;
-import passhatch.fleet.Drop;
+import passhatch.fleet.DropReason;
 import passhatch.fleet.Frame;
 import passhatch.fleet.Names;
 
@@ -17,20 +17,20 @@
     public static final byte FORMAT = 2;
 
     /** Characters of a holder, which is a member's name, a colon and its life, at most. */
-    private static final int MOST_HOLDER = Names.MOST_NAME + 20;
+    private static final int MOST_HOLDER = Names.MAX_NAME_LENGTH + 20;
 
     private static final int FIELDS = 9;
     private static final DutyMessage.Kind[] KINDS = DutyMessage.Kind.values();
     private static final CBORFactory CBOR = new CBORFactory();
 
     /** A message and who sent it; or why there is none. */
-    public record Read(String from, DutyMessage message, Drop fault) {}
+    public record Read(String from, DutyMessage message, DropReason fault) {}
 
     private DutyCodec() {}
 
     /** As a datagram from one member of a fleet. */
     public static byte[] encode(String fleet, String from, DutyMessage m) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MOST_BYTES);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MAX_BYTES);
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
             cbor.writeStartArray(null, FIELDS);
             cbor.writeString(fleet);
@@ -51,34 +51,35 @@
 
     /** Reads a datagram; whatever it is, the answer is a message within its bounds or a fault. */
     public static Read decode(String fleet, byte[] bytes) {
-        Drop fault = Frame.fault(FORMAT, bytes);
+        DropReason fault = Frame.dropReason(FORMAT, bytes);
         if (fault != null) {
             return new Read(null, null, fault);
         }
-        try (JsonParser parser = CBOR.createParser(bytes, Frame.HEAD, bytes.length - Frame.HEAD)) {
+        try (JsonParser parser =
+                CBOR.createParser(bytes, Frame.HEADER_BYTES, bytes.length - Frame.HEADER_BYTES)) {
             CborReader cbor = new CborReader(parser);
-            cbor.begin();
-            if (!fleet.equals(cbor.text())) {
-                return new Read(null, null, Drop.FLEET);
+            cbor.beginArray();
+            if (!fleet.equals(cbor.readText())) {
+                return new Read(null, null, DropReason.FLEET);
             }
-            String from = cbor.text();
+            String from = cbor.readText();
             CborReader.require(Names.isName(from));
-            long kind = cbor.number(0, KINDS.length - 1);
-            long epoch = cbor.number(0, Long.MAX_VALUE);
-            String duty = cbor.label();
+            long kind = cbor.readLong(0, KINDS.length - 1);
+            long epoch = cbor.readLong(0, Long.MAX_VALUE);
+            String duty = cbor.readLabel();
             CborReader.require(!duty.isEmpty());
-            long term = cbor.number(0, Long.MAX_VALUE - 1);
-            long round = cbor.number(0, Integer.MAX_VALUE);
-            String holder = cbor.text();
+            long term = cbor.readLong(0, Long.MAX_VALUE - 1);
+            long round = cbor.readLong(0, Integer.MAX_VALUE);
+            String holder = cbor.readText();
             CborReader.require(!holder.isEmpty() && holder.length() <= MOST_HOLDER);
-            long waitUs = cbor.number(0, Long.MAX_VALUE);
+            long waitUs = cbor.readLong(0, Long.MAX_VALUE);
             return new Read(
                     from,
                     new DutyMessage(
                             KINDS[(int) kind], epoch, duty, term, (int) round, holder, waitUs),
                     null);
         } catch (IOException bad) {
-            return new Read(null, null, Drop.FORM);
+            return new Read(null, null, DropReason.FORM);
         }
     }
 }
--- a/src/main/java/passhatch/fleet/AddressTable.java
+++ b/src/main/java/passhatch/fleet/AddressTable.java
@@ -6,14 +6,14 @@
  */
 final class AddressTable {
 
-    private static final int PAGE = 128;
+    private static final int PAGE_SIZE = 128;
 
     private final String[][] pages;
     private final int length;
 
     AddressTable(int length) {
         this.length = length;
-        this.pages = new String[(length + PAGE - 1) / PAGE][];
+        this.pages = new String[(length + PAGE_SIZE - 1) / PAGE_SIZE][];
     }
 
     /** A copy that shares what does not change. */
@@ -27,16 +27,16 @@
     }
 
     /** The name at an address, or null. */
-    String get(int address) {
-        String[] page = pages[address / PAGE];
-        return page == null ? null : page[address % PAGE];
+    String get(int addressIndex) {
+        String[] page = pages[addressIndex / PAGE_SIZE];
+        return page == null ? null : page[addressIndex % PAGE_SIZE];
     }
 
     /** Takes a name for an address; null where nobody is there any more. */
-    void set(int address, String name) {
-        String[] page = pages[address / PAGE];
-        String[] changed = page == null ? new String[PAGE] : page.clone();
-        changed[address % PAGE] = name;
-        pages[address / PAGE] = changed;
+    void set(int addressIndex, String name) {
+        String[] page = pages[addressIndex / PAGE_SIZE];
+        String[] changed = page == null ? new String[PAGE_SIZE] : page.clone();
+        changed[addressIndex % PAGE_SIZE] = name;
+        pages[addressIndex / PAGE_SIZE] = changed;
     }
 }
--- a/src/main/java/passhatch/fleet/AntiEntropy.java
+++ b/src/main/java/passhatch/fleet/AntiEntropy.java
@@ -15,15 +15,15 @@
     /**
      * Children that are followed up at a time, so that one datagram does not bring hundreds back.
      */
-    private static final int MOST_CHILDREN = 4;
+    private static final int MAX_CHILDREN_PER_REPLY = 4;
 
     /** Comparisons in quick order after one that found a difference: some datagrams get lost. */
-    private static final int EAGER = 8;
+    private static final int EAGER_ROUNDS = 8;
 
     private final View view;
     private final Outbox outbox;
     private final RandomGenerator random;
-    private int eager;
+    private int eagerRoundsLeft;
 
     AntiEntropy(View view, Outbox outbox, RandomGenerator random) {
         this.view = view;
@@ -35,62 +35,65 @@
      * Begins with one member; returns whether to do so again soon, as a difference was found
      * lately.
      */
-    boolean begin(Member with) {
-        outbox.sync(with.address(), Digests.ROOT, view.digests().children(Digests.ROOT));
-        eager = Math.max(0, eager - 1);
-        return eager > 0;
+    boolean start(Member peer) {
+        outbox.sendSync(peer.addressIndex(), Digests.ROOT, view.digests().children(Digests.ROOT));
+        eagerRoundsLeft = Math.max(0, eagerRoundsLeft - 1);
+        return eagerRoundsLeft > 0;
     }
 
     /** Somebody's digests of a node. */
-    void compare(int from, int node, int[] digests) {
-        int[] mine = view.digests().children(node);
+    void onDigests(int senderIndex, int node, int[] digests) {
+        int[] ownDigests = view.digests().children(node);
         List<Integer> different = new ArrayList<>();
-        for (int i = 0; i < mine.length; i++) {
-            if (mine[i] != digests[i]) {
+        for (int i = 0; i < ownDigests.length; i++) {
+            if (ownDigests[i] != digests[i]) {
                 different.add(i);
             }
         }
         if (!different.isEmpty()) {
-            eager = EAGER;
+            eagerRoundsLeft = EAGER_ROUNDS;
         }
-        while (different.size() > MOST_CHILDREN) {
+        while (different.size() > MAX_CHILDREN_PER_REPLY) {
             Collections.swap(different, random.nextInt(different.size()), different.size() - 1);
             different.remove(different.size() - 1);
         }
         for (int child : different) {
             if (node == Digests.ROOT) {
-                outbox.sync(from, child, view.digests().children(child));
+                outbox.sendSync(senderIndex, child, view.digests().children(child));
             } else {
                 int leaf = node * Digests.CHILDREN + child;
-                outbox.leaf(from, Message.Kind.LEAF, leaf, facts(leaf, List.of()));
+                outbox.sendLeaf(
+                        senderIndex, Message.Type.LEAF, leaf, updatesAtLeaf(leaf, List.of()));
             }
         }
     }
 
     /** Somebody's facts at a leaf, which were heard already: tells what they do not have. */
-    void answer(int from, int leaf, List<Fact> theirs) {
-        List<Fact> missing = facts(leaf, theirs);
+    void onLeaf(int senderIndex, int leaf, List<MemberUpdate> receivedUpdates) {
+        List<MemberUpdate> missing = updatesAtLeaf(leaf, receivedUpdates);
         if (!missing.isEmpty()) {
-            outbox.leaf(from, Message.Kind.LEAF_ANSWER, leaf, missing);
+            outbox.sendLeaf(senderIndex, Message.Type.LEAF_ANSWER, leaf, missing);
         }
     }
 
-    private List<Fact> facts(int leaf, List<Fact> but) {
-        List<Fact> facts = new ArrayList<>();
+    private List<MemberUpdate> updatesAtLeaf(int leaf, List<MemberUpdate> known) {
+        List<MemberUpdate> updates = new ArrayList<>();
         for (Member member : view.leaf(leaf)) {
-            boolean same =
-                    but.stream()
+            boolean alreadyKnown =
+                    known.stream()
                             .anyMatch(
-                                    f ->
-                                            f.name().equals(member.name())
-                                                    && f.incarnation()
-                                                            .equals(member.fact().incarnation())
-                                                    && f.status() == member.status());
-            if (!same) {
+                                    update ->
+                                            update.name().equals(member.name())
+                                                    && update.incarnation()
+                                                            .equals(
+                                                                    member.lastUpdate()
+                                                                            .incarnation())
+                                                    && update.status() == member.status());
+            if (!alreadyKnown) {
                 // Drawn order: where not all fit, each comes at some time.
-                facts.add(random.nextInt(facts.size() + 1), member.fact());
+                updates.add(random.nextInt(updates.size() + 1), member.lastUpdate());
             }
         }
-        return facts;
+        return updates;
     }
 }
--- a/src/main/java/passhatch/fleet/Codec.java
+++ b/src/main/java/passhatch/fleet/Codec.java
@@ -20,202 +20,207 @@
     static final byte VERSION = 1;
 
     private static final int FIELDS = 8;
-    private static final int FACT_FIELDS = 7;
-    private static final int MOST_FACTS = 32;
-    private static final Message.Kind[] KINDS = Message.Kind.values();
+    private static final int UPDATE_FIELDS = 7;
+    private static final int MAX_UPDATES = 32;
+    private static final Message.Type[] TYPES = Message.Type.values();
     private static final Status[] STATUSES = Status.values();
     private static final CBORFactory CBOR = new CBORFactory();
 
     /** Facts and labels come again and again; all memberships in one process share them. */
-    private static final Canonical<Fact> FACTS = new Canonical<>(4096);
+    private static final Interner<MemberUpdate> UPDATE_POOL = new Interner<>(4096);
 
-    private static final Canonical<String> LABELS = new Canonical<>(64);
+    private static final Interner<String> LABEL_POOL = new Interner<>(64);
 
     /** Why a datagram was not taken. */
-    static final class Rejected extends Exception {
+    static final class RejectedException extends Exception {
         private static final long serialVersionUID = 1L;
-        private final transient Drop why;
+        private final transient DropReason reason;
 
-        Rejected(Drop why) {
-            super(why.name(), null, false, false);
-            this.why = why;
+        RejectedException(DropReason reason) {
+            super(reason.name(), null, false, false);
+            this.reason = reason;
         }
 
-        Drop why() {
-            return why;
+        DropReason reason() {
+            return reason;
         }
     }
 
-    private final String fleet;
+    private final String fleetName;
 
     /** For datagrams of one fleet. */
-    Codec(String fleet) {
-        this.fleet = fleet;
+    Codec(String fleetName) {
+        this.fleetName = fleetName;
     }
 
     /** Bytes that a message takes without its facts, at most. */
-    int sizeWithoutFacts(Message m) {
+    int sizeWithoutUpdates(Message message) {
         // Two for the head of the list of facts, where there are 24 or more.
-        return Frame.HEAD
+        return Frame.HEADER_BYTES
                 + 1
-                + text(fleet)
+                + textSize(fleetName)
                 + 1
-                + number(m.number())
-                + text(m.target())
-                + number(m.node())
-                + (m.digests().length == 0 ? 1 : 2 + 4 * m.digests().length)
-                + size(m.sender())
+                + integerSize(message.sequenceNumber())
+                + textSize(message.target())
+                + integerSize(message.node())
+                + (message.digests().length == 0 ? 1 : 2 + 4 * message.digests().length)
+                + size(message.sender())
                 + 2;
     }
 
     /** Bytes that a fact takes. */
-    static int size(Fact f) {
+    static int size(MemberUpdate update) {
         int size =
                 1
                         + 1
-                        + text(f.name())
-                        + number(f.incarnation().epoch())
-                        + number(f.incarnation().life())
-                        + number(f.incarnation().refutation())
-                        + number(f.number());
+                        + textSize(update.name())
+                        + integerSize(update.incarnation().epoch())
+                        + integerSize(update.incarnation().runId())
+                        + integerSize(update.incarnation().refutation())
+                        + integerSize(update.addressIndex());
         return size
-                + switch (f.status()) {
-                    case ALIVE, LEFT -> text(f.version()) + text(f.roles());
-                    case SUSPECT -> 1 + 2 * f.accusers().size();
+                + switch (update.status()) {
+                    case ALIVE, LEFT -> textSize(update.version()) + textSize(update.roles());
+                    case SUSPECT -> 1 + 2 * update.reporters().size();
                     case FAILED -> 0;
                 };
     }
 
-    private static int text(String text) {
+    private static int textSize(String text) {
         return text.length() + (text.length() < 24 ? 1 : 2);
     }
 
-    private static int number(long value) {
+    private static int integerSize(long value) {
         long magnitude = value < 0 ? ~value : value;
         return magnitude < 24
                 ? 1
                 : magnitude < 1L << 8 ? 2 : magnitude < 1L << 16 ? 3 : magnitude < 1L << 32 ? 5 : 9;
     }
 
-    byte[] encode(Message m) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MOST_BYTES);
+    byte[] encode(Message message) {
+        ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MAX_BYTES);
         out.write(VERSION);
-        out.writeBytes(new byte[Frame.HEAD - 1]);
+        out.writeBytes(new byte[Frame.HEADER_BYTES - 1]);
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
             cbor.writeStartArray(null, FIELDS);
-            cbor.writeString(fleet);
-            cbor.writeNumber(m.kind().ordinal());
-            cbor.writeNumber(m.number());
-            cbor.writeString(m.target());
-            cbor.writeNumber(m.node());
-            ByteBuffer digests = ByteBuffer.allocate(4 * m.digests().length);
-            for (int digest : m.digests()) {
+            cbor.writeString(fleetName);
+            cbor.writeNumber(message.type().ordinal());
+            cbor.writeNumber(message.sequenceNumber());
+            cbor.writeString(message.target());
+            cbor.writeNumber(message.node());
+            ByteBuffer digests = ByteBuffer.allocate(4 * message.digests().length);
+            for (int digest : message.digests()) {
                 digests.putInt(digest);
             }
             cbor.writeBinary(digests.array());
-            write(cbor, m.sender());
-            cbor.writeStartArray(null, m.facts().size());
-            for (Fact fact : m.facts()) {
-                write(cbor, fact);
+            writeUpdate(cbor, message.sender());
+            cbor.writeStartArray(null, message.updates().size());
+            for (MemberUpdate update : message.updates()) {
+                writeUpdate(cbor, update);
             }
             cbor.writeEndArray();
             cbor.writeEndArray();
-        } catch (IOException cannotBe) {
-            throw new IllegalStateException(cannotBe);
+        } catch (IOException impossible) {
+            throw new IllegalStateException(impossible);
         }
-        return Frame.sealed(out.toByteArray());
+        return Frame.withChecksum(out.toByteArray());
     }
 
-    private static void write(CBORGenerator cbor, Fact f) throws IOException {
-        int more = f.status() == Status.FAILED ? 0 : f.status() == Status.SUSPECT ? 1 : 2;
-        cbor.writeStartArray(null, FACT_FIELDS - 1 + more);
-        cbor.writeNumber(f.status().ordinal());
-        cbor.writeString(f.name());
-        cbor.writeNumber(f.incarnation().epoch());
-        cbor.writeNumber(f.incarnation().life());
-        cbor.writeNumber(f.incarnation().refutation());
-        cbor.writeNumber(f.number());
-        if (f.status() == Status.SUSPECT) {
-            ByteBuffer accusers = ByteBuffer.allocate(2 * f.accusers().size());
-            f.accusers().forEach(a -> accusers.putShort(a.shortValue()));
-            cbor.writeBinary(accusers.array());
-        } else if (more == 2) {
-            cbor.writeString(f.version());
-            cbor.writeString(f.roles());
+    private static void writeUpdate(CBORGenerator cbor, MemberUpdate update) throws IOException {
+        int variableFields =
+                update.status() == Status.FAILED ? 0 : update.status() == Status.SUSPECT ? 1 : 2;
+        cbor.writeStartArray(null, UPDATE_FIELDS - 1 + variableFields);
+        cbor.writeNumber(update.status().ordinal());
+        cbor.writeString(update.name());
+        cbor.writeNumber(update.incarnation().epoch());
+        cbor.writeNumber(update.incarnation().runId());
+        cbor.writeNumber(update.incarnation().refutation());
+        cbor.writeNumber(update.addressIndex());
+        if (update.status() == Status.SUSPECT) {
+            ByteBuffer reporters = ByteBuffer.allocate(2 * update.reporters().size());
+            update.reporters().forEach(reporter -> reporters.putShort(reporter.shortValue()));
+            cbor.writeBinary(reporters.array());
+        } else if (variableFields == 2) {
+            cbor.writeString(update.version());
+            cbor.writeString(update.roles());
         }
         cbor.writeEndArray();
     }
 
     /** Reads a datagram; whatever it is, the answer is a message within its bounds or a reason. */
-    Message decode(byte[] bytes) throws Rejected {
-        Drop fault = Frame.fault(VERSION, bytes);
-        if (fault != null) {
-            throw new Rejected(fault);
+    Message decode(byte[] bytes) throws RejectedException {
+        DropReason rejection = Frame.dropReason(VERSION, bytes);
+        if (rejection != null) {
+            throw new RejectedException(rejection);
         }
-        try (JsonParser cbor = CBOR.createParser(bytes, Frame.HEAD, bytes.length - Frame.HEAD)) {
-            return message(new CborReader(cbor));
+        try (JsonParser cbor =
+                CBOR.createParser(bytes, Frame.HEADER_BYTES, bytes.length - Frame.HEADER_BYTES)) {
+            return readMessage(new CborReader(cbor));
         } catch (IOException notCbor) {
-            throw new Rejected(Drop.FORM);
+            throw new RejectedException(DropReason.FORM);
         }
     }
 
-    private Message message(CborReader cbor) throws IOException, Rejected {
-        cbor.begin();
-        if (!fleet.equals(cbor.label())) {
-            throw new Rejected(Drop.FLEET);
+    private Message readMessage(CborReader cbor) throws IOException, RejectedException {
+        cbor.beginArray();
+        if (!fleetName.equals(cbor.readLabel())) {
+            throw new RejectedException(DropReason.FLEET);
         }
-        Message.Kind kind = KINDS[cbor.integer(0, KINDS.length - 1)];
-        int number = cbor.integer(Integer.MIN_VALUE, Integer.MAX_VALUE);
-        String target = cbor.text();
+        Message.Type type = TYPES[cbor.readInt(0, TYPES.length - 1)];
+        int sequenceNumber = cbor.readInt(Integer.MIN_VALUE, Integer.MAX_VALUE);
+        String target = cbor.readText();
         CborReader.require(target.isEmpty() || Names.isName(target));
-        boolean sync = kind == Message.Kind.SYNC;
+        boolean sync = type == Message.Type.SYNC;
         int node =
-                cbor.integer(
+                cbor.readInt(
                         sync ? Digests.ROOT : 0, (sync ? Digests.CHILDREN : Digests.LEAVES) - 1);
-        byte[] digestBytes = cbor.binary();
+        byte[] digestBytes = cbor.readBytes();
         CborReader.require(digestBytes.length == (sync ? Integer.BYTES * Digests.CHILDREN : 0));
         int[] digests = new int[digestBytes.length / Integer.BYTES];
         ByteBuffer.wrap(digestBytes).asIntBuffer().get(digests);
-        cbor.begin();
-        Fact sender = fact(cbor);
+        cbor.beginArray();
+        MemberUpdate sender = readUpdate(cbor);
         CborReader.require(sender.status() == Status.ALIVE || sender.status() == Status.LEFT);
-        cbor.begin();
-        List<Fact> facts = new ArrayList<>();
-        while (cbor.beginOrEnd()) {
-            CborReader.require(facts.size() < MOST_FACTS);
-            facts.add(fact(cbor));
+        cbor.beginArray();
+        List<MemberUpdate> updates = new ArrayList<>();
+        while (cbor.beginArrayOrEnd()) {
+            CborReader.require(updates.size() < MAX_UPDATES);
+            updates.add(readUpdate(cbor));
         }
-        cbor.passOver();
-        cbor.end();
-        return new Message(kind, number, target, node, digests, sender, facts);
+        cbor.skipToArrayEnd();
+        cbor.requireEnd();
+        return new Message(type, sequenceNumber, target, node, digests, sender, updates);
     }
 
-    private static Fact fact(CborReader cbor) throws IOException {
-        Status status = STATUSES[cbor.integer(0, STATUSES.length - 1)];
-        String name = cbor.text();
+    private static MemberUpdate readUpdate(CborReader cbor) throws IOException {
+        Status status = STATUSES[cbor.readInt(0, STATUSES.length - 1)];
+        String name = cbor.readText();
         CborReader.require(Names.isName(name));
         Incarnation incarnation =
                 new Incarnation(
-                        cbor.number(0, Long.MAX_VALUE),
-                        cbor.integer(Integer.MIN_VALUE, Integer.MAX_VALUE),
-                        cbor.integer(0, Integer.MAX_VALUE));
-        int number = cbor.integer(-1, Integer.MAX_VALUE);
-        List<Integer> accusers = List.of();
+                        cbor.readLong(0, Long.MAX_VALUE),
+                        cbor.readInt(Integer.MIN_VALUE, Integer.MAX_VALUE),
+                        cbor.readInt(0, Integer.MAX_VALUE));
+        int addressIndex = cbor.readInt(-1, Integer.MAX_VALUE);
+        List<Integer> reporters = List.of();
         String version = "";
         String roles = "";
         if (status == Status.SUSPECT) {
-            ByteBuffer hashes = ByteBuffer.wrap(cbor.binary());
+            ByteBuffer hashes = ByteBuffer.wrap(cbor.readBytes());
             CborReader.require(
-                    hashes.remaining() % 2 == 0 && hashes.remaining() <= 2 * Fact.MOST_ACCUSERS);
-            accusers = new ArrayList<>(Fact.MOST_ACCUSERS);
+                    hashes.remaining() % 2 == 0
+                            && hashes.remaining() <= 2 * MemberUpdate.MAX_REPORTERS);
+            reporters = new ArrayList<>(MemberUpdate.MAX_REPORTERS);
             while (hashes.hasRemaining()) {
-                accusers.add((int) hashes.getShort());
+                reporters.add((int) hashes.getShort());
             }
         } else if (status != Status.FAILED) {
-            version = LABELS.of(cbor.label());
-            roles = LABELS.of(cbor.label());
+            version = LABEL_POOL.intern(cbor.readLabel());
+            roles = LABEL_POOL.intern(cbor.readLabel());
         }
-        cbor.passOver();
-        return FACTS.of(new Fact(status, name, incarnation, number, version, roles, accusers));
+        cbor.skipToArrayEnd();
+        return UPDATE_POOL.intern(
+                new MemberUpdate(
+                        status, name, incarnation, addressIndex, version, roles, reporters));
     }
 }
--- a/src/main/java/passhatch/fleet/Digests.java
+++ b/src/main/java/passhatch/fleet/Digests.java
@@ -15,7 +15,7 @@
     /** The root's number as a node. */
     static final int ROOT = -1;
 
-    private static final int SPREAD = 0x9E3779B9;
+    private static final int HASH_MULTIPLIER = 0x9E3779B9;
 
     private final int[] leaves;
 
@@ -29,38 +29,38 @@
     }
 
     /** The leaf of a member, by {@link Names#hash} of its name. */
-    static int leaf(int hash) {
-        return hash & LEAVES - 1;
+    static int leafIndex(int nameHash) {
+        return nameHash & LEAVES - 1;
     }
 
     /** Adds a statement, or takes it away again. */
-    void toggle(Fact fact) {
-        Status told = fact.status() == Status.SUSPECT ? Status.ALIVE : fact.status();
-        int hash = Names.hash(fact.name());
-        int digest = mix(hash, Long.hashCode(fact.incarnation().epoch()));
+    void toggle(MemberUpdate update) {
+        Status digestedStatus = update.status() == Status.SUSPECT ? Status.ALIVE : update.status();
+        int hash = Names.hash(update.name());
+        int digest = mix(hash, Long.hashCode(update.incarnation().epoch()));
         // As a long, as on the wire: the sign of the number counts.
-        digest = mix(digest, Long.hashCode(fact.incarnation().life()));
-        digest = mix(digest, fact.incarnation().refutation());
-        digest = mix(digest, told.ordinal());
-        leaves[leaf(hash)] ^= digest;
+        digest = mix(digest, Long.hashCode(update.incarnation().runId()));
+        digest = mix(digest, update.incarnation().refutation());
+        digest = mix(digest, digestedStatus.ordinal());
+        leaves[leafIndex(hash)] ^= digest;
     }
 
     private static int mix(int a, int b) {
-        int x = (a ^ b) * SPREAD;
+        int x = (a ^ b) * HASH_MULTIPLIER;
         x ^= x >>> 15;
-        return x * SPREAD ^ x >>> 13;
+        return x * HASH_MULTIPLIER ^ x >>> 13;
     }
 
     /** The children's digests of an inner node or of the root. */
     int[] children(int node) {
         int[] digests = new int[CHILDREN];
         for (int i = 0; i < CHILDREN; i++) {
-            digests[i] = node == ROOT ? inner(i) : leaves[node * CHILDREN + i];
+            digests[i] = node == ROOT ? innerDigest(i) : leaves[node * CHILDREN + i];
         }
         return digests;
     }
 
-    private int inner(int node) {
+    private int innerDigest(int node) {
         int digest = 1;
         for (int i = 0; i < CHILDREN; i++) {
             digest = mix(digest, leaves[node * CHILDREN + i]);
--- a/src/main/java/passhatch/fleet/Drop.java
+++ b/src/main/java/passhatch/fleet/DropReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why a datagram was not taken, or not sent. */
-public enum Drop {
+public enum DropReason {
     /** Too long or too short. */
     SIZE,
     /** Of a version that this program does not speak. */
--- a/src/main/java/passhatch/fleet/FleetActions.java
+++ b/src/main/java/passhatch/fleet/FleetActions.java
@@ -4,17 +4,17 @@
 public interface FleetActions {
 
     /** Sends a datagram to the address at this place of the list; it may get lost. */
-    void send(int address, byte[] datagram);
+    void send(int addressIndex, byte[] datagram);
 
     /**
      * Makes this epoch durable. It is used only if this returns true, and then no start may ever
      * use it again.
      */
-    boolean claim(long epoch);
+    boolean persistEpoch(long epoch);
 
     /** What is thought of a member has changed. {@code before} is null for one not known so far. */
-    void changed(Status before, MemberInfo after);
+    void memberChanged(Status before, MemberInfo after);
 
     /** Something that those on call should read; one line. */
-    void note(String text);
+    void warn(String text);
 }
--- a/src/main/java/passhatch/fleet/GossipQueue.java
+++ b/src/main/java/passhatch/fleet/GossipQueue.java
@@ -14,26 +14,26 @@
 final class GossipQueue {
 
     /** After so many that do not fit, a datagram is full enough. */
-    private static final int MOST_MISSES = 4;
+    private static final int MAX_MISSES = 4;
 
     private static final Comparator<Item> ORDER =
-            Comparator.comparingInt((Item i) -> i.told)
-                    .thenComparing(Comparator.comparingLong((Item i) -> i.order).reversed());
+            Comparator.comparingInt((Item i) -> i.sendCount)
+                    .thenComparing(Comparator.comparingLong((Item i) -> i.sequence).reversed());
 
     private static final class Item {
-        private final Fact fact;
-        private final long order;
-        private int told;
+        private final MemberUpdate update;
+        private final long sequence;
+        private int sendCount;
 
-        Item(Fact fact, long order) {
-            this.fact = fact;
-            this.order = order;
+        Item(MemberUpdate update, long sequence) {
+            this.update = update;
+            this.sequence = sequence;
         }
     }
 
     private final Map<String, Item> byMember = new HashMap<>();
     private final TreeSet<Item> items = new TreeSet<>(ORDER);
-    private long next;
+    private long nextSequence;
 
     int size() {
         return items.size();
@@ -46,11 +46,11 @@
     }
 
     /** Tells this from now on, instead of what was told of the member before. */
-    void add(Fact fact) {
-        Item item = new Item(fact, next++);
-        Item before = byMember.put(fact.name(), item);
-        if (before != null) {
-            items.remove(before);
+    void add(MemberUpdate update) {
+        Item item = new Item(update, nextSequence++);
+        Item previous = byMember.put(update.name(), item);
+        if (previous != null) {
+            items.remove(previous);
         }
         items.add(item);
     }
@@ -58,33 +58,33 @@
     /**
      * Takes facts for one datagram.
      *
-     * @param room bytes that they may take
-     * @param times that a fact is told before it is news no more
+     * @param maxBytes bytes that they may take
+     * @param maxSends that a fact is told before it is news no more
      */
-    List<Fact> take(int room, int times) {
+    List<MemberUpdate> take(int maxBytes, int maxSends) {
         List<Item> taken = new ArrayList<>();
-        int left = room;
+        int remainingBytes = maxBytes;
         int misses = 0;
         for (Item item : items) {
-            int size = Codec.size(item.fact);
-            if (size <= left) {
-                left -= size;
+            int size = Codec.size(item.update);
+            if (size <= remainingBytes) {
+                remainingBytes -= size;
                 taken.add(item);
-            } else if (++misses == MOST_MISSES) {
+            } else if (++misses == MAX_MISSES) {
                 break;
             }
         }
-        List<Fact> facts = new ArrayList<>(taken.size());
+        List<MemberUpdate> updates = new ArrayList<>(taken.size());
         for (Item item : taken) {
             items.remove(item);
-            item.told++;
-            if (item.told < times) {
+            item.sendCount++;
+            if (item.sendCount < maxSends) {
                 items.add(item);
             } else {
-                byMember.remove(item.fact.name());
+                byMember.remove(item.update.name());
             }
-            facts.add(item.fact);
+            updates.add(item.update);
         }
-        return facts;
+        return updates;
     }
 }
--- a/src/main/java/passhatch/fleet/Incarnation.java
+++ b/src/main/java/passhatch/fleet/Incarnation.java
@@ -6,14 +6,15 @@
  * Tells a member's statements about itself apart by age: the greater one is newer.
  *
  * @param epoch grows with each start of the process and is on disk before it is used; 0 or more
- * @param life drawn at random at each start, so that two processes of one name and epoch differ
+ * @param runId drawn at random at each start, so that two processes of one name and epoch differ
  * @param refutation grows each time that the process denies what is said of it; 0 or more
  */
-public record Incarnation(long epoch, int life, int refutation) implements Comparable<Incarnation> {
+public record Incarnation(long epoch, int runId, int refutation)
+        implements Comparable<Incarnation> {
 
     private static final Comparator<Incarnation> ORDER =
             Comparator.comparingLong(Incarnation::epoch)
-                    .thenComparing(Incarnation::life, Integer::compareUnsigned)
+                    .thenComparing(Incarnation::runId, Integer::compareUnsigned)
                     .thenComparingInt(Incarnation::refutation);
 
     @Override
@@ -22,12 +23,12 @@
     }
 
     /** Whether both are of the same run of one process. */
-    boolean sameLife(Incarnation other) {
-        return epoch == other.epoch && life == other.life;
+    boolean sameRun(Incarnation other) {
+        return epoch == other.epoch && runId == other.runId;
     }
 
     @Override
     public String toString() {
-        return epoch + "." + Integer.toHexString(life) + "." + refutation;
+        return epoch + "." + Integer.toHexString(runId) + "." + refutation;
     }
 }
--- a/src/main/java/passhatch/fleet/LocalHealth.java
+++ b/src/main/java/passhatch/fleet/LocalHealth.java
@@ -7,7 +7,7 @@
  */
 final class LocalHealth {
 
-    private static final int WORST = 8;
+    private static final int MAX_SCORE = 8;
 
     private int score;
 
@@ -17,15 +17,15 @@
     }
 
     /** What waiting times are multiplied by. */
-    int factor() {
+    int timeoutMultiplier() {
         return 1 + score;
     }
 
-    void worse(int by) {
-        score = Math.min(WORST, score + by);
+    void degrade(int by) {
+        score = Math.min(MAX_SCORE, score + by);
     }
 
-    void better() {
+    void recover() {
         score = Math.max(0, score - 1);
     }
 }
--- a/src/main/java/passhatch/fleet/Self.java
+++ b/src/main/java/passhatch/fleet/LocalMember.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /** What this process says of itself. */
-final class Self {
+final class LocalMember {
 
     private final String name;
     private final String version;
     private final String roles;
-    private int number;
+    private int addressIndex;
     private Incarnation incarnation;
     private boolean leaving;
-    private boolean givenWay;
+    private boolean superseded;
 
-    Self(FleetSettings settings, long epoch, int life) {
+    LocalMember(FleetSettings settings, long epoch, int runId) {
         this.name = settings.name();
         this.version = settings.version();
         this.roles = settings.roles();
-        this.number = settings.ownNumber();
-        this.incarnation = new Incarnation(epoch, life, 0);
+        this.addressIndex = settings.ownAddressIndex();
+        this.incarnation = new Incarnation(epoch, runId, 0);
     }
 
     String name() {
@@ -33,8 +33,8 @@
         incarnation = newer;
     }
 
-    void number(int place) {
-        number = place;
+    void addressIndex(int newIndex) {
+        addressIndex = newIndex;
     }
 
     boolean leaving() {
@@ -49,20 +49,20 @@
      * Whether a newer process has this name: then this one takes no part but to hear when that one
      * ends.
      */
-    boolean givenWay() {
-        return givenWay;
+    boolean superseded() {
+        return superseded;
     }
 
-    void givenWay(boolean now) {
-        givenWay = now;
+    void superseded(boolean newValue) {
+        superseded = newValue;
     }
 
-    Fact fact() {
-        return new Fact(
+    MemberUpdate currentUpdate() {
+        return new MemberUpdate(
                 leaving ? Status.LEFT : Status.ALIVE,
                 name,
                 incarnation,
-                number,
+                addressIndex,
                 version,
                 roles,
                 List.of());
--- a/src/main/java/passhatch/fleet/Member.java
+++ b/src/main/java/passhatch/fleet/Member.java
@@ -6,71 +6,71 @@
  */
 final class Member {
 
-    private final Fact fact;
-    private final int hash;
-    private final int address;
+    private final MemberUpdate lastUpdate;
+    private final int nameHash;
+    private final int addressIndex;
     private final long sinceUs;
 
-    Member(Fact fact, long sinceUs) {
-        this(fact, Names.hash(fact.name()), -1, sinceUs);
+    Member(MemberUpdate lastUpdate, long sinceUs) {
+        this(lastUpdate, Names.hash(lastUpdate.name()), -1, sinceUs);
     }
 
-    private Member(Fact fact, int hash, int address, long sinceUs) {
-        this.fact = fact;
-        this.hash = hash;
-        this.address = address;
+    private Member(MemberUpdate lastUpdate, int nameHash, int addressIndex, long sinceUs) {
+        this.lastUpdate = lastUpdate;
+        this.nameHash = nameHash;
+        this.addressIndex = addressIndex;
         this.sinceUs = sinceUs;
     }
 
     String name() {
-        return fact.name();
+        return lastUpdate.name();
     }
 
     /** {@link Names#hash} of its name. */
-    int hash() {
-        return hash;
+    int nameHash() {
+        return nameHash;
     }
 
     Status status() {
-        return fact.status();
+        return lastUpdate.status();
     }
 
-    Fact fact() {
-        return fact;
+    MemberUpdate lastUpdate() {
+        return lastUpdate;
     }
 
     long sinceUs() {
         return sinceUs;
     }
 
-    int address() {
-        return address;
+    int addressIndex() {
+        return addressIndex;
     }
 
     /** The same member with another statement; the time starts anew where the status differs. */
-    Member withFact(Fact newer, long nowUs) {
-        long since = newer.status() == fact.status() ? sinceUs : nowUs;
-        return new Member(newer, hash, address, since);
+    Member withUpdate(MemberUpdate update, long nowUs) {
+        long since = update.status() == lastUpdate.status() ? sinceUs : nowUs;
+        return new Member(update, nameHash, addressIndex, since);
     }
 
     /** Time in which this process was held up does not count. */
-    Member later(long byUs) {
-        return new Member(fact, hash, address, sinceUs + byUs);
+    Member withSinceDelayed(long byUs) {
+        return new Member(lastUpdate, nameHash, addressIndex, sinceUs + byUs);
     }
 
     /** The same member, found at another address; -1 where none is known. */
-    Member withAddress(int place) {
-        return new Member(fact, hash, place, sinceUs);
+    Member withAddressIndex(int newIndex) {
+        return new Member(lastUpdate, nameHash, newIndex, sinceUs);
     }
 
     MemberInfo info() {
         return new MemberInfo(
-                fact.name(),
-                fact.status(),
-                fact.incarnation(),
-                fact.version(),
-                fact.roles(),
+                lastUpdate.name(),
+                lastUpdate.status(),
+                lastUpdate.incarnation(),
+                lastUpdate.version(),
+                lastUpdate.roles(),
                 sinceUs,
-                address);
+                addressIndex);
     }
 }
--- a/src/main/java/passhatch/fleet/MemberInfo.java
+++ b/src/main/java/passhatch/fleet/MemberInfo.java
@@ -4,8 +4,8 @@
  * A member as this process sees it.
  *
  * @param sinceUs when its status became this; {@link Membership#ageUs} says how long ago that is
- * @param address place in the list of addresses from which it was last heard, or where it is looked
- *     for; -1 where none is known
+ * @param addressIndex place in the list of addresses from which it was last heard, or where it is
+ *     looked for; -1 where none is known
  */
 public record MemberInfo(
         String name,
@@ -14,4 +14,4 @@
         String version,
         String roles,
         long sinceUs,
-        int address) {}
+        int addressIndex) {}
--- /dev/null
+++ b/src/main/java/passhatch/fleet/MemberStates.java
@@ -0,0 +1,304 @@
+package passhatch.fleet;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import java.util.stream.IntStream;
+
+/**
+ * Which statement about a member holds: the newer one, by {@link MemberUpdate#overrides}; what is
+ * said of this process itself is refuted. Owns the view and the times after which suspects have
+ * failed (SWIM with Lifeguard's suspicion: the more have found it silent independently, the shorter
+ * it may stay silent).
+ */
+final class MemberStates {
+
+    /** The shortest suspicion: so many periods times the logarithm of the fleet's size. */
+    private static final double MIN_SUSPICION_PERIODS = 2;
+
+    /** The longest one, beside the shortest. */
+    private static final double MAX_TO_MIN_SUSPICION_RATIO = 6;
+
+    /** Accusers after the first, with whom it is shortest. */
+    private static final int MAX_CONFIRMATIONS = MemberUpdate.MAX_REPORTERS - 1;
+
+    /** As if as many as count had accused. */
+    private static final List<Integer> ALL_REPORTERS =
+            IntStream.range(0, MemberUpdate.MAX_REPORTERS).boxed().toList();
+
+    /**
+     * Suspects are looked at so often, as a share of a period: their times change with all that is
+     * heard.
+     */
+    private static final double EXPIRY_CHECK_INTERVAL_PERIODS = 0.2;
+
+    /** Two processes that claim one name are told of so often at most. */
+    private static final long CONFLICT_WARNING_INTERVAL_US = 10_000_000;
+
+    private final LocalMember self;
+    private final View view;
+    private final Outbox outbox;
+    private final LocalHealth health;
+    private final FleetActions actions;
+    private final Consumer<Member> suspicionListener;
+    private final long periodUs;
+    private long lastExpiryCheckUs;
+    private long lastConflictWarningUs = Long.MIN_VALUE / 2;
+
+    /** {@code rumour} hears of a member that others have found silent. */
+    MemberStates(
+            FleetSettings settings,
+            LocalMember self,
+            View view,
+            Outbox outbox,
+            LocalHealth health,
+            FleetActions actions,
+            Consumer<Member> suspicionListener) {
+        this.self = self;
+        this.view = view;
+        this.outbox = outbox;
+        this.health = health;
+        this.actions = actions;
+        this.suspicionListener = suspicionListener;
+        this.periodUs = settings.probePeriodUs();
+    }
+
+    /** Believes a statement, or not. */
+    void apply(long nowUs, MemberUpdate update) {
+        boolean aboutSelf = update.name().equals(self.name());
+        if (aboutSelf && !self.superseded()) {
+            applyToSelf(nowUs, update);
+            return;
+        }
+        Member member = view.get(update.name());
+        if (member == null) {
+            applyToUnknown(nowUs, update);
+            return;
+        }
+        MemberUpdate known = member.lastUpdate();
+        if (update.overrides(known)) {
+            // That others took it for failed is hearsay where it was heard of as alive: it may have
+            // missed
+            // the accusation, as across a partition that has healed, so it gets the time to refute.
+            boolean unconfirmed =
+                    update.status() == Status.FAILED
+                            && known.status() == Status.ALIVE
+                            && !aboutSelf;
+            member =
+                    changeMember(
+                            nowUs,
+                            member,
+                            unconfirmed ? suspectUpdate(update, ALL_REPORTERS) : update);
+            if (member.status() == Status.SUSPECT) {
+                suspicionListener.accept(member);
+            }
+        } else if (update.incarnation().equals(known.incarnation())) {
+            if (update.status() == Status.SUSPECT && known.status() == Status.SUSPECT) {
+                confirm(nowUs, member, update.reporters());
+            } else if (update.status() == Status.ALIVE
+                    && known.status() == Status.ALIVE
+                    && known.version().isEmpty()
+                    && !update.version().isEmpty()) {
+                member = view.change(member, update, nowUs);
+            }
+        }
+        if (aboutSelf) {
+            supersedeIfAbsent(nowUs, member);
+        }
+    }
+
+    private void applyToUnknown(long nowUs, MemberUpdate update) {
+        MemberUpdate removed = view.lastUpdateOfRemoved(update.name());
+        if (removed != null && !update.overrides(removed)) {
+            if (update.status().present()) {
+                outbox.gossipQueue().add(removed);
+            }
+            return;
+        }
+        Member member = view.add(update, nowUs);
+        if (member != null) {
+            outbox.gossipQueue().add(update);
+            actions.memberChanged(null, member.info());
+        }
+    }
+
+    private void applyToSelf(long nowUs, MemberUpdate update) {
+        Incarnation ownIncarnation = self.incarnation();
+        int order = update.incarnation().compareTo(ownIncarnation);
+        if (update.incarnation().sameRun(ownIncarnation)) {
+            boolean wrong = update.status() != (self.leaving() ? Status.LEFT : Status.ALIVE);
+            if (!self.leaving() && order >= 0 && (wrong || order > 0)) {
+                if (update.status() == Status.SUSPECT || update.status() == Status.FAILED) {
+                    health.degrade(1);
+                }
+                adoptIncarnation(
+                        nowUs,
+                        new Incarnation(
+                                ownIncarnation.epoch(),
+                                ownIncarnation.runId(),
+                                update.incarnation().refutation() + 1));
+            }
+        } else if (order > 0 && !self.leaving()) {
+            if (update.status().present()) {
+                self.superseded(true);
+                actions.warn(
+                        "another process is "
+                                + self.name()
+                                + " with the newer incarnation "
+                                + update.incarnation()
+                                + ", so this one ("
+                                + ownIncarnation
+                                + ") gives way");
+                changeMember(nowUs, view.get(self.name()), update);
+            } else {
+                // An earlier run of this process whose epoch was lost, as on a machine set back to
+                // a
+                // snapshot.
+                supersede(nowUs, update);
+            }
+        } else if (update.status() == Status.ALIVE) {
+            // An earlier run, or another process that is told in this way to give way.
+            outbox.gossipQueue().add(self.currentUpdate());
+        }
+    }
+
+    /** Another process says that it has this one's name, with an older incarnation. */
+    void onNameConflict(long nowUs, MemberUpdate sender, int addressIndex) {
+        if (nowUs - lastConflictWarningUs >= CONFLICT_WARNING_INTERVAL_US) {
+            lastConflictWarningUs = nowUs;
+            actions.warn(
+                    "another process, at address "
+                            + addressIndex
+                            + " of the list, is "
+                            + sender.name()
+                            + " with the older incarnation "
+                            + sender.incarnation()
+                            + ", and has to give way");
+        }
+    }
+
+    private void supersedeIfAbsent(long nowUs, Member own) {
+        if (!own.status().present()) {
+            supersede(nowUs, own.lastUpdate());
+        }
+    }
+
+    /** Becomes newer than the run that has ended. */
+    private void supersede(long nowUs, MemberUpdate endedRun) {
+        long epoch = endedRun.incarnation().epoch() + 1;
+        if (actions.persistEpoch(epoch)) {
+            self.superseded(false);
+            adoptIncarnation(nowUs, new Incarnation(epoch, self.incarnation().runId(), 0));
+            actions.warn(
+                    "an earlier run of "
+                            + self.name()
+                            + " ("
+                            + endedRun.incarnation()
+                            + ") was still known, so this one goes on as "
+                            + self.incarnation());
+        }
+    }
+
+    private void adoptIncarnation(long nowUs, Incarnation incarnation) {
+        self.incarnation(incarnation);
+        changeMember(nowUs, view.get(self.name()), self.currentUpdate());
+    }
+
+    /** A member did not answer this process. */
+    void suspect(long nowUs, Member member) {
+        List<Integer> ownReport = List.of(shortHash(self.name()));
+        if (member.status() == Status.ALIVE) {
+            changeMember(nowUs, member, suspectUpdate(member.lastUpdate(), ownReport));
+        } else if (member.status() == Status.SUSPECT) {
+            confirm(nowUs, member, ownReport);
+        }
+    }
+
+    private void confirm(long nowUs, Member member, List<Integer> reporters) {
+        List<Integer> all = new ArrayList<>(member.lastUpdate().reporters());
+        for (Integer reporter : reporters) {
+            if (!all.contains(reporter) && all.size() < MemberUpdate.MAX_REPORTERS) {
+                all.add(reporter);
+            }
+        }
+        if (all.size() > member.lastUpdate().reporters().size()) {
+            MemberUpdate update = suspectUpdate(member.lastUpdate(), all);
+            view.change(member, update, nowUs);
+            outbox.gossipQueue().add(update);
+        }
+    }
+
+    private static MemberUpdate suspectUpdate(MemberUpdate update, List<Integer> reporters) {
+        return new MemberUpdate(
+                Status.SUSPECT,
+                update.name(),
+                update.incarnation(),
+                update.addressIndex(),
+                "",
+                "",
+                reporters);
+    }
+
+    private static int shortHash(String name) {
+        return (short) Names.hash(name);
+    }
+
+    private Member changeMember(long nowUs, Member member, MemberUpdate update) {
+        Member changed = view.change(member, update, nowUs);
+        outbox.gossipQueue().add(update);
+        actions.memberChanged(member.status(), changed.info());
+        return changed;
+    }
+
+    /** Those whose time to refute is over have failed. */
+    void expire(long nowUs) {
+        if (nowUs < nextExpiryCheckUs()) {
+            return;
+        }
+        lastExpiryCheckUs = nowUs;
+        for (Member member : view.suspects()) {
+            if (nowUs >= suspicionDeadlineUs(member)) {
+                Member failed = changeMember(nowUs, member, failedUpdate(member.lastUpdate()));
+                if (member.name().equals(self.name())) {
+                    supersedeIfAbsent(nowUs, failed);
+                }
+            }
+        }
+    }
+
+    private static MemberUpdate failedUpdate(MemberUpdate update) {
+        return MemberUpdate.of(
+                Status.FAILED, update.name(), update.incarnation(), update.addressIndex());
+    }
+
+    /** When suspects are looked at next; {@link Long#MAX_VALUE} where there are none. */
+    long nextExpiryCheckUs() {
+        return view.hasSuspects()
+                ? lastExpiryCheckUs + (long) (EXPIRY_CHECK_INTERVAL_PERIODS * periodUs)
+                : Long.MAX_VALUE;
+    }
+
+    private long suspicionDeadlineUs(Member suspect) {
+        int presentCount = Math.max(2, view.presentCount());
+        double minUs = MIN_SUSPICION_PERIODS * periodUs * Math.max(1, Math.log10(presentCount));
+        double maxUs = MAX_TO_MIN_SUSPICION_RATIO * minUs;
+        int maxConfirmations = Math.min(MAX_CONFIRMATIONS, presentCount - 2);
+        int confirmations = Math.min(maxConfirmations, suspect.lastUpdate().reporters().size() - 1);
+        double fraction =
+                maxConfirmations <= 0
+                        ? 1
+                        : Math.log(confirmations + 1) / Math.log(maxConfirmations + 1);
+        double timeoutUs = maxUs - (maxUs - minUs) * fraction;
+        return suspect.sinceUs() + (long) (timeoutUs * health.timeoutMultiplier());
+    }
+
+    /** Time in which this process was held up is no time in which others had a chance. */
+    void onStall(long byUs) {
+        view.delaySuspects(byUs);
+    }
+
+    /** Drops those from sight that failed or left long ago. */
+    void removeAbsent(long nowUs, long afterUs) {
+        view.removeAbsentBefore(nowUs - afterUs);
+    }
+}
--- a/src/main/java/passhatch/fleet/MemberTable.java
+++ b/src/main/java/passhatch/fleet/MemberTable.java
@@ -34,43 +34,44 @@
     /** The member of this name, or null. */
     Member get(String name) {
         int hash = Names.hash(name);
-        Member[] leaf = leaves[Digests.leaf(hash)];
-        int place = find(leaf, hash, name);
-        return place < 0 ? null : leaf[place];
+        Member[] leaf = leaves[Digests.leafIndex(hash)];
+        int index = find(leaf, hash, name);
+        return index < 0 ? null : leaf[index];
     }
 
     /** Adds a member, or takes it in place of the one of this name. */
     void put(Member member) {
-        int number = Digests.leaf(member.hash());
-        Member[] leaf = leaves[number];
-        int place = find(leaf, member.hash(), member.name());
-        if (place >= 0) {
+        int leafIndex = Digests.leafIndex(member.nameHash());
+        Member[] leaf = leaves[leafIndex];
+        int index = find(leaf, member.nameHash(), member.name());
+        if (index >= 0) {
             Member[] changed = leaf.clone();
-            changed[place] = member;
-            leaves[number] = changed;
+            changed[index] = member;
+            leaves[leafIndex] = changed;
             return;
         }
-        int insertion = -place - 1;
+        int insertionIndex = -index - 1;
         Member[] longer = Arrays.copyOf(leaf, leaf.length + 1);
-        System.arraycopy(leaf, insertion, longer, insertion + 1, leaf.length - insertion);
-        longer[insertion] = member;
-        leaves[number] = longer;
+        System.arraycopy(
+                leaf, insertionIndex, longer, insertionIndex + 1, leaf.length - insertionIndex);
+        longer[insertionIndex] = member;
+        leaves[leafIndex] = longer;
         size++;
     }
 
     /** Removes a member that is there. */
     void remove(Member member) {
-        int number = Digests.leaf(member.hash());
-        Member[] leaf = leaves[number];
-        int place = find(leaf, member.hash(), member.name());
+        int leafIndex = Digests.leafIndex(member.nameHash());
+        Member[] leaf = leaves[leafIndex];
+        int index = find(leaf, member.nameHash(), member.name());
         Member[] shorter = Arrays.copyOf(leaf, leaf.length - 1);
-        System.arraycopy(leaf, place + 1, shorter, place, shorter.length - place);
-        leaves[number] = shorter;
+        System.arraycopy(leaf, index + 1, shorter, index, shorter.length - index);
+        leaves[leafIndex] = shorter;
         size--;
     }
 
-    List<Member> leaf(int number) {
-        return Arrays.asList(leaves[number]);
+    List<Member> leaf(int leafIndex) {
+        return Arrays.asList(leaves[leafIndex]);
     }
 
     /** All members; the table may change while they are gone through. */
@@ -84,7 +85,7 @@
         int high = leaf.length - 1;
         while (low <= high) {
             int middle = (low + high) >>> 1;
-            int order = Integer.compare(leaf[middle].hash(), hash);
+            int order = Integer.compare(leaf[middle].nameHash(), hash);
             if (order == 0) {
                 order = leaf[middle].name().compareTo(name);
             }
--- a/src/main/java/passhatch/fleet/Membership.java
+++ b/src/main/java/passhatch/fleet/Membership.java
@@ -20,7 +20,7 @@
 public final class Membership {
 
     /** Bytes of the heap that a proxy's membership may hold: a quarter of what control has. */
-    private static final int MOST_HEAP_BYTES = 32 << 20;
+    private static final int MAX_HEAP_BYTES = 32 << 20;
 
     /**
      * Bytes that one member takes at most, as {@code scale membership} measured it: with the news
@@ -29,54 +29,54 @@
     private static final int BYTES_PER_MEMBER = 512;
 
     /** Members that one process knows at most; what is told of further ones is not taken. */
-    public static final int MOST_MEMBERS = MOST_HEAP_BYTES / (2 * BYTES_PER_MEMBER);
+    public static final int MAX_MEMBERS = MAX_HEAP_BYTES / (2 * BYTES_PER_MEMBER);
 
     /** Times as shares of a period. */
-    private static final double GOSSIP_EVERY = 0.4;
+    private static final double GOSSIP_INTERVAL_PERIODS = 0.4;
 
-    private static final double SYNC_EVERY = 4;
-    private static final double FIRST_PROBES_EVERY = 0.2;
-    private static final double LATE = 0.5;
+    private static final double SYNC_INTERVAL_PERIODS = 4;
+    private static final double SMALL_FLEET_PROBE_INTERVAL_PERIODS = 0.2;
+    private static final double LATE_TIMER_PERIODS = 0.5;
 
     /**
      * Members that news goes to at a time; to more where there is more than fits, within the
      * budget.
      */
-    private static final int GOSSIP_TO = 3;
+    private static final int GOSSIP_FANOUT = 3;
 
-    private static final int MOST_GOSSIP_TO = 6;
-    private static final int NEWS_A_DATAGRAM = 8;
+    private static final int MAX_GOSSIP_FANOUT = 6;
+    private static final int UPDATES_PER_DATAGRAM = 8;
 
     /** Members that hear at once that this one goes. */
-    private static final int FAREWELLS = 8;
+    private static final int LEAVE_FANOUT = 8;
 
     /** While it knows fewer others it looks for them more often. */
-    private static final int FEW = 4;
+    private static final int SMALL_FLEET_SIZE = 4;
 
-    private static final long FORGET_EVERY_US = 10_000_000;
+    private static final long REMOVAL_INTERVAL_US = 10_000_000;
 
     private final FleetActions actions;
     private final RandomGenerator random;
-    private final Self self;
+    private final LocalMember self;
     private final View view;
     private final LocalHealth health = new LocalHealth();
     private final Outbox outbox;
-    private final Beliefs beliefs;
+    private final MemberStates memberStates;
     private final Probes probes;
     private final AntiEntropy antiEntropy;
     private FleetSettings settings;
     private long nowUs;
 
     /** What the caller's clock has gone back by, in all. */
-    private long skewUs;
+    private long clockSetbackUs;
 
     private long wakeAtUs;
     private long probeAtUs;
     private long gossipAtUs;
     private long syncAtUs;
-    private long forgetAtUs;
+    private long removeAtUs;
     private long received;
-    private long heldUps;
+    private long stalls;
 
     /**
      * Takes part from now on.
@@ -94,39 +94,39 @@
         this.actions = actions;
         this.random = random;
         this.nowUs = nowUs;
-        this.self = new Self(settings, epoch, random.nextInt());
-        this.view = new View(settings.addresses());
-        this.outbox = new Outbox(settings, self::fact, view, actions);
-        outbox.now(nowUs);
-        this.beliefs =
-                new Beliefs(
+        this.self = new LocalMember(settings, epoch, random.nextInt());
+        this.view = new View(settings.addressCount());
+        this.outbox = new Outbox(settings, self::currentUpdate, view, actions);
+        outbox.setTime(nowUs);
+        this.memberStates =
+                new MemberStates(
                         settings,
                         self,
                         view,
                         outbox,
                         health,
                         actions,
-                        suspect -> probes().rumour(this.nowUs, suspect));
-        this.probes = new Probes(settings, self, view, outbox, beliefs, health, random);
+                        suspect -> probes().onSuspicion(this.nowUs, suspect));
+        this.probes = new Probes(settings, self, view, outbox, memberStates, health, random);
         this.antiEntropy = new AntiEntropy(view, outbox, random);
-        Member own = view.add(self.fact(), nowUs);
-        outbox.news().add(own.fact());
-        actions.changed(null, own.info());
+        Member own = view.add(self.currentUpdate(), nowUs);
+        outbox.gossipQueue().add(own.lastUpdate());
+        actions.memberChanged(null, own.info());
         // Not all at the same moment, where all start at the same moment.
-        probeAtUs = nowUs + random.nextLong(periods(1));
+        probeAtUs = nowUs + random.nextLong(periodsUs(1));
         gossipAtUs = probeAtUs;
-        syncAtUs = nowUs + random.nextLong(periods(SYNC_EVERY));
-        forgetAtUs = nowUs + FORGET_EVERY_US;
-        wakeAtUs = next();
+        syncAtUs = nowUs + random.nextLong(periodsUs(SYNC_INTERVAL_PERIODS));
+        removeAtUs = nowUs + REMOVAL_INTERVAL_US;
+        wakeAtUs = nextWakeUs();
     }
 
     /**
      * What a process knows that knows just these, each as it speaks of itself: a start for views
      * that agree from the beginning, which then share their state until they change.
      */
-    public static Snapshot snapshot(Collection<Membership> members, int addresses) {
-        View view = new View(addresses);
-        members.forEach(m -> view.add(m.self.fact(), m.nowUs));
+    public static Snapshot snapshot(Collection<Membership> members, int addressCount) {
+        View view = new View(addressCount);
+        members.forEach(m -> view.add(m.self.currentUpdate(), m.nowUs));
         return new Snapshot(view);
     }
 
@@ -142,8 +142,8 @@
     /** Takes what is known from a snapshot that has this process; nothing of it is news. */
     public void adopt(Snapshot snapshot) {
         view.adopt(snapshot.view);
-        outbox.news().clear();
-        wakeAtUs = next();
+        outbox.gossipQueue().clear();
+        wakeAtUs = nextWakeUs();
     }
 
     /** For the rumours, which come only once all is put together. */
@@ -151,58 +151,65 @@
         return probes;
     }
 
-    private long periods(double count) {
-        return (long) (count * settings.periodUs());
+    private long periodsUs(double count) {
+        return (long) (count * settings.probePeriodUs());
     }
 
     /** When {@link #timer} has to be called next, on the clock whose times are passed in. */
     public long wakeAtUs() {
-        return wakeAtUs - skewUs;
+        return wakeAtUs - clockSetbackUs;
     }
 
     /** A datagram has arrived from the address at this place of the list. */
-    public void datagram(long us, int address, byte[] bytes) {
-        enter(us);
+    public void receive(long callerNowUs, int addressIndex, byte[] bytes) {
+        advanceTime(callerNowUs);
         try {
-            take(address, outbox.codec().decode(bytes));
-        } catch (Codec.Rejected bad) {
-            outbox.dropped(bad.why());
+            handle(addressIndex, outbox.codec().decode(bytes));
+        } catch (Codec.RejectedException rejected) {
+            outbox.countDropped(rejected.reason());
         }
-        wakeAtUs = next();
+        wakeAtUs = nextWakeUs();
     }
 
     /** A datagram was not handed in, for this reason. */
-    public void dropped(Drop why) {
-        outbox.dropped(why);
+    public void countDropped(DropReason reason) {
+        outbox.countDropped(reason);
     }
 
-    private void take(int address, Message message) {
-        Fact sender = message.sender();
-        boolean own = sender.name().equals(self.name());
-        if (own && sender.incarnation().sameLife(self.incarnation())) {
-            outbox.dropped(Drop.ECHO);
+    private void handle(int addressIndex, Message message) {
+        MemberUpdate sender = message.sender();
+        boolean sameName = sender.name().equals(self.name());
+        if (sameName && sender.incarnation().sameRun(self.incarnation())) {
+            outbox.countDropped(DropReason.ECHO);
             return;
         }
         received++;
-        beliefs.hear(nowUs, sender);
-        if (own && !self.givenWay()) {
-            beliefs.rival(nowUs, sender, address);
+        memberStates.apply(nowUs, sender);
+        if (sameName && !self.superseded()) {
+            memberStates.onNameConflict(nowUs, sender, addressIndex);
         }
         Member member = view.get(sender.name());
         boolean current =
-                !own && member != null && member.fact().incarnation().equals(sender.incarnation());
+                !sameName
+                        && member != null
+                        && member.lastUpdate().incarnation().equals(sender.incarnation());
         if (current) {
-            view.heard(member, address);
+            view.confirmAddress(member, addressIndex);
         }
-        message.facts().forEach(f -> beliefs.hear(nowUs, f));
-        switch (message.kind()) {
+        message.updates().forEach(update -> memberStates.apply(nowUs, update));
+        switch (message.type()) {
             case PING ->
-                    outbox.needed(address, Message.Kind.ACK, message.number(), "", opinion(sender));
-            case ACK -> probes.answered(address, message, current);
-            case NACK -> probes.refused(message);
-            case PING_REQUEST -> probes.help(nowUs, address, message);
-            case SYNC -> antiEntropy.compare(address, message.node(), message.digests());
-            case LEAF -> antiEntropy.answer(address, message.node(), message.facts());
+                    outbox.sendEssential(
+                            addressIndex,
+                            Message.Type.ACK,
+                            message.sequenceNumber(),
+                            "",
+                            correctionFor(sender));
+            case ACK -> probes.onAck(addressIndex, message, current);
+            case NACK -> probes.onNack(message);
+            case PING_REQUEST -> probes.onPingRequest(nowUs, addressIndex, message);
+            case SYNC -> antiEntropy.onDigests(addressIndex, message.node(), message.digests());
+            case LEAF -> antiEntropy.onLeaf(addressIndex, message.node(), message.updates());
             case GOSSIP, LEAF_ANSWER -> {}
         }
     }
@@ -211,9 +218,10 @@
      * What a sender has to hear: that it is thought to be gone, or that a newer process has its
      * name.
      */
-    private List<Fact> opinion(Fact sender) {
+    private List<MemberUpdate> correctionFor(MemberUpdate sender) {
         Member member = view.get(sender.name());
-        Fact known = member == null ? view.lastWord(sender.name()) : member.fact();
+        MemberUpdate known =
+                member == null ? view.lastUpdateOfRemoved(sender.name()) : member.lastUpdate();
         return known == null
                         || known.status() == sender.status()
                                 && known.incarnation().equals(sender.incarnation())
@@ -222,95 +230,103 @@
     }
 
     /** The time of {@link #wakeAtUs} has come. */
-    public void timer(long us) {
-        enter(us);
-        beliefs.expire(nowUs);
-        probes.run(nowUs);
+    public void timer(long callerNowUs) {
+        advanceTime(callerNowUs);
+        memberStates.expire(nowUs);
+        probes.runDue(nowUs);
         if (nowUs >= probeAtUs && !self.leaving()) {
-            probes.tick(nowUs);
-            boolean few = view.present() <= Math.min(FEW, settings.addresses() - 1);
-            probeAtUs = nowUs + periods(few ? FIRST_PROBES_EVERY : health.factor());
+            probes.startNext(nowUs);
+            boolean smallFleet =
+                    view.presentCount() <= Math.min(SMALL_FLEET_SIZE, settings.addressCount() - 1);
+            probeAtUs =
+                    nowUs
+                            + periodsUs(
+                                    smallFleet
+                                            ? SMALL_FLEET_PROBE_INTERVAL_PERIODS
+                                            : health.timeoutMultiplier());
         }
         if (nowUs >= gossipAtUs) {
-            int news = outbox.news().size();
-            if (news > 0) {
-                int to = Math.min(MOST_GOSSIP_TO, GOSSIP_TO + news / NEWS_A_DATAGRAM);
-                probes.pick(to, "").forEach(m -> outbox.gossip(m.address()));
+            int queued = outbox.gossipQueue().size();
+            if (queued > 0) {
+                int fanout =
+                        Math.min(MAX_GOSSIP_FANOUT, GOSSIP_FANOUT + queued / UPDATES_PER_DATAGRAM);
+                probes.pickRandom(fanout, "").forEach(m -> outbox.sendGossip(m.addressIndex()));
             }
-            gossipAtUs = nowUs + periods(GOSSIP_EVERY);
+            gossipAtUs = nowUs + periodsUs(GOSSIP_INTERVAL_PERIODS);
         }
         if (nowUs >= syncAtUs && !self.leaving()) {
-            List<Member> with = probes.pick(1, "");
-            boolean soon = with.isEmpty() || antiEntropy.begin(with.get(0));
-            syncAtUs = nowUs + periods(soon ? GOSSIP_EVERY : SYNC_EVERY);
+            List<Member> peers = probes.pickRandom(1, "");
+            boolean again = peers.isEmpty() || antiEntropy.start(peers.get(0));
+            syncAtUs = nowUs + periodsUs(again ? GOSSIP_INTERVAL_PERIODS : SYNC_INTERVAL_PERIODS);
         }
-        if (nowUs >= forgetAtUs) {
-            beliefs.forget(nowUs, settings.forgetAfterUs());
-            forgetAtUs = nowUs + FORGET_EVERY_US;
+        if (nowUs >= removeAtUs) {
+            memberStates.removeAbsent(nowUs, settings.forgetAfterUs());
+            removeAtUs = nowUs + REMOVAL_INTERVAL_US;
         }
-        wakeAtUs = next();
+        wakeAtUs = nextWakeUs();
     }
 
     /**
      * Takes the time. Where the caller's clock went back, time goes on from where it was; where
      * this process was held up, what it waited for had no chance to come.
      */
-    private void enter(long us) {
-        skewUs = Math.max(skewUs, nowUs - us);
-        nowUs = us + skewUs;
-        outbox.now(nowUs);
-        long late = nowUs - wakeAtUs;
-        if (late > periods(LATE)) {
-            heldUps++;
-            health.worse(1);
-            probes.heldUp();
-            beliefs.heldUp(late);
+    private void advanceTime(long callerNowUs) {
+        clockSetbackUs = Math.max(clockSetbackUs, nowUs - callerNowUs);
+        nowUs = callerNowUs + clockSetbackUs;
+        outbox.setTime(nowUs);
+        long lateUs = nowUs - wakeAtUs;
+        if (lateUs > periodsUs(LATE_TIMER_PERIODS)) {
+            stalls++;
+            health.degrade(1);
+            probes.onStall();
+            memberStates.onStall(lateUs);
             wakeAtUs = nowUs;
         }
     }
 
-    private long next() {
-        long at = Math.min(beliefs.nextUs(), probes.nextUs());
+    private long nextWakeUs() {
+        long wakeUs = Math.min(memberStates.nextExpiryCheckUs(), probes.nextActionUs());
         if (!self.leaving()) {
-            at = Math.min(at, Math.min(probeAtUs, syncAtUs));
+            wakeUs = Math.min(wakeUs, Math.min(probeAtUs, syncAtUs));
         }
-        if (outbox.news().size() > 0) {
-            at = Math.min(at, gossipAtUs);
+        if (outbox.gossipQueue().size() > 0) {
+            wakeUs = Math.min(wakeUs, gossipAtUs);
         }
-        return Math.max(nowUs, Math.min(at, forgetAtUs));
+        return Math.max(nowUs, Math.min(wakeUs, removeAtUs));
     }
 
     /**
      * Says that it goes. Whoever drives it goes on for a second or so, so that the others hear of
      * it.
      */
-    public void leave(long us) {
-        enter(us);
+    public void leave(long callerNowUs) {
+        advanceTime(callerNowUs);
         self.leave();
-        if (!self.givenWay()) {
-            view.change(view.get(self.name()), self.fact(), nowUs);
-            outbox.news().add(self.fact());
-            probes.pick(FAREWELLS, "").forEach(m -> outbox.gossip(m.address()));
+        if (!self.superseded()) {
+            view.change(view.get(self.name()), self.currentUpdate(), nowUs);
+            outbox.gossipQueue().add(self.currentUpdate());
+            probes.pickRandom(LEAVE_FANOUT, "").forEach(m -> outbox.sendGossip(m.addressIndex()));
         }
-        wakeAtUs = next();
+        wakeAtUs = nextWakeUs();
     }
 
     /**
      * The list of addresses is another one now.
      *
-     * @param newPlaces for each place of the old list the one in the new list, or -1 where it is
+     * @param newIndexes for each place of the old list the one in the new list, or -1 where it is
      *     gone
-     * @param ownNumber place of this process's own in the new list, or -1
-     * @param addresses length of the new list
+     * @param ownAddressIndex place of this process's own in the new list, or -1
+     * @param addressCount length of the new list
      */
-    public void readdress(long us, int[] newPlaces, int ownNumber, int addresses) {
-        enter(us);
-        settings = settings.withAddresses(ownNumber, addresses);
-        self.number(ownNumber);
-        view.move(newPlaces, addresses);
-        probes.moved(ownNumber);
+    public void updateAddresses(
+            long callerNowUs, int[] newIndexes, int ownAddressIndex, int addressCount) {
+        advanceTime(callerNowUs);
+        settings = settings.withAddresses(ownAddressIndex, addressCount);
+        self.addressIndex(ownAddressIndex);
+        view.remap(newIndexes, addressCount);
+        probes.addressesChanged(ownAddressIndex);
         probeAtUs = nowUs;
-        wakeAtUs = next();
+        wakeAtUs = nextWakeUs();
     }
 
     /** This process's own name. */
@@ -324,14 +340,14 @@
     }
 
     /** Whether another, newer process has this one's name: then this one takes no part. */
-    public boolean givenWay() {
-        return self.givenWay();
+    public boolean superseded() {
+        return self.superseded();
     }
 
     /** At which place of the list a member is found; -1 where that is not known. */
-    public int address(String member) {
+    public int addressIndex(String member) {
         Member known = view.get(member);
-        return known == null ? -1 : known.address();
+        return known == null ? -1 : known.addressIndex();
     }
 
     /** How long a member has had its status, in microseconds up to now. */
@@ -345,13 +361,13 @@
     }
 
     /** Members that are present in the view, this one and suspects among them. */
-    public int present() {
-        return view.present();
+    public int presentCount() {
+        return view.presentCount();
     }
 
     /** Whether just these are present in the view, suspects among them. */
-    public boolean sees(Set<String> names) {
-        return view.present() == names.size()
+    public boolean hasExactlyPresent(Set<String> names) {
+        return view.presentCount() == names.size()
                 && names.stream().map(view::get).allMatch(m -> m != null && m.status().present());
     }
 
@@ -364,28 +380,28 @@
      * Counts since the start.
      *
      * @param localHealth from 0, all is well, to 8: how far this process distrusts itself
-     * @param heldUps how often a timer came so late that it voided what was being waited for
+     * @param stalls how often a timer came so late that it voided what was being waited for
      * @param received datagrams that were taken
      * @param sent datagrams
      * @param sentBytes bytes of those
      * @param dropped datagrams that were not taken or not sent, by reason
      */
-    public record Figures(
+    public record Metrics(
             int localHealth,
-            long heldUps,
+            long stalls,
             long received,
             long sent,
             long sentBytes,
-            Map<Drop, Long> dropped) {}
+            Map<DropReason, Long> dropped) {}
 
     /** The figures as they are now. */
-    public Figures figures() {
-        return new Figures(
+    public Metrics metrics() {
+        return new Metrics(
                 health.score(),
-                heldUps,
+                stalls,
                 received,
                 outbox.sent(),
                 outbox.sentBytes(),
-                new TreeMap<>(outbox.drops()));
+                new TreeMap<>(outbox.dropCounts()));
     }
 }
--- a/src/main/java/passhatch/fleet/Message.java
+++ b/src/main/java/passhatch/fleet/Message.java
@@ -5,24 +5,24 @@
 /**
  * What one datagram says.
  *
- * @param number answers repeat that of the question; 0 where there is none
+ * @param sequenceNumber answers repeat that of the question; 0 where there is none
  * @param target name of the member that a question is about, or empty
  * @param node of the tree of digests: {@link Digests#ROOT}, an inner node, or a leaf, by the kind
- * @param digests of the node's children; empty but for {@link Kind#SYNC}
+ * @param digests of the node's children; empty but for {@link Type#SYNC}
  * @param sender what the sender says of itself
- * @param facts what it says of others, the most useful first
+ * @param updates what it says of others, the most useful first
  */
 record Message(
-        Kind kind,
-        int number,
+        Type type,
+        int sequenceNumber,
         String target,
         int node,
         int[] digests,
-        Fact sender,
-        List<Fact> facts) {
+        MemberUpdate sender,
+        List<MemberUpdate> updates) {
 
     /** What a datagram is for; their order is part of the format. */
-    enum Kind {
+    enum Type {
         /** Wants an {@link #ACK}. */
         PING,
         /** The sender, or the member that it was asked about, is there. */
--- a/src/main/java/passhatch/fleet/Names.java
+++ b/src/main/java/passhatch/fleet/Names.java
@@ -11,13 +11,15 @@
 public final class Names {
 
     /** Characters of a member's name, at most. */
-    public static final int MOST_NAME = 48;
+    public static final int MAX_NAME_LENGTH = 48;
 
     /** Characters of a fleet's name, of a version, and of all roles together, at most. */
-    public static final int MOST_LABEL = 16;
+    public static final int MAX_LABEL_LENGTH = 16;
 
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1," + MOST_NAME + "}");
-    private static final Pattern LABEL = Pattern.compile("[A-Za-z0-9._+,-]{0," + MOST_LABEL + "}");
+    private static final Pattern NAME =
+            Pattern.compile("[A-Za-z0-9._-]{1," + MAX_NAME_LENGTH + "}");
+    private static final Pattern LABEL =
+            Pattern.compile("[A-Za-z0-9._+,-]{0," + MAX_LABEL_LENGTH + "}");
 
     private Names() {}
 
