--- a/src/main/java/passhatch/fleet/Outbox.java
+++ b/src/main/java/passhatch/fleet/Outbox.java
@@ -10,42 +10,46 @@
 final class Outbox {
 
     /** How often a fact is told: so many times the decimal logarithm of the fleet's size. */
-    private static final double TIMES = 3;
+    private static final double RETRANSMIT_FACTOR = 3;
 
     private static final int[] NO_DIGESTS = {};
 
     /** Most datagrams for one list of facts; what does not fit comes at another time. */
-    private static final int MOST_PARTS = 3;
+    private static final int MAX_DATAGRAMS_PER_LIST = 3;
 
     private final Codec codec;
-    private final Supplier<Fact> self;
+    private final Supplier<MemberUpdate> ownUpdate;
     private final View view;
     private final FleetActions actions;
-    private final GossipQueue news = new GossipQueue();
-    private final ByteBudget budget;
-    private final Map<Drop, Long> drops = new EnumMap<>(Drop.class);
+    private final GossipQueue gossipQueue = new GossipQueue();
+    private final RateLimiter rateLimiter;
+    private final Map<DropReason, Long> dropCounts = new EnumMap<>(DropReason.class);
     private long nowUs;
     private long sent;
     private long sentBytes;
 
-    Outbox(FleetSettings settings, Supplier<Fact> self, View view, FleetActions actions) {
-        this.codec = new Codec(settings.fleet());
-        this.self = self;
+    Outbox(
+            FleetSettings settings,
+            Supplier<MemberUpdate> ownUpdate,
+            View view,
+            FleetActions actions) {
+        this.codec = new Codec(settings.fleetName());
+        this.ownUpdate = ownUpdate;
         this.view = view;
         this.actions = actions;
-        this.budget = new ByteBudget(settings.bytesPerSecond());
+        this.rateLimiter = new RateLimiter(settings.bytesPerSecond());
     }
 
     Codec codec() {
         return codec;
     }
 
-    GossipQueue news() {
-        return news;
+    GossipQueue gossipQueue() {
+        return gossipQueue;
     }
 
-    void now(long us) {
-        nowUs = us;
+    void setTime(long newUs) {
+        nowUs = newUs;
     }
 
     long sent() {
@@ -56,81 +60,92 @@
         return sentBytes;
     }
 
-    void dropped(Drop why) {
-        drops.merge(why, 1L, Long::sum);
+    void countDropped(DropReason reason) {
+        dropCounts.merge(reason, 1L, Long::sum);
     }
 
-    Map<Drop, Long> drops() {
-        return drops;
+    Map<DropReason, Long> dropCounts() {
+        return dropCounts;
     }
 
     /**
      * A datagram without which a member would be taken for failed; {@code first} stands before the
      * news.
      */
-    void needed(int address, Message.Kind kind, int number, String target, List<Fact> first) {
-        send(address, kind, number, target, 0, NO_DIGESTS, first, true);
+    void sendEssential(
+            int addressIndex,
+            Message.Type type,
+            int sequenceNumber,
+            String target,
+            List<MemberUpdate> first) {
+        send(addressIndex, type, sequenceNumber, target, 0, NO_DIGESTS, first, true);
     }
 
     /** News only. */
-    void gossip(int address) {
-        send(address, Message.Kind.GOSSIP, 0, "", 0, NO_DIGESTS, List.of(), false);
+    void sendGossip(int addressIndex) {
+        send(addressIndex, Message.Type.GOSSIP, 0, "", 0, NO_DIGESTS, List.of(), false);
     }
 
-    void sync(int address, int node, int[] digests) {
-        send(address, Message.Kind.SYNC, 0, "", node, digests, List.of(), false);
+    void sendSync(int addressIndex, int node, int[] digests) {
+        send(addressIndex, Message.Type.SYNC, 0, "", node, digests, List.of(), false);
     }
 
     /** What is at a leaf, in as many datagrams as it takes, within a bound. */
-    void leaf(int address, Message.Kind kind, int node, List<Fact> facts) {
-        int done = 0;
-        for (int i = 0; i < MOST_PARTS && (i == 0 || done < facts.size()); i++) {
-            done +=
+    void sendLeaf(int addressIndex, Message.Type type, int node, List<MemberUpdate> updates) {
+        int sentUpdates = 0;
+        for (int i = 0;
+                i < MAX_DATAGRAMS_PER_LIST && (i == 0 || sentUpdates < updates.size());
+                i++) {
+            sentUpdates +=
                     send(
-                            address,
-                            kind,
+                            addressIndex,
+                            type,
                             0,
                             "",
                             node,
                             NO_DIGESTS,
-                            facts.subList(done, facts.size()),
+                            updates.subList(sentUpdates, updates.size()),
                             false);
         }
     }
 
     /** Returns how many of the first facts went with it. */
     private int send(
-            int address,
-            Message.Kind kind,
-            int number,
+            int addressIndex,
+            Message.Type type,
+            int sequenceNumber,
             String target,
             int node,
             int[] digests,
-            List<Fact> first,
-            boolean needed) {
-        if (!budget.take(nowUs, Frame.MOST_BYTES, needed)) {
-            dropped(Drop.BUDGET);
+            List<MemberUpdate> first,
+            boolean essential) {
+        if (!rateLimiter.tryAcquire(nowUs, Frame.MAX_BYTES, essential)) {
+            countDropped(DropReason.BUDGET);
             return 0;
         }
-        List<Fact> facts = new ArrayList<>();
-        Message message = new Message(kind, number, target, node, digests, self.get(), facts);
-        int room = Frame.MOST_BYTES - codec.sizeWithoutFacts(message);
-        int taken = 0;
-        for (Fact fact : first) {
-            int size = Codec.size(fact);
-            if (size > room) {
+        List<MemberUpdate> updates = new ArrayList<>();
+        Message message =
+                new Message(type, sequenceNumber, target, node, digests, ownUpdate.get(), updates);
+        int remainingBytes = Frame.MAX_BYTES - codec.sizeWithoutUpdates(message);
+        int takenOfFirst = 0;
+        for (MemberUpdate update : first) {
+            int size = Codec.size(update);
+            if (size > remainingBytes) {
                 break;
             }
-            room -= size;
-            facts.add(fact);
-            taken++;
+            remainingBytes -= size;
+            updates.add(update);
+            takenOfFirst++;
         }
-        facts.addAll(news.take(room, (int) Math.ceil(TIMES * Math.log10(view.present() + 1))));
+        updates.addAll(
+                gossipQueue.take(
+                        remainingBytes,
+                        (int) Math.ceil(RETRANSMIT_FACTOR * Math.log10(view.presentCount() + 1))));
         byte[] bytes = codec.encode(message);
-        budget.giveBack(Frame.MOST_BYTES - bytes.length);
+        rateLimiter.release(Frame.MAX_BYTES - bytes.length);
         sent++;
         sentBytes += bytes.length;
-        actions.send(address, bytes);
-        return taken;
+        actions.send(addressIndex, bytes);
+        return takenOfFirst;
     }
 }
--- a/src/main/java/passhatch/fleet/ProbeOrder.java
+++ b/src/main/java/passhatch/fleet/ProbeOrder.java
@@ -12,36 +12,36 @@
     private static final int ROUNDS = 6;
 
     /** Bits of half a number at least: with fewer not all orders would be about as likely. */
-    private static final int FEWEST_BITS = 4;
+    private static final int MIN_HALF_BITS = 4;
 
-    private static final long GOLDEN = 0x9E3779B97F4A7C15L;
+    private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
-    private final int addresses;
+    private final int addressCount;
     private final int halfBits;
     private final long key;
     private int position;
 
-    ProbeOrder(int addresses, RandomGenerator random) {
-        this.addresses = addresses;
-        int bits = Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(1, addresses - 1));
-        this.halfBits = Math.max(FEWEST_BITS, (bits + 1) / 2);
+    ProbeOrder(int addressCount, RandomGenerator random) {
+        this.addressCount = addressCount;
+        int bits = Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(1, addressCount - 1));
+        this.halfBits = Math.max(MIN_HALF_BITS, (bits + 1) / 2);
         this.key = random.nextLong();
     }
 
     /** The next address; -1 where all have been. */
     int next() {
         int end = 1 << 2 * halfBits;
-        while (addresses > 0 && position < end) {
-            int address = permuted(position);
+        while (addressCount > 0 && position < end) {
+            int addressIndex = permute(position);
             position++;
-            if (address < addresses) {
-                return address;
+            if (addressIndex < addressCount) {
+                return addressIndex;
             }
         }
         return -1;
     }
 
-    private int permuted(int number) {
+    private int permute(int number) {
         int mask = (1 << halfBits) - 1;
         int left = number >>> halfBits;
         int right = number & mask;
@@ -55,7 +55,7 @@
 
     /** The last step of SplitMix64 (Steele, Lea, Flood, 2014). */
     private int mix(int half, int round) {
-        long x = key + GOLDEN * ((long) round << Integer.SIZE | half + 1L);
+        long x = key + GOLDEN_GAMMA * ((long) round << Integer.SIZE | half + 1L);
         x = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
         x = (x ^ x >>> 27) * 0x94D049BB133111EBL;
         return (int) (x ^ x >>> 31);
--- a/src/main/java/passhatch/fleet/Probes.java
+++ b/src/main/java/passhatch/fleet/Probes.java
@@ -18,135 +18,137 @@
     /**
      * Times as shares of a period: between two questions; until others are asked; until it is over.
      */
-    private static final double AGAIN = 0.3;
+    private static final double RETRY_DELAY_PERIODS = 0.3;
 
-    private static final double INDIRECT = 0.9;
-    private static final double OVER = 2.4;
+    private static final double INDIRECT_DELAY_PERIODS = 0.9;
+    private static final double PROBE_TIMEOUT_PERIODS = 2.4;
 
     /** Members that are asked to ask. */
-    private static final int HELPERS = 4;
+    private static final int MAX_HELPERS = 4;
 
     /** Of all that hear of a suspect, so many see for themselves, on average. */
-    private static final double CONFIRMING = 4;
+    private static final double EXPECTED_CONFIRMING_PROBES = 4;
 
-    private static final int MOST_RUNNING = 64;
-    private static final int MOST_RELAYS = 256;
-    private static final int MOST_PASSED = 8;
+    private static final int MAX_RUNNING_PROBES = 64;
+    private static final int MAX_RELAYED_PROBES = 256;
+    private static final int MAX_SKIPPED_ADDRESSES = 8;
 
     private static final class Probe {
         private final String name;
-        private final int address;
+        private final int addressIndex;
         private final long startUs;
-        private long nextUs;
-        private boolean helpersAsked;
-        private int helpers;
-        private int refusals;
+        private long nextSendUs;
+        private boolean helpersRequested;
+        private int helperCount;
+        private int nackCount;
 
-        Probe(String name, int address, long startUs) {
+        Probe(String name, int addressIndex, long startUs) {
             this.name = name;
-            this.address = address;
+            this.addressIndex = addressIndex;
             this.startUs = startUs;
-            this.nextUs = startUs;
+            this.nextSendUs = startUs;
         }
     }
 
     /** A question that is asked for somebody else. */
-    private static final class Relay {
-        private final int from;
-        private final int number;
+    private static final class RelayedProbe {
+        private final int requesterIndex;
+        private final int requestNumber;
         private final String target;
-        private final int address;
+        private final int addressIndex;
         private final long endUs;
-        private long nextUs;
+        private long nextSendUs;
 
-        Relay(int from, int number, Member target, long nowUs, long endUs) {
-            this.from = from;
-            this.number = number;
+        RelayedProbe(int requesterIndex, int requestNumber, Member target, long nowUs, long endUs) {
+            this.requesterIndex = requesterIndex;
+            this.requestNumber = requestNumber;
             this.target = target.name();
-            this.address = target.address();
-            this.nextUs = nowUs;
+            this.addressIndex = target.addressIndex();
+            this.nextSendUs = nowUs;
             this.endUs = endUs;
         }
     }
 
-    private final Self self;
+    private final LocalMember self;
     private final View view;
     private final Outbox outbox;
-    private final Beliefs beliefs;
+    private final MemberStates memberStates;
     private final LocalHealth health;
     private final RandomGenerator random;
     private final long periodUs;
-    private final Map<Integer, Probe> running = new HashMap<>();
-    private final Map<Integer, Relay> relays = new HashMap<>();
-    private ProbeOrder order;
-    private int ownNumber;
-    private int next;
+    private final Map<Integer, Probe> runningProbes = new HashMap<>();
+    private final Map<Integer, RelayedProbe> relayedProbes = new HashMap<>();
+    private ProbeOrder probeOrder;
+    private int ownAddressIndex;
+    private int lastSequenceNumber;
 
     Probes(
             FleetSettings settings,
-            Self self,
+            LocalMember self,
             View view,
             Outbox outbox,
-            Beliefs beliefs,
+            MemberStates memberStates,
             LocalHealth health,
             RandomGenerator random) {
         this.self = self;
         this.view = view;
         this.outbox = outbox;
-        this.beliefs = beliefs;
+        this.memberStates = memberStates;
         this.health = health;
         this.random = random;
-        this.periodUs = settings.periodUs();
-        this.ownNumber = settings.ownNumber();
-        this.next = random.nextInt();
-        this.order = new ProbeOrder(view.addresses(), random);
+        this.periodUs = settings.probePeriodUs();
+        this.ownAddressIndex = settings.ownAddressIndex();
+        this.lastSequenceNumber = random.nextInt();
+        this.probeOrder = new ProbeOrder(view.addressCount(), random);
     }
 
     /** The list of addresses is another now. */
-    void moved(int newOwnNumber) {
-        ownNumber = newOwnNumber;
-        order = new ProbeOrder(view.addresses(), random);
-        running.clear();
-        relays.clear();
+    void addressesChanged(int newOwnAddressIndex) {
+        ownAddressIndex = newOwnAddressIndex;
+        probeOrder = new ProbeOrder(view.addressCount(), random);
+        runningProbes.clear();
+        relayedProbes.clear();
     }
 
     /** Begins the next probe; one address at which nobody is thought to be is asked beside it. */
-    void tick(long nowUs) {
-        boolean absentAsked = false;
-        for (int passed = 0; passed < MOST_PASSED; passed++) {
-            int address = nextAddress();
-            if (address < 0) {
+    void startNext(long nowUs) {
+        boolean absentPinged = false;
+        for (int skipped = 0; skipped < MAX_SKIPPED_ADDRESSES; skipped++) {
+            int addressIndex = nextAddress();
+            if (addressIndex < 0) {
                 break;
             }
-            Member member = view.at(address);
+            Member member = view.memberAt(addressIndex);
             if (member != null && member.status().present() && !member.name().equals(self.name())) {
-                begin(nowUs, member);
+                start(nowUs, member);
                 break;
             }
-            if (!absentAsked) {
-                absentAsked = true;
+            if (!absentPinged) {
+                absentPinged = true;
                 // It hears in this way what is thought of it, and refutes that if it is there.
-                outbox.needed(address, Message.Kind.PING, 0, "", opinion(member));
+                outbox.sendEssential(addressIndex, Message.Type.PING, 0, "", correctionFor(member));
             }
         }
-        if (random.nextInt(Math.max(1, view.addresses())) == 0) {
+        if (random.nextInt(Math.max(1, view.addressCount())) == 0) {
             probeOneWithoutAddress(nowUs);
         }
     }
 
     /** The next address but its own, in a new order once all have been; -1 where there is none. */
     private int nextAddress() {
-        int address = nextOfRound();
-        if (address < 0) {
-            order = new ProbeOrder(view.addresses(), random);
-            address = nextOfRound();
+        int addressIndex = nextOfRound();
+        if (addressIndex < 0) {
+            probeOrder = new ProbeOrder(view.addressCount(), random);
+            addressIndex = nextOfRound();
         }
-        return address;
+        return addressIndex;
     }
 
     private int nextOfRound() {
-        int address = order.next();
-        return address >= 0 && address == ownNumber ? order.next() : address;
+        int addressIndex = probeOrder.next();
+        return addressIndex >= 0 && addressIndex == ownAddressIndex
+                ? probeOrder.next()
+                : addressIndex;
     }
 
     /** A member that is known from hearsay only, and that others have to ask. */
@@ -155,105 +157,123 @@
                 view.all()
                         .filter(
                                 m ->
-                                        m.address() < 0
+                                        m.addressIndex() < 0
                                                 && m.status().present()
                                                 && !m.name().equals(self.name()))
                         .toList();
         if (!without.isEmpty()) {
-            begin(nowUs, without.get(random.nextInt(without.size())));
+            start(nowUs, without.get(random.nextInt(without.size())));
         }
     }
 
-    private static List<Fact> opinion(Member member) {
+    private static List<MemberUpdate> correctionFor(Member member) {
         return member == null || member.status() == Status.ALIVE
                 ? List.of()
-                : List.of(member.fact());
+                : List.of(member.lastUpdate());
     }
 
-    private void begin(long nowUs, Member member) {
-        if (running.size() < MOST_RUNNING && !self.givenWay()) {
-            Probe probe = new Probe(member.name(), member.address(), nowUs);
-            int number = number();
-            running.put(number, probe);
-            go(nowUs, number, probe);
+    private void start(long nowUs, Member member) {
+        if (runningProbes.size() < MAX_RUNNING_PROBES && !self.superseded()) {
+            Probe probe = new Probe(member.name(), member.addressIndex(), nowUs);
+            int sequenceNumber = nextSequenceNumber();
+            runningProbes.put(sequenceNumber, probe);
+            sendProbe(nowUs, sequenceNumber, probe);
         }
     }
 
     /** Never 0, which stands for none. */
-    private int number() {
-        next = next + 1 == 0 ? 1 : next + 1;
-        return next;
+    private int nextSequenceNumber() {
+        lastSequenceNumber = lastSequenceNumber + 1 == 0 ? 1 : lastSequenceNumber + 1;
+        return lastSequenceNumber;
     }
 
     /**
      * Others have found a member silent: some see for themselves, so that the verdict is not one's
      * alone.
      */
-    void rumour(long nowUs, Member suspect) {
-        if (random.nextDouble() * Math.max(1, view.present()) < CONFIRMING
+    void onSuspicion(long nowUs, Member suspect) {
+        if (random.nextDouble() * Math.max(1, view.presentCount()) < EXPECTED_CONFIRMING_PROBES
                 && !suspect.name().equals(self.name())
-                && running.values().stream().noneMatch(p -> p.name.equals(suspect.name()))) {
-            begin(nowUs, suspect);
+                && runningProbes.values().stream().noneMatch(p -> p.name.equals(suspect.name()))) {
+            start(nowUs, suspect);
         }
     }
 
     /** Does what is due. */
-    void run(long nowUs) {
-        for (Map.Entry<Integer, Probe> entry : List.copyOf(running.entrySet())) {
+    void runDue(long nowUs) {
+        for (Map.Entry<Integer, Probe> entry : List.copyOf(runningProbes.entrySet())) {
             Probe probe = entry.getValue();
-            if (nowUs >= endUs(probe)) {
-                running.remove(entry.getKey());
-                failed(nowUs, probe);
-            } else if (nowUs >= probe.nextUs) {
-                go(nowUs, entry.getKey(), probe);
+            if (nowUs >= timeoutAtUs(probe)) {
+                runningProbes.remove(entry.getKey());
+                onTimeout(nowUs, probe);
+            } else if (nowUs >= probe.nextSendUs) {
+                sendProbe(nowUs, entry.getKey(), probe);
             }
         }
-        for (Iterator<Map.Entry<Integer, Relay>> i = relays.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<Integer, Relay> entry = i.next();
-            Relay relay = entry.getValue();
-            if (nowUs >= relay.endUs) {
-                i.remove();
-                outbox.needed(relay.from, Message.Kind.NACK, relay.number, relay.target, List.of());
-            } else if (nowUs >= relay.nextUs) {
-                ask(nowUs, entry.getKey(), relay);
+        for (Iterator<Map.Entry<Integer, RelayedProbe>> entries =
+                        relayedProbes.entrySet().iterator();
+                entries.hasNext(); ) {
+            Map.Entry<Integer, RelayedProbe> entry = entries.next();
+            RelayedProbe relayed = entry.getValue();
+            if (nowUs >= relayed.endUs) {
+                entries.remove();
+                outbox.sendEssential(
+                        relayed.requesterIndex,
+                        Message.Type.NACK,
+                        relayed.requestNumber,
+                        relayed.target,
+                        List.of());
+            } else if (nowUs >= relayed.nextSendUs) {
+                sendRelayed(nowUs, entry.getKey(), relayed);
             }
         }
     }
 
-    private void go(long nowUs, int number, Probe probe) {
+    private void sendProbe(long nowUs, int sequenceNumber, Probe probe) {
         Member member = view.get(probe.name);
-        if (probe.address >= 0) {
-            outbox.needed(probe.address, Message.Kind.PING, number, probe.name, opinion(member));
+        if (probe.addressIndex >= 0) {
+            outbox.sendEssential(
+                    probe.addressIndex,
+                    Message.Type.PING,
+                    sequenceNumber,
+                    probe.name,
+                    correctionFor(member));
         }
-        boolean now = probe.address < 0 || nowUs >= probe.startUs + times(INDIRECT);
-        if (!probe.helpersAsked && now) {
-            probe.helpersAsked = true;
-            for (Member helper : pick(HELPERS, probe.name)) {
-                probe.helpers++;
-                outbox.needed(
-                        helper.address(), Message.Kind.PING_REQUEST, number, probe.name, List.of());
+        boolean indirectDue =
+                probe.addressIndex < 0
+                        || nowUs >= probe.startUs + periodsUs(INDIRECT_DELAY_PERIODS);
+        if (!probe.helpersRequested && indirectDue) {
+            probe.helpersRequested = true;
+            for (Member helper : pickRandom(MAX_HELPERS, probe.name)) {
+                probe.helperCount++;
+                outbox.sendEssential(
+                        helper.addressIndex(),
+                        Message.Type.PING_REQUEST,
+                        sequenceNumber,
+                        probe.name,
+                        List.of());
             }
         }
-        probe.nextUs = nowUs + times(AGAIN);
+        probe.nextSendUs = nowUs + periodsUs(RETRY_DELAY_PERIODS);
     }
 
-    private long times(double periods) {
+    private long periodsUs(double periods) {
         return (long) (periods * periodUs);
     }
 
-    private long endUs(Probe probe) {
-        return probe.startUs + times(OVER) * health.factor();
+    private long timeoutAtUs(Probe probe) {
+        return probe.startUs + periodsUs(PROBE_TIMEOUT_PERIODS) * health.timeoutMultiplier();
     }
 
-    private void failed(long nowUs, Probe probe) {
-        if (probe.helpers > 0 && probe.refusals == 0) {
+    private void onTimeout(long nowUs, Probe probe) {
+        if (probe.helperCount > 0 && probe.nackCount == 0) {
             // None of those asked for help said anything either: then this process itself hears
             // badly.
-            health.worse(1);
+            health.degrade(1);
         }
         Member member = view.get(probe.name);
         if (member != null && !self.leaving()) {
-            beliefs.accuse(nowUs, member);
+            memberStates.suspect(nowUs, member);
         }
     }
 
@@ -261,105 +281,118 @@
      * Members that are present and have an address, drawn at random; fewer where there are not as
      * many.
      */
-    List<Member> pick(int count, String but) {
+    List<Member> pickRandom(int count, String excluded) {
         List<Member> picked = new ArrayList<>();
-        int addresses = view.addresses();
-        for (int i = 0; i < 4 * count + 16 && picked.size() < count && addresses > 0; i++) {
-            take(picked, view.at(random.nextInt(addresses)), but);
+        int addressCount = view.addressCount();
+        for (int i = 0; i < 4 * count + 16 && picked.size() < count && addressCount > 0; i++) {
+            addIfEligible(picked, view.memberAt(random.nextInt(addressCount)), excluded);
         }
         if (picked.isEmpty()) {
             // Few of many addresses are in use.
-            for (int i = 0; i < addresses && picked.size() < count; i++) {
-                take(picked, view.at(i), but);
+            for (int i = 0; i < addressCount && picked.size() < count; i++) {
+                addIfEligible(picked, view.memberAt(i), excluded);
             }
         }
         return picked;
     }
 
-    private void take(List<Member> picked, Member member, String but) {
+    private void addIfEligible(List<Member> picked, Member member, String excluded) {
         if (member != null
                 && member.status().present()
-                && member.address() >= 0
+                && member.addressIndex() >= 0
                 && !picked.contains(member)
-                && !member.name().equals(but)
+                && !member.name().equals(excluded)
                 && !member.name().equals(self.name())) {
             picked.add(member);
         }
     }
 
     /** Somebody wants to know of a member. */
-    void help(long nowUs, int from, Message request) {
+    void onPingRequest(long nowUs, int requesterIndex, Message request) {
         Member target = view.get(request.target());
-        if (target == null || target.address() < 0 || relays.size() >= MOST_RELAYS) {
-            outbox.needed(from, Message.Kind.NACK, request.number(), request.target(), List.of());
+        if (target == null
+                || target.addressIndex() < 0
+                || relayedProbes.size() >= MAX_RELAYED_PROBES) {
+            outbox.sendEssential(
+                    requesterIndex,
+                    Message.Type.NACK,
+                    request.sequenceNumber(),
+                    request.target(),
+                    List.of());
             return;
         }
-        Relay relay = new Relay(from, request.number(), target, nowUs, nowUs + times(INDIRECT));
-        int number = number();
-        relays.put(number, relay);
-        ask(nowUs, number, relay);
+        RelayedProbe relayed =
+                new RelayedProbe(
+                        requesterIndex,
+                        request.sequenceNumber(),
+                        target,
+                        nowUs,
+                        nowUs + periodsUs(INDIRECT_DELAY_PERIODS));
+        int sequenceNumber = nextSequenceNumber();
+        relayedProbes.put(sequenceNumber, relayed);
+        sendRelayed(nowUs, sequenceNumber, relayed);
     }
 
-    private void ask(long nowUs, int number, Relay relay) {
-        relay.nextUs = nowUs + times(AGAIN);
-        outbox.needed(
-                relay.address,
-                Message.Kind.PING,
-                number,
-                relay.target,
-                opinion(view.get(relay.target)));
+    private void sendRelayed(long nowUs, int sequenceNumber, RelayedProbe relayed) {
+        relayed.nextSendUs = nowUs + periodsUs(RETRY_DELAY_PERIODS);
+        outbox.sendEssential(
+                relayed.addressIndex,
+                Message.Type.PING,
+                sequenceNumber,
+                relayed.target,
+                correctionFor(view.get(relayed.target)));
     }
 
     /**
      * An answer.
      *
-     * @param from the address from which it came
+     * @param senderIndex the address from which it came
      * @param current whether its sender is who this process thinks it is, and not an older run
      */
-    void answered(int from, Message answer, boolean current) {
-        Probe probe = running.get(answer.number());
-        if (probe != null && (probe.address != from || current)) {
-            running.remove(answer.number());
+    void onAck(int senderIndex, Message ack, boolean current) {
+        Probe probe = runningProbes.get(ack.sequenceNumber());
+        if (probe != null && (probe.addressIndex != senderIndex || current)) {
+            runningProbes.remove(ack.sequenceNumber());
             // Another process at that address says nothing about the member.
-            if (probe.address != from || answer.sender().name().equals(probe.name)) {
-                health.better();
+            if (probe.addressIndex != senderIndex || ack.sender().name().equals(probe.name)) {
+                health.recover();
             }
         }
-        Relay relay = relays.get(answer.number());
-        if (relay != null && current && answer.sender().name().equals(relay.target)) {
-            relays.remove(answer.number());
-            outbox.needed(
-                    relay.from,
-                    Message.Kind.ACK,
-                    relay.number,
-                    relay.target,
-                    List.of(answer.sender()));
+        RelayedProbe relayed = relayedProbes.get(ack.sequenceNumber());
+        if (relayed != null && current && ack.sender().name().equals(relayed.target)) {
+            relayedProbes.remove(ack.sequenceNumber());
+            outbox.sendEssential(
+                    relayed.requesterIndex,
+                    Message.Type.ACK,
+                    relayed.requestNumber,
+                    relayed.target,
+                    List.of(ack.sender()));
         }
     }
 
     /** A helper did not hear from the member either. */
-    void refused(Message answer) {
-        Probe probe = running.get(answer.number());
+    void onNack(Message nack) {
+        Probe probe = runningProbes.get(nack.sequenceNumber());
         if (probe != null) {
-            probe.refusals++;
+            probe.nackCount++;
         }
     }
 
     /** What ran while this process was held up proves nothing. */
-    void heldUp() {
-        running.clear();
-        relays.clear();
+    void onStall() {
+        runningProbes.clear();
+        relayedProbes.clear();
     }
 
     /** When something is due; {@link Long#MAX_VALUE} where nothing is. */
-    long nextUs() {
-        long at = Long.MAX_VALUE;
-        for (Probe probe : running.values()) {
-            at = Math.min(at, Math.min(probe.nextUs, endUs(probe)));
+    long nextActionUs() {
+        long actionUs = Long.MAX_VALUE;
+        for (Probe probe : runningProbes.values()) {
+            actionUs = Math.min(actionUs, Math.min(probe.nextSendUs, timeoutAtUs(probe)));
         }
-        for (Relay relay : relays.values()) {
-            at = Math.min(at, Math.min(relay.nextUs, relay.endUs));
+        for (RelayedProbe relayed : relayedProbes.values()) {
+            actionUs = Math.min(actionUs, Math.min(relayed.nextSendUs, relayed.endUs));
         }
-        return at;
+        return actionUs;
     }
 }
--- a/src/main/java/passhatch/fleet/View.java
+++ b/src/main/java/passhatch/fleet/View.java
@@ -13,40 +13,40 @@
 final class View {
 
     /** Members at most; what is told of further ones is not taken. */
-    static final int MOST_MEMBERS = Membership.MOST_MEMBERS;
+    static final int MAX_MEMBERS = Membership.MAX_MEMBERS;
 
     private final Set<String> suspects = new LinkedHashSet<>();
 
     /** The last word on those that are shown no more, so that old news does not bring them back. */
-    private final Map<String, Fact> forgotten =
+    private final Map<String, MemberUpdate> removed =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1L;
 
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<String, Fact> eldest) {
-                    return size() > MOST_MEMBERS;
+                protected boolean removeEldestEntry(Map.Entry<String, MemberUpdate> eldest) {
+                    return size() > MAX_MEMBERS;
                 }
             };
 
     private MemberTable members = new MemberTable();
-    private AddressTable names;
+    private AddressTable addressTable;
     private Digests digests = new Digests();
-    private int present;
+    private int presentCount;
 
     /** No member that failed or left did so before this. */
-    private long firstAbsenceUs = Long.MAX_VALUE;
+    private long earliestAbsenceUs = Long.MAX_VALUE;
 
-    View(int addresses) {
-        names = new AddressTable(addresses);
+    View(int addressCount) {
+        addressTable = new AddressTable(addressCount);
     }
 
     /** Knows from now on what the other view knows, and shares its state until either changes. */
     void adopt(View other) {
         members = new MemberTable(other.members);
-        names = new AddressTable(other.names);
+        addressTable = new AddressTable(other.addressTable);
         digests = new Digests(other.digests);
-        present = other.present;
-        firstAbsenceUs = other.firstAbsenceUs;
+        presentCount = other.presentCount;
+        earliestAbsenceUs = other.earliestAbsenceUs;
         suspects.clear();
         suspects.addAll(other.suspects);
     }
@@ -59,8 +59,8 @@
         return members.all();
     }
 
-    List<Member> leaf(int leaf) {
-        return members.leaf(leaf);
+    List<Member> leaf(int leafIndex) {
+        return members.leaf(leafIndex);
     }
 
     /** Those that are suspect now; the view may change while they are gone through. */
@@ -74,7 +74,7 @@
 
     /** Time in which this process was held up does not count against suspects. */
     void delaySuspects(long byUs) {
-        suspects().forEach(m -> members.put(m.later(byUs)));
+        suspects().forEach(m -> members.put(m.withSinceDelayed(byUs)));
     }
 
     Digests digests() {
@@ -82,52 +82,52 @@
     }
 
     /** Members that are present, this one and suspects among them. */
-    int present() {
-        return present;
+    int presentCount() {
+        return presentCount;
     }
 
-    int addresses() {
-        return names.length();
+    int addressCount() {
+        return addressTable.length();
     }
 
     /** Who is at an address, or null. */
-    Member at(int address) {
-        String name = names.get(address);
+    Member memberAt(int addressIndex) {
+        String name = addressTable.get(addressIndex);
         return name == null ? null : members.get(name);
     }
 
     /** The last word on a member that is shown no more, or null. */
-    Fact lastWord(String name) {
-        return forgotten.get(name);
+    MemberUpdate lastUpdateOfRemoved(String name) {
+        return removed.get(name);
     }
 
     /** A new member, or null where there are too many. */
-    Member add(Fact fact, long nowUs) {
-        if (members.size() >= MOST_MEMBERS) {
+    Member add(MemberUpdate update, long nowUs) {
+        if (members.size() >= MAX_MEMBERS) {
             return null;
         }
-        Member member = new Member(fact, nowUs);
+        Member member = new Member(update, nowUs);
         members.put(member);
-        forgotten.remove(fact.name());
-        count(member, 1);
-        return hint(member);
+        removed.remove(update.name());
+        adjustCounts(member, 1);
+        return placeByHint(member);
     }
 
     /** What is thought of a member is now this; returns the member as it is now. */
-    Member change(Member member, Fact fact, long nowUs) {
-        Member changed = member.withFact(fact, nowUs);
-        count(member, -1);
+    Member change(Member member, MemberUpdate update, long nowUs) {
+        Member changed = member.withUpdate(update, nowUs);
+        adjustCounts(member, -1);
         members.put(changed);
-        count(changed, 1);
-        return hint(changed);
+        adjustCounts(changed, 1);
+        return placeByHint(changed);
     }
 
-    private void count(Member member, int by) {
-        digests.toggle(member.fact());
+    private void adjustCounts(Member member, int by) {
+        digests.toggle(member.lastUpdate());
         if (member.status().present()) {
-            present += by;
+            presentCount += by;
         } else {
-            firstAbsenceUs = Math.min(firstAbsenceUs, member.sinceUs());
+            earliestAbsenceUs = Math.min(earliestAbsenceUs, member.sinceUs());
         }
         if (member.status() == Status.SUSPECT) {
             if (by > 0) {
@@ -139,78 +139,85 @@
     }
 
     /** Where a member was never heard itself, it is looked for where its own list has it. */
-    private Member hint(Member member) {
-        int number = member.fact().number();
-        boolean usable = number >= 0 && number < names.length() && names.get(number) == null;
-        return member.address() < 0 && usable ? place(member, number) : member;
+    private Member placeByHint(Member member) {
+        int hintIndex = member.lastUpdate().addressIndex();
+        boolean usable =
+                hintIndex >= 0
+                        && hintIndex < addressTable.length()
+                        && addressTable.get(hintIndex) == null;
+        return member.addressIndex() < 0 && usable ? setAddress(member, hintIndex) : member;
     }
 
     /** A member was heard from an address. */
-    void heard(Member member, int address) {
-        if (member.address() != address || !member.name().equals(names.get(address))) {
-            Member before = at(address);
-            if (before != null
-                    && !before.name().equals(member.name())
-                    && before.address() == address) {
-                members.put(before.withAddress(-1));
+    void confirmAddress(Member member, int addressIndex) {
+        if (member.addressIndex() != addressIndex
+                || !member.name().equals(addressTable.get(addressIndex))) {
+            Member previous = memberAt(addressIndex);
+            if (previous != null
+                    && !previous.name().equals(member.name())
+                    && previous.addressIndex() == addressIndex) {
+                members.put(previous.withAddressIndex(-1));
             }
-            place(member, address);
+            setAddress(member, addressIndex);
         }
     }
 
-    private Member place(Member member, int address) {
-        Member placed = member.withAddress(address);
-        names.set(address, member.name());
-        members.put(placed);
-        return placed;
+    private Member setAddress(Member member, int addressIndex) {
+        Member moved = member.withAddressIndex(addressIndex);
+        addressTable.set(addressIndex, member.name());
+        members.put(moved);
+        return moved;
     }
 
     /** Shows those no more that failed or left before a time. */
-    void forgetAbsentBefore(long us) {
-        if (firstAbsenceUs >= us) {
+    void removeAbsentBefore(long us) {
+        if (earliestAbsenceUs >= us) {
             return;
         }
-        firstAbsenceUs = Long.MAX_VALUE;
-        members.all().filter(m -> !m.status().present()).forEach(m -> forgetOrKeep(m, us));
+        earliestAbsenceUs = Long.MAX_VALUE;
+        members.all().filter(m -> !m.status().present()).forEach(m -> removeOrKeep(m, us));
     }
 
-    private void forgetOrKeep(Member absent, long us) {
+    private void removeOrKeep(Member absent, long us) {
         if (absent.sinceUs() < us) {
-            forget(absent);
+            remove(absent);
         } else {
-            firstAbsenceUs = Math.min(firstAbsenceUs, absent.sinceUs());
+            earliestAbsenceUs = Math.min(earliestAbsenceUs, absent.sinceUs());
         }
     }
 
     /** Shows a member no more, and keeps the last word on it. */
-    private void forget(Member member) {
-        digests.toggle(member.fact());
+    private void remove(Member member) {
+        digests.toggle(member.lastUpdate());
         members.remove(member);
-        if (member.address() >= 0 && member.name().equals(names.get(member.address()))) {
-            names.set(member.address(), null);
+        if (member.addressIndex() >= 0
+                && member.name().equals(addressTable.get(member.addressIndex()))) {
+            addressTable.set(member.addressIndex(), null);
         }
-        forgotten.put(member.name(), member.fact());
+        removed.put(member.name(), member.lastUpdate());
     }
 
     /**
      * Addresses have other places from now on; {@code newPlaces} has -1 for those that are gone.
      */
-    void move(int[] newPlaces, int addresses) {
-        AddressTable before = names;
-        names = new AddressTable(addresses);
-        for (int i = 0; i < before.length(); i++) {
-            if (newPlaces[i] >= 0) {
-                names.set(newPlaces[i], before.get(i));
+    void remap(int[] newIndexes, int addressCount) {
+        AddressTable previous = addressTable;
+        addressTable = new AddressTable(addressCount);
+        for (int i = 0; i < previous.length(); i++) {
+            if (newIndexes[i] >= 0) {
+                addressTable.set(newIndexes[i], previous.get(i));
             }
         }
-        members.all().filter(m -> m.address() >= 0).forEach(m -> move(m, newPlaces[m.address()]));
+        members.all()
+                .filter(m -> m.addressIndex() >= 0)
+                .forEach(m -> remap(m, newIndexes[m.addressIndex()]));
     }
 
-    private void move(Member member, int newPlace) {
-        Member moved = member.withAddress(newPlace);
+    private void remap(Member member, int newIndex) {
+        Member moved = member.withAddressIndex(newIndex);
         members.put(moved);
-        if (newPlace < 0 && !moved.status().present()) {
-            forget(moved);
+        if (newIndex < 0 && !moved.status().present()) {
+            remove(moved);
         }
     }
 }
--- a/src/main/java/passhatch/lab/ProgramJar.java
+++ b/src/main/java/passhatch/lab/ProgramJar.java
@@ -3,7 +3,7 @@
 import java.net.URISyntaxException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 
 /** The packaged program that the tools start as processes. */
 public final class ProgramJar {
@@ -15,12 +15,13 @@
     /**
      * The given file, or the one beside this tool where none is given.
      *
-     * @throws BadInput where there is no such file
+     * @throws InvalidInputException where there is no such file
      */
     public static Path find(Path given) {
         Path jar = given != null ? given : besideThis();
         if (!Files.isRegularFile(jar)) {
-            throw new BadInput(jar + ": there is no such program; build it, or name it with --jar");
+            throw new InvalidInputException(
+                    jar + ": there is no such program; build it, or name it with --jar");
         }
         return jar.toAbsolutePath();
     }
--- a/src/main/java/passhatch/lab/StoreBench.java
+++ b/src/main/java/passhatch/lab/StoreBench.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.store.Entry;
 import passhatch.store.FolderDisk;
 import passhatch.store.GroupCommit;
@@ -63,7 +63,7 @@
     @Override
     public Integer call() throws IOException, StoreException, InterruptedException {
         if (Files.exists(folder)) {
-            throw new BadInput(folder + ": is there already");
+            throw new InvalidInputException(folder + ": is there already");
         }
         PrintWriter out = spec.commandLine().getOut();
         out.printf(
--- a/src/main/java/passhatch/lab/distribution/Simulation.java
+++ b/src/main/java/passhatch/lab/distribution/Simulation.java
@@ -142,7 +142,7 @@
             return;
         }
         byte[] bytes = MessageCodec.encode(FLEET, message);
-        if (bytes.length > Frame.MOST_BYTES) {
+        if (bytes.length > Frame.MAX_BYTES) {
             throw new BrokenPromise(bytes.length + " bytes in one datagram: " + message);
         }
         observer.sent(from, bytes.length);
--- a/src/main/java/passhatch/lab/drill/DrillCommand.java
+++ b/src/main/java/passhatch/lab/drill/DrillCommand.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import me.tongfei.progressbar.ProgressBar;
 import me.tongfei.progressbar.ProgressBarBuilder;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.cli.CommandGroup;
 import passhatch.cli.Commands;
 import passhatch.lab.LabLog;
@@ -91,7 +91,7 @@
         public Integer call() throws IOException, InterruptedException {
             Scenario scenario = ScenarioReader.read(file);
             if (repeat < 1) {
-                throw new BadInput("--repeat: expected 1 or more");
+                throw new InvalidInputException("--repeat: expected 1 or more");
             }
             Path program = ProgramJar.find(jar);
             boolean holds = true;
@@ -188,7 +188,7 @@
                     spec.commandLine()
                             .getOut()
                             .println(file + ": good, " + FaultPlan.of(scenario).size() + " steps");
-                } catch (BadInput wrong) {
+                } catch (InvalidInputException wrong) {
                     spec.commandLine().getErr().println("passhatch: " + wrong.getMessage());
                     bad++;
                 }
@@ -226,10 +226,11 @@
             try (Stream<Path> below = Files.walk(folder, 2)) {
                 files = below.filter(p -> p.endsWith(RESULT)).sorted().toList();
             } catch (IOException none) {
-                throw new BadInput(folder + ": cannot be read: " + none);
+                throw new InvalidInputException(folder + ": cannot be read: " + none);
             }
             if (files.isEmpty()) {
-                throw new BadInput(folder + ": expected a folder with results (" + RESULT + ")");
+                throw new InvalidInputException(
+                        folder + ": expected a folder with results (" + RESULT + ")");
             }
             List<Result> all = new ArrayList<>();
             for (Path file : files) {
--- a/src/main/java/passhatch/lab/drill/ScenarioReader.java
+++ b/src/main/java/passhatch/lab/drill/ScenarioReader.java
@@ -89,7 +89,7 @@
 
     private static Scenario read(TomlFile given) {
         given.require(given.tree().hasNonNull("name"), "name", "the drill's name");
-        TomlFile file = given.over(DEFAULTS);
+        TomlFile file = given.withDefaults(DEFAULTS);
         ObjectNode whole = file.tree();
         if (!given.tree().has("classes")) {
             whole.set("classes", TomlFile.of(file.name(), DEFAULT_CLASSES).tree().get("classes"));
--- a/src/main/java/passhatch/lab/fleet/FleetCommand.java
+++ b/src/main/java/passhatch/lab/fleet/FleetCommand.java
@@ -11,7 +11,7 @@
 import java.util.stream.LongStream;
 import me.tongfei.progressbar.ProgressBar;
 import me.tongfei.progressbar.ProgressBarBuilder;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.cli.CommandGroup;
 import passhatch.fleet.Membership;
 import passhatch.fleet.Status;
@@ -74,14 +74,15 @@
 
         @Override
         public final Integer call() {
-            if (members < 2 || members > Membership.MOST_MEMBERS) {
-                throw new BadInput("--members: expected 2 to " + Membership.MOST_MEMBERS);
+            if (members < 2 || members > Membership.MAX_MEMBERS) {
+                throw new InvalidInputException(
+                        "--members: expected 2 to " + Membership.MAX_MEMBERS);
             }
             if (!(loss >= 0 && loss <= 0.9)) {
-                throw new BadInput("--loss: expected 0 to 0.9");
+                throw new InvalidInputException("--loss: expected 0 to 0.9");
             }
             if (seeds < 1) {
-                throw new BadInput("--seeds: expected 1 or more");
+                throw new InvalidInputException("--seeds: expected 1 or more");
             }
             int status = measure(spec.commandLine().getOut());
             spec.commandLine().getOut().flush();
@@ -267,7 +268,7 @@
         @Override
         int measure(PrintWriter out) {
             if (parts < 2) {
-                throw new BadInput("--parts: expected 2 or more");
+                throw new InvalidInputException("--parts: expected 2 or more");
             }
             return times(
                     out,
@@ -320,7 +321,7 @@
         private static long bytes(FleetSim sim) {
             long sum = 0;
             for (int i = 0; i < sim.size(); i++) {
-                Membership.Figures figures = sim.figures(i);
+                Membership.Metrics figures = sim.figures(i);
                 sum += figures.sentBytes();
             }
             return sum;
--- a/src/main/java/passhatch/lab/fleet/FleetSim.java
+++ b/src/main/java/passhatch/lab/fleet/FleetSim.java
@@ -12,7 +12,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
 import org.apache.commons.rng.UniformRandomProvider;
-import passhatch.fleet.Drop;
+import passhatch.fleet.DropReason;
 import passhatch.fleet.FleetActions;
 import passhatch.fleet.FleetSettings;
 import passhatch.fleet.Incarnation;
@@ -76,7 +76,7 @@
         }
 
         boolean takesPart() {
-            return membership != null && !stopped && !membership.givenWay();
+            return membership != null && !stopped && !membership.superseded();
         }
 
         long localUs() {
@@ -89,18 +89,18 @@
         }
 
         @Override
-        public boolean claim(long newer) {
+        public boolean persistEpoch(long newer) {
             epoch = newer;
             return true;
         }
 
         @Override
-        public void changed(Status before, MemberInfo after) {
+        public void memberChanged(Status before, MemberInfo after) {
             watcher.changed(nowUs, number, before, after);
         }
 
         @Override
-        public void note(String text) {
+        public void warn(String text) {
             notes.add(nowUs / 1000 + " ms: process " + number + ": " + text);
         }
 
@@ -130,7 +130,7 @@
                 }
                 return;
             }
-            membership.datagram(localUs(), event.from(), event.datagram());
+            membership.receive(localUs(), event.from(), event.datagram());
             plan();
         }
     }
@@ -279,7 +279,7 @@
 
     /** How many members a running process sees as present, itself and suspects among them. */
     public int present(int number) {
-        return nodes.get(number).membership.present();
+        return nodes.get(number).membership.presentCount();
     }
 
     /** Ends a process without a word. */
@@ -431,7 +431,7 @@
     }
 
     public boolean givenWay(int number) {
-        return nodes.get(number).membership.givenWay();
+        return nodes.get(number).membership.superseded();
     }
 
     /** Whether all processes that run and are not held have the same view, but for suspicion. */
@@ -454,7 +454,9 @@
                         .filter(Node::takesPart)
                         .map(n -> n.settings.name())
                         .collect(Collectors.toSet());
-        return nodes.stream().filter(Node::takesPart).allMatch(n -> n.membership.sees(running));
+        return nodes.stream()
+                .filter(Node::takesPart)
+                .allMatch(n -> n.membership.hasExactlyPresent(running));
     }
 
     /**
@@ -473,12 +475,12 @@
     }
 
     /** Datagrams and bytes that a process has sent, and what it did not take. */
-    public Membership.Figures figures(int number) {
-        return nodes.get(number).membership.figures();
+    public Membership.Metrics figures(int number) {
+        return nodes.get(number).membership.metrics();
     }
 
     /** Datagrams that a process has dropped for a reason. */
-    public long dropped(int number, Drop why) {
+    public long dropped(int number, DropReason why) {
         return figures(number).dropped().getOrDefault(why, 0L);
     }
 }
--- a/src/main/java/passhatch/lab/scale/HollowMembers.java
+++ b/src/main/java/passhatch/lab/scale/HollowMembers.java
@@ -133,7 +133,7 @@
                 Integer place = from == null ? null : places.get(from);
                 if (place != null) {
                     byte[] bytes = Arrays.copyOf(buffer.array(), buffer.position());
-                    membership.datagram(nowUs(), place, bytes);
+                    membership.receive(nowUs(), place, bytes);
                 }
             } catch (IOException lost) {
                 // An error of one datagram's way is a datagram lost.
@@ -156,17 +156,17 @@
         }
 
         @Override
-        public boolean claim(long epoch) {
+        public boolean persistEpoch(long epoch) {
             return true;
         }
 
         @Override
-        public void changed(Status before, MemberInfo after) {
+        public void memberChanged(Status before, MemberInfo after) {
             // Nobody asks a hollow member.
         }
 
         @Override
-        public void note(String text) {
+        public void warn(String text) {
             // Nobody reads its log.
         }
     }
--- a/src/main/java/passhatch/lab/scale/LatencyCommand.java
+++ b/src/main/java/passhatch/lab/scale/LatencyCommand.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.lab.Seeds;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -89,10 +89,10 @@
         ScaleOptions.within("--rates", rates, 1, MOST_RATE);
         ScaleOptions.within("--sizes", sizes, 1, MOST_ENTRIES);
         if (behindUs < 1 || behindUs > MOST_BEHIND_US) {
-            throw new BadInput("--behind-us: expected 1 to " + MOST_BEHIND_US);
+            throw new InvalidInputException("--behind-us: expected 1 to " + MOST_BEHIND_US);
         }
         if (tries < 1 || tries > MOST_TRIES) {
-            throw new BadInput("--tries: expected 1 to " + MOST_TRIES);
+            throw new InvalidInputException("--tries: expected 1 to " + MOST_TRIES);
         }
         options.seconds();
         options.program();
--- a/src/main/java/passhatch/lab/scale/MembershipMemory.java
+++ b/src/main/java/passhatch/lab/scale/MembershipMemory.java
@@ -38,11 +38,11 @@
         Membership observer = membership(0, members, seed, new Recorder());
         long before = usedBytes();
         for (int i = 1; i < members; i++) {
-            observer.datagram(START_US, i, datagrams.get(i - 1));
+            observer.receive(START_US, i, datagrams.get(i - 1));
         }
         long grown = usedBytes() - before;
-        if (observer.present() != members) {
-            throw new IllegalStateException("the observer knows of " + observer.present());
+        if (observer.presentCount() != members) {
+            throw new IllegalStateException("the observer knows of " + observer.presentCount());
         }
         return grown;
     }
@@ -84,14 +84,14 @@
         }
 
         @Override
-        public boolean claim(long epoch) {
+        public boolean persistEpoch(long epoch) {
             return true;
         }
 
         @Override
-        public void changed(Status before, MemberInfo after) {}
+        public void memberChanged(Status before, MemberInfo after) {}
 
         @Override
-        public void note(String text) {}
+        public void warn(String text) {}
     }
 }
--- a/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.fleet.Membership;
 import passhatch.lab.fleet.FleetSim;
 import passhatch.lab.scale.MembershipScaleResult.Outcome;
@@ -140,9 +140,9 @@
 
     private void check() {
         for (Integer size : sizes) {
-            if (size < FEWEST || size > Membership.MOST_MEMBERS) {
-                throw new BadInput(
-                        "--members: expected " + FEWEST + " to " + Membership.MOST_MEMBERS);
+            if (size < FEWEST || size > Membership.MAX_MEMBERS) {
+                throw new InvalidInputException(
+                        "--members: expected " + FEWEST + " to " + Membership.MAX_MEMBERS);
             }
         }
         require(loss >= 0 && loss <= 0.9, "--loss: expected 0 to 0.9");
@@ -158,7 +158,7 @@
 
     private static void require(boolean holds, String message) {
         if (!holds) {
-            throw new BadInput(message);
+            throw new InvalidInputException(message);
         }
     }
 
--- a/src/main/java/passhatch/lab/scale/ProxyCommand.java
+++ b/src/main/java/passhatch/lab/scale/ProxyCommand.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.function.ToDoubleFunction;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
@@ -64,7 +64,7 @@
         ScaleOptions.within("--sizes", sizes, 1, MOST_ENTRIES);
         ScaleOptions.within("--changes", changes, 0, MOST_CHANGES);
         if (memoryMb < LEAST_MEMORY_MB || memoryMb > MOST_MEMORY_MB) {
-            throw new BadInput(
+            throw new InvalidInputException(
                     "--memory-mb: expected " + LEAST_MEMORY_MB + " to " + MOST_MEMORY_MB);
         }
         options.seconds();
--- a/src/main/java/passhatch/lab/scale/ScaleOptions.java
+++ b/src/main/java/passhatch/lab/scale/ScaleOptions.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import me.tongfei.progressbar.ProgressBar;
 import me.tongfei.progressbar.ProgressBarBuilder;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 import passhatch.lab.LabLog;
 import passhatch.lab.ProgramJar;
 import picocli.CommandLine.Option;
@@ -67,7 +67,7 @@
 
     int seconds() {
         if (seconds < 1 || seconds > MOST_SECONDS) {
-            throw new BadInput("--seconds: expected 1 to " + MOST_SECONDS);
+            throw new InvalidInputException("--seconds: expected 1 to " + MOST_SECONDS);
         }
         return seconds;
     }
@@ -78,7 +78,7 @@
         try {
             Files.createDirectories(folder);
         } catch (IOException unusable) {
-            throw new BadInput("--out: " + folder + " cannot be used as a folder");
+            throw new InvalidInputException("--out: " + folder + " cannot be used as a folder");
         }
         LabLog.to(folder.resolve("lab.jsonl"));
         return folder.toAbsolutePath();
@@ -87,11 +87,11 @@
     /** Checks a list of sizes or rates. */
     static List<Integer> within(String option, List<Integer> values, int least, int most) {
         if (values.isEmpty() || values.size() > MOST_STEPS) {
-            throw new BadInput(option + ": expected 1 to " + MOST_STEPS + " values");
+            throw new InvalidInputException(option + ": expected 1 to " + MOST_STEPS + " values");
         }
         for (int value : values) {
             if (value < least || value > most) {
-                throw new BadInput(
+                throw new InvalidInputException(
                         option + ": expected " + least + " to " + most + ", not " + value);
             }
         }
--- a/src/test/java/passhatch/agent/AgentConfigTest.java
+++ b/src/test/java/passhatch/agent/AgentConfigTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 
 class AgentConfigTest {
 
@@ -40,10 +40,10 @@
     }
 
     @Test
-    void whatIsLeftOutHasAValueOrComesFromThePlatform() throws IOException {
+    void missingKeysTakeDefaultsOrPlatformValues() throws IOException {
         assertNull(read(AGENT, Map.of()).fleet());
         AgentConfig.Fleet fleet = read(AGENT + FLEET, Map.of()).fleet();
-        assertEquals(0, fleet.own());
+        assertEquals(0, fleet.ownAddressIndex());
         assertEquals("proxy", fleet.roles());
         Path platform =
                 Files.writeString(
@@ -51,16 +51,16 @@
                         """
                         {"peer_listen": "127.0.0.1:7947", "peers": ["127.0.0.1:7946", "127.0.0.1:7947"]}\
                         """);
-        AgentConfig.Fleet told =
+        AgentConfig.Fleet fromPlatform =
                 read(
                                 AGENT + "[fleet]\nname = \"jackson\"\n",
                                 Map.of("PROXY_NAME", "n2", "PROXY_CONFIG", platform.toString()))
                         .fleet();
-        assertEquals("n2", told.self());
-        assertEquals(1, told.own());
-        assertFalse(told.sameButMembers(fleet));
+        assertEquals("n2", fromPlatform.self());
+        assertEquals(1, fromPlatform.ownAddressIndex());
+        assertFalse(fromPlatform.equalsExceptMembers(fleet));
         assertTrue(
-                fleet.sameButMembers(
+                fleet.equalsExceptMembers(
                         read(AGENT + FLEET.replace(", \"127.0.0.1:7947\"", ""), Map.of()).fleet()));
     }
 
@@ -97,11 +97,12 @@
                         + "forget_after = \"1s\" | fleet.forget_after: expected",
                 "[fleet]                     | [fleet                      | a.toml:4: not TOML"
             })
-    void aBadFileIsToldByItsKey(String from, String to, String told) {
+    void invalidFileIsReportedWithItsKey(String from, String to, String expected) {
         String text = (AGENT + FLEET).replace(from, to == null ? "" : to.replace("\\n", "\n"));
-        BadInput bad = assertThrows(BadInput.class, () -> read(text, Map.of()));
-        assertTrue(bad.getMessage().contains(told), bad.getMessage());
-        assertEquals(1, bad.getMessage().lines().count());
+        InvalidInputException invalid =
+                assertThrows(InvalidInputException.class, () -> read(text, Map.of()));
+        assertTrue(invalid.getMessage().contains(expected), invalid.getMessage());
+        assertEquals(1, invalid.getMessage().lines().count());
     }
 
     private static final String REPLICA =
@@ -127,7 +128,7 @@
                     """;
 
     @Test
-    void aPartOnChangesIsRead() throws IOException {
+    void changesSectionIsRead() throws IOException {
         ChangesConfig replica = read(REPLICA, Map.of()).changes();
         assertEquals(1, replica.epoch());
         assertEquals(3, replica.replicas().size());
@@ -166,10 +167,12 @@
                         + "wanted = [\"changes\"]\\n"
                         + "[changes] | duties.wanted: expected no 'changes'"
             })
-    void aBadPartOnChangesIsToldByItsKey(boolean replica, String from, String to, String told) {
+    void invalidChangesSectionIsReportedWithItsKey(
+            boolean replica, String from, String to, String expected) {
         String text = (replica ? REPLICA : SUBSCRIBER).replace(from, to.replace("\\n", "\n"));
-        BadInput bad = assertThrows(BadInput.class, () -> read(text, Map.of()));
-        assertTrue(bad.getMessage().contains(told), bad.getMessage());
-        assertEquals(1, bad.getMessage().lines().count());
+        InvalidInputException invalid =
+                assertThrows(InvalidInputException.class, () -> read(text, Map.of()));
+        assertTrue(invalid.getMessage().contains(expected), invalid.getMessage());
+        assertEquals(1, invalid.getMessage().lines().count());
     }
 }
--- a/src/test/java/passhatch/agent/ChangesStoreTest.java
+++ b/src/test/java/passhatch/agent/ChangesStoreTest.java
@@ -63,13 +63,13 @@
         }
 
         /** A leader or source sends what comes after the version here, or a whole state. */
-        void work(List<LogEntry> all, UniformRandomProvider random) throws StoreException {
+        void runSteps(List<LogEntry> all, UniformRandomProvider random) throws StoreException {
             if (role == Role.REPLICA) {
                 participant.found();
             }
             for (int step = 0; step < STEPS; step++) {
                 long now = step * 300_000L;
-                participant.hear(now, LEADER, next(all, random));
+                participant.hear(now, LEADER, nextMessage(all, random));
                 participant.timer(now);
                 if (random.nextInt(8) == 0) {
                     store.snapshot(participant.snapshot());
@@ -77,19 +77,20 @@
             }
         }
 
-        private Message next(List<LogEntry> all, UniformRandomProvider random) {
-            int after = (int) Math.max(confirmed, participant.version());
-            int upto = Math.min(all.size(), after + random.nextInt(3));
-            List<LogEntry> entries = all.subList(after, upto);
+        private Message nextMessage(List<LogEntry> all, UniformRandomProvider random) {
+            int lastConfirmed = (int) Math.max(confirmed, participant.version());
+            int endVersion = Math.min(all.size(), lastConfirmed + random.nextInt(3));
+            List<LogEntry> entries = all.subList(lastConfirmed, endVersion);
             if (role == Role.REPLICA) {
-                long previousTerm = after == 0 ? 0 : TERM;
-                return new Message.Append(1, TERM, after, 0, after, previousTerm, entries);
+                long previousTerm = lastConfirmed == 0 ? 0 : TERM;
+                return new Message.Append(
+                        1, TERM, lastConfirmed, 0, lastConfirmed, previousTerm, entries);
             }
             if (participant.epoch() == 0 || random.nextInt(6) == 0) {
                 return new Message.SnapshotPart(
-                        1, upto, TERM, 0, 0, true, true, valuesAt(all, upto));
+                        1, endVersion, TERM, 0, 0, true, true, valuesAt(all, endVersion));
             }
-            return new Message.Delta(1, after, upto, TERM, 0, entries);
+            return new Message.Delta(1, lastConfirmed, endVersion, TERM, 0, entries);
         }
 
         @Override
@@ -112,7 +113,7 @@
         }
     }
 
-    private static List<LogEntry> log() {
+    private static List<LogEntry> randomLog() {
         UniformRandomProvider random = new Seeds(7).stream("log");
         List<LogEntry> all = new ArrayList<>();
         for (long version = 1; version <= 3 * STEPS; version++) {
@@ -141,32 +142,33 @@
 
     @ParameterizedTest
     @EnumSource(Role.class)
-    void whatWasConfirmedIsThereAfterACrashAtAnyWrite(Role role) throws Exception {
-        List<LogEntry> all = log();
-        FaultyDisk whole = new FaultyDisk(CAPACITY);
-        new Run(whole, role).work(all, new Seeds(9).stream("work"));
-        assertTrue(whole.calls() > STEPS, "calls " + whole.calls());
-        for (long call = 0; call < whole.calls(); call++) {
+    void confirmedRecordsSurviveCrashAtAnyDiskCall(Role role) throws Exception {
+        List<LogEntry> all = randomLog();
+        FaultyDisk faultless = new FaultyDisk(CAPACITY);
+        new Run(faultless, role).runSteps(all, new Seeds(9).stream("work"));
+        assertTrue(faultless.calls() > STEPS, "calls " + faultless.calls());
+        for (long call = 0; call < faultless.calls(); call++) {
             FaultyDisk disk = new FaultyDisk(CAPACITY);
             disk.faultAt(call, Fault.STOP_AFTER);
             Run run = null;
             try {
                 run = new Run(disk, role);
-                run.work(all, new Seeds(9).stream("work"));
+                run.runSteps(all, new Seeds(9).stream("work"));
             } catch (FaultyDisk.Stopped stopped) {
                 // It starts again below.
             }
             long confirmed = run == null ? 0 : run.confirmed;
             for (int survivor = 0; survivor < 4; survivor++) {
-                FaultyDisk left = disk.afterPowerLoss(new Seeds(call).stream("left" + survivor));
-                Participant again = new Run(left, role).participant;
-                long last = role == Role.REPLICA ? lastVersion(again) : again.version();
+                FaultyDisk survivingDisk =
+                        disk.afterPowerLoss(new Seeds(call).stream("left" + survivor));
+                Participant restarted = new Run(survivingDisk, role).participant;
+                long last = role == Role.REPLICA ? lastVersion(restarted) : restarted.version();
                 assertTrue(last >= confirmed, "call " + call + ": " + last + " of " + confirmed);
                 Map<String, String> values = new TreeMap<>();
-                valuesAt(all, (int) again.version()).stream()
+                valuesAt(all, (int) restarted.version()).stream()
                         .filter(entry -> entry.value() != null)
                         .forEach(entry -> values.put(entry.key(), entry.value()));
-                assertEquals(values, again.values(), "call " + call);
+                assertEquals(values, restarted.values(), "call " + call);
             }
         }
     }
@@ -175,10 +177,10 @@
      * Its old values serve, and it asks for the whole state, as it passed over the others' keys.
      */
     @Test
-    void aSubscriberToOtherServicesKeepsItsValuesWithoutTheirVersion() throws Exception {
+    void subscriberToOtherServicesKeepsValuesWithoutVersion() throws Exception {
         FaultyDisk disk = new FaultyDisk(CAPACITY);
         Run before = new Run(disk, Role.SUBSCRIBER);
-        before.work(log(), new Seeds(9).stream("work"));
+        before.runSteps(randomLog(), new Seeds(9).stream("work"));
         ChangesStore store = ChangesStore.open(disk, NAME, Role.SUBSCRIBER, List.of("b"));
         Participant after =
                 new Participant(
@@ -200,7 +202,7 @@
     }
 
     @Test
-    void aReplicaDoesNotTakeAFollowersStore() throws Exception {
+    void replicaRejectsFollowerStore() throws Exception {
         FaultyDisk disk = new FaultyDisk(CAPACITY);
         ChangesStore.open(disk, NAME, Role.RELAY, List.of()).close();
         assertThrows(
--- a/src/test/java/passhatch/distribution/MessageCodecTest.java
+++ b/src/test/java/passhatch/distribution/MessageCodecTest.java
@@ -20,14 +20,14 @@
 import passhatch.distribution.Message.Prepare;
 import passhatch.distribution.Message.Prepared;
 import passhatch.distribution.Message.SnapshotPart;
-import passhatch.fleet.Drop;
+import passhatch.fleet.DropReason;
 import passhatch.fleet.Frame;
 import passhatch.fleet.Names;
 
 /** Every message fits into a datagram and is read as it was written; nothing else is read. */
 class MessageCodecTest {
 
-    private static final String FLEET = "f".repeat(Names.MOST_LABEL);
+    private static final String FLEET = "f".repeat(Names.MAX_LABEL_LENGTH);
     private static final int ROUNDS = 20_000;
 
     private final RandomGenerator random = new SplittableRandom(1);
@@ -37,7 +37,7 @@
         for (int round = 0; round < ROUNDS; round++) {
             Message message = message(round % 11);
             byte[] datagram = MessageCodec.encode(FLEET, message);
-            assertTrue(datagram.length <= Frame.MOST_BYTES, datagram.length + ": " + message);
+            assertTrue(datagram.length <= Frame.MAX_BYTES, datagram.length + ": " + message);
             assertEquals(message, MessageCodec.decode(FLEET, datagram).message());
         }
     }
@@ -57,8 +57,8 @@
         int refused = 0;
         for (int round = 0; round < ROUNDS; round++) {
             byte[] datagram = MessageCodec.encode(FLEET, message(round % 11));
-            byte[] content = new byte[datagram.length - Frame.HEAD];
-            System.arraycopy(datagram, Frame.HEAD, content, 0, content.length);
+            byte[] content = new byte[datagram.length - Frame.HEADER_BYTES];
+            System.arraycopy(datagram, Frame.HEADER_BYTES, content, 0, content.length);
             content[random.nextInt(content.length)] = (byte) random.nextInt(256);
             byte[] sealed = Frame.of(MessageCodec.FORMAT, content);
             MessageCodec.Read read = MessageCodec.decode(FLEET, sealed);
@@ -71,7 +71,7 @@
     @Test
     void anotherFleetsDatagramIsRefused() {
         byte[] datagram = MessageCodec.encode("other", new Ack(1, 1));
-        assertEquals(Drop.FLEET, MessageCodec.decode(FLEET, datagram).fault());
+        assertEquals(DropReason.FLEET, MessageCodec.decode(FLEET, datagram).fault());
     }
 
     private Message message(int kind) {
@@ -101,7 +101,7 @@
                             large(),
                             random.nextBoolean() ? key() : null,
                             ServiceFilter.of(List.of("a", "b" + random.nextInt())),
-                            "n".repeat(1 + random.nextInt(Names.MOST_NAME)));
+                            "n".repeat(1 + random.nextInt(Names.MAX_NAME_LENGTH)));
             case 8 -> new Ack(epoch, large());
             case 9 -> new Delta(epoch, large(), large(), large(), age, consecutive(large()));
             default ->
--- a/src/test/java/passhatch/fleet/CodecTest.java
+++ b/src/test/java/passhatch/fleet/CodecTest.java
@@ -23,61 +23,63 @@
     private final Codec codec = new Codec("jackson-claims-1");
     private final SplittableRandom random = new SplittableRandom(5);
 
-    private String text(int most) {
+    private String randomText(int maxLength) {
         StringBuilder text = new StringBuilder();
-        for (int i = 1 + random.nextInt(most); i > 0; i--) {
+        for (int i = 1 + random.nextInt(maxLength); i > 0; i--) {
             text.append("abcXYZ019._-".charAt(random.nextInt(12)));
         }
         return text.toString();
     }
 
-    private int anySize() {
+    private int randomInt() {
         return random.nextInt() >> random.nextInt(32);
     }
 
-    private Fact fact(Status status) {
+    private MemberUpdate randomUpdate(Status status) {
         Incarnation incarnation =
                 new Incarnation(
                         (random.nextLong() >>> 1) >> random.nextInt(63),
-                        anySize(),
-                        anySize() & Integer.MAX_VALUE);
-        int number = random.nextInt(5000) - 1;
-        List<Integer> accusers = new ArrayList<>();
+                        randomInt(),
+                        randomInt() & Integer.MAX_VALUE);
+        int addressIndex = random.nextInt(5000) - 1;
+        List<Integer> reporters = new ArrayList<>();
         if (status == Status.SUSPECT) {
-            random.ints(random.nextInt(Fact.MOST_ACCUSERS + 1))
-                    .forEach(i -> accusers.add((int) (short) i));
+            random.ints(random.nextInt(MemberUpdate.MAX_REPORTERS + 1))
+                    .forEach(i -> reporters.add((int) (short) i));
         }
-        boolean speaks = status == Status.ALIVE || status == Status.LEFT;
-        return new Fact(
+        boolean hasLabels = status == Status.ALIVE || status == Status.LEFT;
+        return new MemberUpdate(
                 status,
-                text(Names.MOST_NAME),
+                randomText(Names.MAX_NAME_LENGTH),
                 incarnation,
-                number,
-                speaks ? text(Names.MOST_LABEL) : "",
-                speaks ? text(Names.MOST_LABEL) : "",
-                accusers);
+                addressIndex,
+                hasLabels ? randomText(Names.MAX_LABEL_LENGTH) : "",
+                hasLabels ? randomText(Names.MAX_LABEL_LENGTH) : "",
+                reporters);
     }
 
-    private Message message(Message.Kind kind) {
-        boolean sync = kind == Message.Kind.SYNC;
-        Message bare =
+    private Message randomMessage(Message.Type type) {
+        boolean sync = type == Message.Type.SYNC;
+        Message message =
                 new Message(
-                        kind,
-                        anySize(),
-                        random.nextBoolean() ? "" : text(Names.MOST_NAME),
+                        type,
+                        randomInt(),
+                        random.nextBoolean() ? "" : randomText(Names.MAX_NAME_LENGTH),
                         sync ? random.nextInt(17) - 1 : random.nextInt(256),
                         sync ? random.ints(16).toArray() : new int[0],
-                        fact(random.nextBoolean() ? Status.ALIVE : Status.LEFT),
+                        randomUpdate(random.nextBoolean() ? Status.ALIVE : Status.LEFT),
                         new ArrayList<>());
-        int room = Frame.MOST_BYTES - codec.sizeWithoutFacts(bare);
-        for (Fact f = fact(status()); Codec.size(f) <= room; f = fact(status())) {
-            room -= Codec.size(f);
-            bare.facts().add(f);
+        int remainingBytes = Frame.MAX_BYTES - codec.sizeWithoutUpdates(message);
+        for (MemberUpdate update = randomUpdate(randomStatus());
+                Codec.size(update) <= remainingBytes;
+                update = randomUpdate(randomStatus())) {
+            remainingBytes -= Codec.size(update);
+            message.updates().add(update);
         }
-        return bare;
+        return message;
     }
 
-    private Status status() {
+    private Status randomStatus() {
         return Status.values()[random.nextInt(Status.values().length)];
     }
 
@@ -86,33 +88,35 @@
      * comparison.
      */
     @Test
-    void whatIsSentFitsAndIsReadAgain() throws Codec.Rejected {
+    void encodedMessagesFitAndDecodeUnchanged() throws Codec.RejectedException {
         for (int i = 0; i < 20_000; i++) {
-            Message.Kind kind = Message.Kind.values()[i % Message.Kind.values().length];
-            Message sent = message(kind);
+            Message.Type type = Message.Type.values()[i % Message.Type.values().length];
+            Message sent = randomMessage(type);
             byte[] bytes = codec.encode(sent);
-            int told =
-                    codec.sizeWithoutFacts(sent)
-                            + sent.facts().stream().mapToInt(Codec::size).sum();
+            int predictedSize =
+                    codec.sizeWithoutUpdates(sent)
+                            + sent.updates().stream().mapToInt(Codec::size).sum();
             assertTrue(
-                    bytes.length <= told && told <= bytes.length + 1 && told <= Frame.MOST_BYTES,
-                    bytes.length + " bytes, told " + told);
+                    bytes.length <= predictedSize
+                            && predictedSize <= bytes.length + 1
+                            && predictedSize <= Frame.MAX_BYTES,
+                    bytes.length + " bytes, told " + predictedSize);
             Message read = codec.decode(bytes);
             assertEquals(sent.sender(), read.sender());
-            assertEquals(sent.facts(), read.facts());
+            assertEquals(sent.updates(), read.updates());
             assertArrayEquals(sent.digests(), read.digests());
             assertEquals(
-                    List.of(sent.kind(), sent.number(), sent.target(), sent.node()),
-                    List.of(read.kind(), read.number(), read.target(), read.node()));
+                    List.of(sent.type(), sent.sequenceNumber(), sent.target(), sent.node()),
+                    List.of(read.type(), read.sequenceNumber(), read.target(), read.node()));
         }
     }
 
     @Test
-    void theLargestHeadLeavesRoomForTheLargestFact() {
-        String name = "n".repeat(Names.MOST_NAME);
-        String label = "l".repeat(Names.MOST_LABEL);
-        Fact largest =
-                new Fact(
+    void largestHeaderLeavesRoomForLargestUpdate() {
+        String name = "n".repeat(Names.MAX_NAME_LENGTH);
+        String label = "l".repeat(Names.MAX_LABEL_LENGTH);
+        MemberUpdate largest =
+                new MemberUpdate(
                         Status.ALIVE,
                         name,
                         new Incarnation(0xFFFFFFFFL, Integer.MIN_VALUE, 0xFFFF),
@@ -120,10 +124,10 @@
                         label,
                         label,
                         List.of());
-        int head =
-                codec.sizeWithoutFacts(
+        int headerSize =
+                codec.sizeWithoutUpdates(
                         new Message(
-                                Message.Kind.PING,
+                                Message.Type.PING,
                                 Integer.MIN_VALUE,
                                 "",
                                 0,
@@ -131,20 +135,21 @@
                                 largest,
                                 List.of()));
         assertTrue(
-                head + Codec.size(largest) <= Frame.MOST_BYTES, head + " + " + Codec.size(largest));
-        Message sync = new Message(Message.Kind.SYNC, 0, "", 15, new int[16], largest, List.of());
-        assertTrue(codec.sizeWithoutFacts(sync) <= Frame.MOST_BYTES);
+                headerSize + Codec.size(largest) <= Frame.MAX_BYTES,
+                headerSize + " + " + Codec.size(largest));
+        Message sync = new Message(Message.Type.SYNC, 0, "", 15, new int[16], largest, List.of());
+        assertTrue(codec.sizeWithoutUpdates(sync) <= Frame.MAX_BYTES);
     }
 
     @Test
-    void anythingElseIsRejectedWithItsReason() {
+    void malformedDatagramsAreRejectedWithReason() {
         for (int i = 0; i < 200_000; i++) {
             byte[] bytes;
             if (i % 4 == 0) {
                 bytes = new byte[random.nextInt(300)];
                 random.nextBytes(bytes);
             } else {
-                bytes = codec.encode(message(Message.Kind.values()[i % 8]));
+                bytes = codec.encode(randomMessage(Message.Type.values()[i % 8]));
                 for (int n = 1 + random.nextInt(4); n > 0; n--) {
                     bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
                 }
@@ -155,35 +160,37 @@
             }
             if (i % 2 == 0 && bytes.length > 5) {
                 // What gets past the checksum is read as carefully.
-                Frame.sealed(bytes);
+                Frame.withChecksum(bytes);
             }
             try {
                 Message read = codec.decode(bytes);
                 assertTrue(
                         Names.isName(read.sender().name())
-                                && read.facts().size() <= Frame.MOST_BYTES / 8);
-            } catch (Codec.Rejected rejected) {
-                assertTrue(rejected.why() != null);
+                                && read.updates().size() <= Frame.MAX_BYTES / 8);
+            } catch (Codec.RejectedException rejected) {
+                assertTrue(rejected.reason() != null);
             }
         }
-        byte[] good = codec.encode(message(Message.Kind.GOSSIP));
+        byte[] good = codec.encode(randomMessage(Message.Type.GOSSIP));
         assertEquals(
-                Drop.FLEET,
-                assertThrows(Codec.Rejected.class, () -> new Codec("another").decode(good)).why());
+                DropReason.FLEET,
+                assertThrows(Codec.RejectedException.class, () -> new Codec("another").decode(good))
+                        .reason());
         good[9] ^= 1;
         assertEquals(
-                Drop.CHECKSUM, assertThrows(Codec.Rejected.class, () -> codec.decode(good)).why());
+                DropReason.CHECKSUM,
+                assertThrows(Codec.RejectedException.class, () -> codec.decode(good)).reason());
     }
 
     /** A later program adds fields at the ends; this one passes over them. */
     @Test
-    void fieldsOfALaterProgramArePassedOver() throws Exception {
+    void unknownTrailingFieldsAreSkipped() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(new byte[] {Codec.VERSION, 0, 0, 0, 0});
         try (CBORGenerator cbor = new CBORFactory().createGenerator(out)) {
             cbor.writeStartArray(null, 10);
             cbor.writeString("jackson-claims-1");
-            cbor.writeNumber(Message.Kind.GOSSIP.ordinal());
+            cbor.writeNumber(Message.Type.GOSSIP.ordinal());
             cbor.writeNumber(0);
             cbor.writeString("");
             cbor.writeNumber(0);
@@ -209,6 +216,6 @@
             cbor.writeEndArray();
         }
         byte[] bytes = out.toByteArray();
-        assertEquals("n1", codec.decode(Frame.sealed(bytes)).sender().name());
+        assertEquals("n1", codec.decode(Frame.withChecksum(bytes)).sender().name());
     }
 }
--- a/src/test/java/passhatch/fleet/IncarnationRulesTest.java
+++ b/src/test/java/passhatch/fleet/IncarnationRulesTest.java
@@ -21,26 +21,26 @@
 class IncarnationRulesTest {
 
     private static final int DEPTH = 6;
-    private static final int MOST_STATEMENTS = 6;
+    private static final int MAX_UPDATES = 6;
     private static final String SUBJECT = "c";
     private static final long HOUR_US = 3_600_000_000L;
 
     /** Members a and b, and c of whom all is said. */
     private static final class World {
         private final List<Process> processes = new ArrayList<>();
-        private final Set<Fact> said = new LinkedHashSet<>();
-        private final Set<Incarnation> claimed = new HashSet<>();
+        private final Set<MemberUpdate> updates = new LinkedHashSet<>();
+        private final Set<Incarnation> claimedIncarnations = new HashSet<>();
         private long nowUs;
         private long epoch = 2;
 
         /** The worst that chance can do: each later run draws a lesser number. */
-        private int lives = Integer.MAX_VALUE;
+        private int lastRunId = Integer.MAX_VALUE;
 
         World() {
             for (String name : List.of("a", "b", SUBJECT)) {
                 processes.add(new Process(name, this));
             }
-            tellAll();
+            exchangeAll();
         }
 
         Process subject() {
@@ -52,52 +52,52 @@
             processes.set(2, new Process(SUBJECT, this, newEpoch));
         }
 
-        void note() {
+        void recordUpdates() {
             for (Process process : processes) {
                 Member member = process.view.get(SUBJECT);
                 if (member != null) {
-                    said.add(
-                            new Fact(
+                    updates.add(
+                            new MemberUpdate(
                                     member.status(),
                                     SUBJECT,
-                                    member.fact().incarnation(),
+                                    member.lastUpdate().incarnation(),
                                     -1,
                                     "",
                                     "",
                                     List.of()));
                 }
             }
-            claimed.add(subject().self.incarnation());
+            claimedIncarnations.add(subject().self.incarnation());
         }
 
-        void tellAll() {
+        void exchangeAll() {
             for (Process from : processes) {
                 for (Process to : processes) {
                     if (from != to) {
-                        to.hear(nowUs, from.about());
+                        to.apply(nowUs, from.subjectUpdate());
                     }
                 }
             }
-            note();
+            recordUpdates();
         }
 
         String signature() {
             StringBuilder text = new StringBuilder();
             processes.forEach(
                     p ->
-                            text.append(p.about())
+                            text.append(p.subjectUpdate())
                                     .append(p.self.incarnation())
-                                    .append(p.self.givenWay())
+                                    .append(p.self.superseded())
                                     .append(p.self.leaving()));
-            return text.append(said).append(epoch).toString();
+            return text.append(updates).append(epoch).toString();
         }
     }
 
     private static final class Process implements FleetActions {
         private final World world;
-        private final Self self;
+        private final LocalMember self;
         private final View view = new View(3);
-        private final Beliefs beliefs;
+        private final MemberStates memberStates;
 
         Process(String name, World world) {
             this(name, world, 2);
@@ -107,27 +107,29 @@
             this.world = world;
             FleetSettings settings =
                     new FleetSettings("f", name, "", "", -1, 3, 500_000, 1 << 20, HOUR_US);
-            self = new Self(settings, epoch, --world.lives);
-            Outbox outbox = new Outbox(settings, self::fact, view, this);
-            beliefs = new Beliefs(settings, self, view, outbox, new LocalHealth(), this, m -> {});
-            view.add(self.fact(), world.nowUs);
+            self = new LocalMember(settings, epoch, --world.lastRunId);
+            Outbox outbox = new Outbox(settings, self::currentUpdate, view, this);
+            memberStates =
+                    new MemberStates(
+                            settings, self, view, outbox, new LocalHealth(), this, m -> {});
+            view.add(self.currentUpdate(), world.nowUs);
         }
 
-        Fact about() {
+        MemberUpdate subjectUpdate() {
             Member member = view.get(SUBJECT);
-            return member == null ? null : member.fact();
+            return member == null ? null : member.lastUpdate();
         }
 
-        void hear(long nowUs, Fact fact) {
-            if (fact != null) {
-                beliefs.hear(nowUs, fact);
+        void apply(long nowUs, MemberUpdate update) {
+            if (update != null) {
+                memberStates.apply(nowUs, update);
             }
         }
 
-        void accuse() {
+        void suspect() {
             Member member = view.get(SUBJECT);
             if (member != null) {
-                beliefs.accuse(world.nowUs, member);
+                memberStates.suspect(world.nowUs, member);
             }
         }
 
@@ -135,55 +137,55 @@
         public void send(int address, byte[] datagram) {}
 
         @Override
-        public boolean claim(long epoch) {
+        public boolean persistEpoch(long epoch) {
             world.epoch = Math.max(world.epoch, epoch);
             return true;
         }
 
         @Override
-        public void changed(Status before, MemberInfo after) {}
+        public void memberChanged(Status before, MemberInfo after) {}
 
         @Override
-        public void note(String text) {}
+        public void warn(String text) {}
     }
 
-    private static final int STEPS = 7 + 3 * MOST_STATEMENTS;
+    private static final int STEPS = 7 + 3 * MAX_UPDATES;
 
     /** Takes a step; false where it does not exist here. */
     private static boolean step(World world, int step) {
         world.nowUs += HOUR_US / 3_600_000;
         switch (step) {
-            case 0, 1 -> world.processes.get(step).accuse();
+            case 0, 1 -> world.processes.get(step).suspect();
             case 2, 3 -> {
                 world.nowUs += HOUR_US;
-                world.processes.get(step - 2).beliefs.expire(world.nowUs);
+                world.processes.get(step - 2).memberStates.expire(world.nowUs);
             }
             case 4 -> world.startSubject(world.epoch + 1);
             // Set back to the epoch that is in use already.
             case 5 -> world.startSubject(world.epoch);
             case 6 -> {
-                if (world.subject().self.givenWay()) {
+                if (world.subject().self.superseded()) {
                     return false;
                 }
                 world.subject().self.leave();
                 Member own = world.subject().view.get(SUBJECT);
-                world.subject().view.change(own, world.subject().self.fact(), world.nowUs);
+                world.subject().view.change(own, world.subject().self.currentUpdate(), world.nowUs);
             }
             default -> {
-                int statement = (step - 7) / 3;
-                if (statement >= world.said.size()) {
+                int updateIndex = (step - 7) / 3;
+                if (updateIndex >= world.updates.size()) {
                     return false;
                 }
                 world.processes
                         .get((step - 7) % 3)
-                        .hear(world.nowUs, new ArrayList<>(world.said).get(statement));
+                        .apply(world.nowUs, new ArrayList<>(world.updates).get(updateIndex));
             }
         }
-        world.note();
+        world.recordUpdates();
         return true;
     }
 
-    private static World play(int[] path) {
+    private static World replay(int[] path) {
         World world = new World();
         for (int step : path) {
             if (!step(world, step)) {
@@ -193,9 +195,9 @@
         return world;
     }
 
-    private static void check(int[] path, World world, List<Fact> before) {
+    private static void check(int[] path, World world, List<MemberUpdate> before) {
         for (int i = 0; i < 2; i++) {
-            Fact now = world.processes.get(i).about();
+            MemberUpdate now = world.processes.get(i).subjectUpdate();
             String where =
                     Arrays.toString(path)
                             + ": "
@@ -204,61 +206,69 @@
                             + now;
             assertTrue(
                     now.equals(before.get(i))
-                            || now.overrules(before.get(i))
+                            || now.overrides(before.get(i))
                             || now.status() == Status.SUSPECT
                                     && now.incarnation().equals(before.get(i).incarnation()),
                     () -> where + " after " + before);
             assertTrue(
-                    world.claimed.contains(now.incarnation()),
+                    world.claimedIncarnations.contains(now.incarnation()),
                     () -> where + ", which nobody claimed");
         }
     }
 
     /** Once all talk to each other again, all say the same, and what the member itself says. */
-    private static void settle(int[] path, World world) {
+    private static void checkConvergence(int[] path, World world) {
         for (int round = 0; round < 8; round++) {
-            world.tellAll();
-            if (world.subject().self.givenWay() || world.subject().self.leaving()) {
+            world.exchangeAll();
+            if (world.subject().self.superseded() || world.subject().self.leaving()) {
                 // An older run than is known does not answer for the newer one; one that has left
                 // does not.
-                world.processes.get(0).accuse();
+                world.processes.get(0).suspect();
                 world.nowUs += HOUR_US;
-                world.processes.get(0).beliefs.expire(world.nowUs);
-                world.processes.get(1).beliefs.expire(world.nowUs);
+                world.processes.get(0).memberStates.expire(world.nowUs);
+                world.processes.get(1).memberStates.expire(world.nowUs);
             }
         }
         if (world.subject().self.leaving()) {
             // Set back and gone before it heard of its later run, it cannot speak for that one.
-            Fact told = world.processes.get(0).about();
-            assertEquals(told, world.processes.get(1).about(), () -> Arrays.toString(path));
-            assertTrue(!told.status().present(), () -> Arrays.toString(path));
+            MemberUpdate known = world.processes.get(0).subjectUpdate();
+            assertEquals(
+                    known, world.processes.get(1).subjectUpdate(), () -> Arrays.toString(path));
+            assertTrue(!known.status().present(), () -> Arrays.toString(path));
             return;
         }
-        Fact own = world.subject().self.fact();
+        MemberUpdate ownUpdate = world.subject().self.currentUpdate();
         for (Process process : world.processes) {
             assertEquals(
-                    own.incarnation(), process.about().incarnation(), () -> Arrays.toString(path));
-            assertEquals(own.status(), process.about().status(), () -> Arrays.toString(path));
+                    ownUpdate.incarnation(),
+                    process.subjectUpdate().incarnation(),
+                    () -> Arrays.toString(path));
+            assertEquals(
+                    ownUpdate.status(),
+                    process.subjectUpdate().status(),
+                    () -> Arrays.toString(path));
         }
-        assertTrue(!world.subject().self.givenWay(), () -> Arrays.toString(path));
+        assertTrue(!world.subject().self.superseded(), () -> Arrays.toString(path));
     }
 
     @Test
-    void noOrderOfAFewStepsBreaksTheRules() {
+    void rulesHoldForEveryOrderOfSteps() {
         Deque<int[]> open = new ArrayDeque<>(List.of(new int[0]));
         Set<String> seen = new HashSet<>();
         while (!open.isEmpty()) {
             int[] path = open.poll();
             for (int step = 0; step < STEPS; step++) {
-                World world = play(path);
-                List<Fact> before =
-                        List.of(world.processes.get(0).about(), world.processes.get(1).about());
+                World world = replay(path);
+                List<MemberUpdate> before =
+                        List.of(
+                                world.processes.get(0).subjectUpdate(),
+                                world.processes.get(1).subjectUpdate());
                 int[] longer = Arrays.copyOf(path, path.length + 1);
                 longer[path.length] = step;
                 if (step(world, step)) {
                     check(longer, world, before);
                     if (seen.add(world.signature())) {
-                        settle(longer, world);
+                        checkConvergence(longer, world);
                         if (longer.length < DEPTH) {
                             open.add(longer);
                         }
--- a/src/test/java/passhatch/fleet/MemberTableTest.java
+++ b/src/test/java/passhatch/fleet/MemberTableTest.java
@@ -18,16 +18,18 @@
 
     private static Member member(int number, int refutation) {
         Incarnation incarnation = new Incarnation(1, 0, refutation);
-        return new Member(Fact.of(Status.FAILED, "n" + number, incarnation, -1), 0);
+        return new Member(MemberUpdate.of(Status.FAILED, "n" + number, incarnation, -1), 0);
     }
 
     private static Map<String, Integer> content(MemberTable table) {
         return table.all()
-                .collect(Collectors.toMap(Member::name, m -> m.fact().incarnation().refutation()));
+                .collect(
+                        Collectors.toMap(
+                                Member::name, m -> m.lastUpdate().incarnation().refutation()));
     }
 
     @Test
-    void isAMapWhoseCopiesAreIndependent() {
+    void behavesLikeMapWithIndependentCopies() {
         SplittableRandom random = new SplittableRandom(1);
         MemberTable table = new MemberTable();
         Map<String, Integer> expected = new TreeMap<>();
@@ -43,7 +45,7 @@
             } else {
                 table.put(member(number, step));
                 expected.put("n" + number, step);
-                assertEquals(step, table.get("n" + number).fact().incarnation().refutation());
+                assertEquals(step, table.get("n" + number).lastUpdate().incarnation().refutation());
             }
             if (step == STEPS / 2) {
                 copy = new MemberTable(table);
@@ -56,7 +58,7 @@
     }
 
     /** Two names of one CRC32C, drawn until there are. */
-    private static String[] namesOfOneHash() {
+    private static String[] namesWithEqualHashes() {
         SplittableRandom random = new SplittableRandom(1);
         Map<Integer, String> byHash = new HashMap<>();
         while (true) {
@@ -69,14 +71,14 @@
     }
 
     @Test
-    void namesOfOneHashAreToldApart() {
-        String[] names = namesOfOneHash();
+    void namesWithEqualHashesAreDistinguished() {
+        String[] names = namesWithEqualHashes();
         Incarnation incarnation = new Incarnation(1, 0, 0);
         MemberTable table = new MemberTable();
-        table.put(new Member(Fact.of(Status.FAILED, names[0], incarnation, 0), 0));
+        table.put(new Member(MemberUpdate.of(Status.FAILED, names[0], incarnation, 0), 0));
         assertNull(table.get(names[1]));
-        table.put(new Member(Fact.of(Status.FAILED, names[1], incarnation, 1), 0));
-        assertEquals(0, table.get(names[0]).fact().number());
-        assertEquals(1, table.get(names[1]).fact().number());
+        table.put(new Member(MemberUpdate.of(Status.FAILED, names[1], incarnation, 1), 0));
+        assertEquals(0, table.get(names[0]).lastUpdate().addressIndex());
+        assertEquals(1, table.get(names[1]).lastUpdate().addressIndex());
     }
 }
--- a/src/test/java/passhatch/fleet/ProbeOrderTest.java
+++ b/src/test/java/passhatch/fleet/ProbeOrderTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void eachAddressComesOnce() {
+    void everyAddressIsReturnedOnce() {
         SplittableRandom random = new SplittableRandom(1);
         for (int addresses : new int[] {0, 1, 2, 3, 16, 17, 255, 256, 257, 19_000}) {
             assertEquals(
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void allOrdersOfFourAreAboutAsLikely() {
+    void ordersOfFourAddressesAreAboutEquallyLikely() {
         SplittableRandom random = new SplittableRandom(2);
         Map<List<Integer>, Integer> seen = new HashMap<>();
         int rounds = 24_000;
--- a/src/test/java/passhatch/lab/drill/ScenarioReaderTest.java
+++ b/src/test/java/passhatch/lab/drill/ScenarioReaderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import passhatch.agent.config.BadInput;
+import passhatch.agent.config.InvalidInputException;
 
 class ScenarioReaderTest {
 
@@ -44,9 +44,9 @@
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', textBlock = INVALID_LINES)
     void tellsWhatIsWrong(String line, String expected) {
-        BadInput bad =
+        InvalidInputException bad =
                 assertThrows(
-                        BadInput.class,
+                        InvalidInputException.class,
                         () ->
                                 ScenarioReader.read(
                                         "f", GOOD.replace("[expect]", line + "\n[expect]")));
@@ -58,11 +58,13 @@
     @Test
     void wantsANameAndSomethingToExpect() {
         assertTrue(
-                assertThrows(BadInput.class, () -> ScenarioReader.read("f", ""))
+                assertThrows(InvalidInputException.class, () -> ScenarioReader.read("f", ""))
                         .getMessage()
                         .contains("name"));
         assertTrue(
-                assertThrows(BadInput.class, () -> ScenarioReader.read("f", "name = 'a'"))
+                assertThrows(
+                                InvalidInputException.class,
+                                () -> ScenarioReader.read("f", "name = 'a'"))
                         .getMessage()
                         .contains("expect: expected at least one thing"));
     }
--- a/src/test/java/passhatch/lab/fleet/HardCasesTest.java
+++ b/src/test/java/passhatch/lab/fleet/HardCasesTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import passhatch.fleet.Drop;
+import passhatch.fleet.DropReason;
 import passhatch.fleet.FleetSettings;
 import passhatch.fleet.Incarnation;
 import passhatch.fleet.Status;
@@ -245,6 +245,6 @@
         sim.network(new FleetSim.Network(0.2, 0.2, 0.2, 200, 2_000));
         sim.startAll();
         awaitSettled(30);
-        assertEquals(0, sim.dropped(0, Drop.SIZE));
+        assertEquals(0, sim.dropped(0, DropReason.SIZE));
     }
 }
