--- a/src/main/java/passhatch/agent/Agent.java
+++ b/src/main/java/passhatch/agent/Agent.java
@@ -22,15 +22,17 @@
 import passhatch.proxy.control.Control;
 import passhatch.store.StoreException;
 
-/** The process on a machine that takes part in the fleet and answers operators. */
+/** The process on each machine that participates in the fleet and answers operators' calls. */
 public final class Agent {
 
     private static final Logger LOG = LoggerFactory.getLogger(Agent.class);
 
-    /** So long the others are told that this one goes. */
+    /**
+     * How long a leaving agent keeps running so that the other members receive its leave message.
+     */
     private static final long LEAVE_GOSSIP_MS = 1_000;
 
-    /** Within the store's folder: what there is on disk of the distribution of changes. */
+    /** Folder, within the store's folder, for the records of the distribution of changes. */
     private static final String CHANGES_FOLDER = "changes";
 
     private final Path configFile;
@@ -39,13 +41,13 @@
     private AgentConfig config;
     private AgentStore store;
 
-    /** Null where no fleet is configured. */
+    /** Null if no fleet is configured. */
     private FleetNode fleetNode;
 
-    /** Null where no duties are configured. */
+    /** Null if no duties are configured. */
     private DutyNode dutyNode;
 
-    /** Null where no distribution of changes is configured. */
+    /** Null if no distribution of changes is configured. */
     private ChangesNode changesNode;
 
     private ChangesCalls changesCalls;
@@ -62,11 +64,11 @@
     }
 
     /**
-     * Runs until SIGTERM.
+     * Runs the agent until SIGTERM.
      *
-     * @throws InvalidInputException where the configuration cannot be used
-     * @throws StoreException where the store cannot be
-     * @throws IOException where an address cannot be
+     * @throws InvalidInputException if the configuration is invalid
+     * @throws StoreException if the store cannot be used
+     * @throws IOException if an address cannot be used
      */
     public static void run(Path configFile, Map<String, String> env, String version)
             throws IOException, StoreException, InterruptedException {
@@ -76,7 +78,7 @@
         if (!HangUp.handle(() -> agent.loop.execute(agent::reload))) {
             LOG.atWarn()
                     .addKeyValue("event", "configuration")
-                    .log("SIGHUP is ignored since the start: no new configuration is taken");
+                    .log("SIGHUP is ignored since the start: the configuration cannot be reloaded");
         }
         Runtime.getRuntime()
                 .addShutdownHook(
@@ -85,7 +87,7 @@
                                     agent.stop();
                                     Runtime.getRuntime().halt(0);
                                 }));
-        // The hook ends the process.
+        // The shutdown hook ends the process.
         new CountDownLatch(1).await();
     }
 
@@ -116,7 +118,7 @@
                 .addKeyValue("event", "started")
                 .addKeyValue("version", version)
                 .addKeyValue("epoch", store == null ? 0 : store.epoch())
-                .log("the agent runs");
+                .log("agent started");
     }
 
     private void startChanges(RandomGenerator random)
@@ -180,8 +182,8 @@
     }
 
     /**
-     * All or nothing: what cannot be changed in a running process, or cannot be used, changes
-     * nothing.
+     * Reloads the configuration. If it is invalid, or differs in something that cannot change while
+     * the agent runs, the current one stays in full.
      */
     private void reload() {
         try {
@@ -198,8 +200,8 @@
                 LOG.atError()
                         .addKeyValue("event", "configuration")
                         .log(
-                                "nothing is changed: only fleet.members and fleet.own can be while"
-                                        + " the agent runs");
+                                "nothing is changed: only fleet.members and fleet.own can change"
+                                        + " while the agent runs");
                 return;
             }
             if (fleetNode != null && !newer.equals(config)) {
@@ -229,7 +231,7 @@
                                 return null;
                             })
                     .sync();
-            LOG.atInfo().addKeyValue("event", "ended").log("the agent has left");
+            LOG.atInfo().addKeyValue("event", "ended").log("agent left the fleet and stops");
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/passhatch/agent/AgentConfig.java
+++ b/src/main/java/passhatch/agent/AgentConfig.java
@@ -16,25 +16,25 @@
 import passhatch.proxy.base.Addresses;
 
 /**
- * An agent's configuration, checked. What a file leaves out of {@code [fleet]} that the platform
- * tells each proxy comes from there: the own name from {@code PROXY_NAME}, where to listen and the
- * members from the file that {@code PROXY_CONFIG} names.
+ * A validated agent configuration. Keys that {@code [fleet]} omits are taken from what the platform
+ * passes to each proxy: the name from {@code PROXY_NAME}, the listen address and the members from
+ * the file that {@code PROXY_CONFIG} names.
  *
- * @param control where operators can ask
- * @param store folder of what has to survive a power loss
- * @param fleet null where the process takes part in no fleet
- * @param duties null where it neither votes nor wants a duty
- * @param changes null where it takes no part in the distribution of changes
+ * @param control address for operators' calls
+ * @param store folder for the data that must survive a power loss
+ * @param fleet null if the process is not a member of a fleet
+ * @param duties null if the process neither votes nor wants a duty
+ * @param changes null if the process takes no part in the distribution of changes
  */
 record AgentConfig(
         InetSocketAddress control, Path store, Fleet fleet, Duties duties, ChangesConfig changes) {
 
-    /** The shortest and the longest probe period. */
+    /** Bounds on the probe period. */
     private static final Duration MIN_PERIOD = Duration.ofMillis(50);
 
     private static final Duration MAX_PERIOD = Duration.ofMinutes(1);
 
-    /** Less does not pay for the probes. */
+    /** Fewer bytes a second do not cover the probes. */
     private static final long MIN_BYTES_PER_SECOND = 2_048;
 
     private static final int MAX_MEMBERS = 4_096;
@@ -62,11 +62,11 @@
             """;
 
     /**
-     * The part on duties.
+     * The {@code [duties]} section.
      *
-     * @param epoch of the set of voters; one more with each change
-     * @param wanted names of the duties for which this process stands
-     * @param rank 0 for those that should have them rather than others
+     * @param epoch of the set of voters; increases by one with each change of the set
+     * @param wanted names of the duties for which this process is a candidate
+     * @param rank 0 for the candidates that are preferred as holders
      */
     record Duties(
             List<String> voters,
@@ -77,10 +77,10 @@
             int rank) {}
 
     /**
-     * The part on membership.
+     * The {@code [fleet]} section.
      *
-     * @param ownAddressIndex place of the own address among the members, or -1 where it is not
-     *     there
+     * @param ownAddressIndex index of this process's own address among the members, or -1 if it is
+     *     not listed
      */
     record Fleet(
             String name,
@@ -93,7 +93,7 @@
             long bytesPerSecond,
             Duration forgetAfter) {
 
-        /** Whether the other differs in nothing but the members. */
+        /** Whether the other section differs at most in the members. */
         boolean equalsExceptMembers(Fleet other) {
             return other != null
                     && other.equals(
@@ -199,9 +199,9 @@
         file.require(
                 section.roles() != null && Names.isLabel(String.join(",", section.roles())),
                 "fleet.roles",
-                "words of "
+                "words of at most "
                         + Names.MAX_LABEL_LENGTH
-                        + " characters in all, commas between them among these");
+                        + " characters in all, including the commas between them");
         file.require(
                 within(section.period(), MIN_PERIOD, MAX_PERIOD), "fleet.period", "50ms to 1m");
         file.require(
@@ -265,7 +265,7 @@
         return given != null && given.compareTo(min) >= 0 && given.compareTo(max) <= 0;
     }
 
-    /** An address, or {@link InvalidInputException} with its key. */
+    /** Parses an address; throws {@link InvalidInputException} with the key. */
     static InetSocketAddress parseAddress(TomlFile file, String key, String text) {
         try {
             return Addresses.parse(text == null ? "" : text);
--- a/src/main/java/passhatch/agent/AgentLog.java
+++ b/src/main/java/passhatch/agent/AgentLog.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The agent's log: one line of JSON an event, on standard error. */
+/** Configures the agent's log: one line of JSON per event, on standard error. */
 final class AgentLog {
 
     private AgentLog() {}
--- a/src/main/java/passhatch/agent/AgentStore.java
+++ b/src/main/java/passhatch/agent/AgentStore.java
@@ -16,15 +16,14 @@
 import passhatch.store.StoreException;
 
 /**
- * What this machine's agent must never forget: the epochs that it has used, and what it promised as
- * a voter.
+ * Durable state of this machine's agent: the epochs that it has used, and its promises as a voter.
  */
 final class AgentStore implements AutoCloseable {
 
-    /** The kind of a record that holds an epoch, as eight bytes. */
+    /** Kind of a record that holds an epoch, as eight bytes. */
     private static final int EPOCH_RECORD = 1;
 
-    /** The kind of a record that holds a promise, as JSON. */
+    /** Kind of a record that holds a promise, as JSON. */
     private static final int PROMISE_RECORD = 2;
 
     private final RecordLog recordLog;
@@ -34,16 +33,17 @@
     /**
      * Opens the store of a process and takes the next epoch.
      *
-     * @throws StoreException where the store is damaged, another's, in use, or the disk fails
+     * @throws StoreException if the store is damaged, in use or another owner's, or if the disk
+     *     fails
      */
     AgentStore(Path folder, String owner) throws IOException, StoreException {
         FolderDisk disk = FolderDisk.take(folder);
         try {
             recordLog = RecordLog.open(disk, owner, this::replay);
-            // The store's own epoch as well: after a salvage without the record it is still a newer
-            // one.
+            // The store's own epoch counts as well: if a salvage lost the record, the new epoch is
+            // still greater than those used before.
             epoch = Math.max(epoch + 1, recordLog.epoch());
-            // As a snapshot, so that the log does not grow with each start.
+            // Written as a snapshot so that the log does not grow with each start.
             List<Entry> state = new ArrayList<>(List.of(entry(epoch)));
             promises.values().forEach(promise -> state.add(entry(promise)));
             recordLog.snapshot(state);
@@ -66,7 +66,8 @@
                                 (String) fields.get("holder"));
                 promises.put(promise.duty(), promise);
             } catch (IOException unreadable) {
-                // Its checksum was right, so this program wrote it in another form.
+                // The checksum matches, so the record was written by this program in another
+                // format.
                 throw new IllegalStateException(unreadable);
             }
         }
@@ -93,12 +94,12 @@
         }
     }
 
-    /** The epoch of this start, or a greater one that was claimed since. */
+    /** The epoch of this start, or a greater one that was made durable since. */
     long epoch() {
         return epoch;
     }
 
-    /** What opening had to note. */
+    /** Warnings from opening the store. */
     List<String> warnings() {
         return recordLog.notes();
     }
--- a/src/main/java/passhatch/agent/ChangesCalls.java
+++ b/src/main/java/passhatch/agent/ChangesCalls.java
@@ -15,15 +15,15 @@
 import passhatch.distribution.Participant;
 import passhatch.fleet.DropReason;
 
-/** What operators can ask of the distribution of changes at the control address. */
+/** Answers operators' calls about the distribution of changes at the control address. */
 final class ChangesCalls {
 
-    /** Followers that are named as they lag behind, at most. */
+    /** Most followers behind the current version that are listed by name. */
     private static final int MAX_LAGGARDS = 50;
 
     private static final long ANY_VERSION = -1;
 
-    /** The control address speaks ASCII. */
+    /** The control address accepts only ASCII. */
     private static final JSON ASCII =
             JSON.builder(JsonFactory.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build())
                     .build();
@@ -39,7 +39,7 @@
         return word.equals("changes") || word.startsWith("change-") || word.equals("changes-found");
     }
 
-    /** Answers a call, given in words. */
+    /** Answers a call, given as its words. */
     String answer(String... words) {
         return switch (words[0]) {
             case "changes" -> status();
@@ -84,7 +84,8 @@
             return "accepted " + version + " " + changesNode.submitted().term() + "\n";
         } catch (InvalidChangeException rejected) {
             if (changesNode.participant().diskFailed()) {
-                // It may be on the disk all the same, and show once this process starts again.
+                // The change may be on disk nevertheless, and take effect once this process
+                // restarts.
                 return "error outcome not known: the disk fails\n";
             }
             return "error refused: " + rejected.getMessage() + "\n";
@@ -101,7 +102,7 @@
         };
     }
 
-    /** A version or term; negative where it is none. */
+    /** Parses a version or term; negative if the text is neither. */
     private static long parseVersionOrTerm(String text) {
         return text.matches("\\d{1,18}") ? Long.parseLong(text) : -1;
     }
@@ -163,13 +164,13 @@
         return followers;
     }
 
-    /** How long ago the state was known to be current; -1 where it never was since the start. */
+    /** Time since the state was last known to be current, or -1 if it never was since the start. */
     private long ageMs() {
         long ageMs = changesNode.participant().ageUs(FleetNode.nowUs()) / 1_000;
         return ageMs < Long.MAX_VALUE / 8_000 ? ageMs : -1;
     }
 
-    /** The figures in {@code vars}, a line each. */
+    /** The metrics of {@code vars}, one per line. */
     String metrics() {
         Participant participant = changesNode.participant();
         StringBuilder text = new StringBuilder();
--- a/src/main/java/passhatch/agent/ChangesConfig.java
+++ b/src/main/java/passhatch/agent/ChangesConfig.java
@@ -13,13 +13,13 @@
 import passhatch.distribution.Setting;
 
 /**
- * The part on the distribution of changes, checked.
+ * The validated {@code [changes]} section, which configures the distribution of changes.
  *
- * @param listen the address of its own socket
- * @param epoch of the log; raised when it is founded anew
- * @param replicas addresses of all replicas, the own one among them; of a replica only
- * @param sources addresses to follow, the preferred first; empty for a replica
- * @param services whose keys a subscriber wants
+ * @param listen address of the UDP socket for the distribution
+ * @param epoch of the log; raised when the log is initialized again
+ * @param replicas addresses of all replicas, including this one; empty unless this is a replica
+ * @param sources addresses to follow, the preferred one first; empty for a replica
+ * @param services whose keys a subscriber receives
  * @param publish file for the values in force, or null
  */
 record ChangesConfig(
@@ -31,10 +31,10 @@
         List<String> services,
         Path publish) {
 
-    /** The duty whose holder leads. */
+    /** The duty whose holder is the leader. */
     static final String DUTY = "changes";
 
-    /** What a file may leave out. */
+    /** Defaults of the keys that a file may omit. */
     static final String DEFAULTS =
             """
             [changes]
@@ -47,7 +47,7 @@
     private static final int MAX_SOURCES = 16;
     private static final int MAX_SERVICES = 64;
 
-    /** As it is written in the file. */
+    /** The section as written in the file. */
     record Section(
             String role,
             String listen,
@@ -57,7 +57,7 @@
             List<String> services,
             String publish) {}
 
-    /** Checks the part; what cannot be used is told by its key. */
+    /** Validates the section; an error names the key. */
     static ChangesConfig checked(
             TomlFile file, Section section, AgentConfig.Fleet fleet, AgentConfig.Duties duties) {
         file.require(fleet != null, "changes", "a part [fleet] beside it");
@@ -99,7 +99,7 @@
         return roles.get(labels.indexOf(label));
     }
 
-    /** A role as it is written. */
+    /** The name of a role in configuration and output. */
     static String label(Role role) {
         return role.name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/passhatch/agent/ChangesNode.java
+++ b/src/main/java/passhatch/agent/ChangesNode.java
@@ -32,8 +32,8 @@
 import passhatch.store.StoreException;
 
 /**
- * Drives this machine's part in the distribution of changes: over a UDP socket and a store of its
- * own, on the agent's event loop. A replica leads while this process has the duty {@link
+ * Drives this machine's part in the distribution of changes on the agent's event loop, with a UDP
+ * socket and a store of its own. A replica is the leader while this process holds the duty {@link
  * ChangesConfig#DUTY}.
  */
 final class ChangesNode implements DistributionActions, DutyListener {
@@ -52,7 +52,7 @@
     private final SubmittedChanges submitted = new SubmittedChanges();
     private final Map<DropReason, Long> dropped = new EnumMap<>(DropReason.class);
 
-    /** Null where a follower goes on without a disk. */
+    /** Null if a follower runs without a disk. */
     private ChangesStore store;
 
     private Participant participant;
@@ -70,12 +70,13 @@
     }
 
     /**
-     * Reads what is on disk, listens, and takes part. On no thread of the loop.
+     * Reads the records on disk, binds the socket and starts the participant. Must not be called on
+     * a thread of the loop.
      *
-     * @param folder where the records are kept
-     * @throws IOException where the address cannot be used
-     * @throws StoreException where a replica's store cannot be used
-     * @throws InvalidInputException where the disk has a higher epoch than the configuration
+     * @param folder of the records
+     * @throws IOException if the address cannot be used
+     * @throws StoreException if a replica's store cannot be used
+     * @throws InvalidInputException if the disk has a higher epoch than the configuration
      */
     void start(Path folder, RandomGenerator random)
             throws IOException, StoreException, InterruptedException {
@@ -122,12 +123,12 @@
         compactAndSchedule();
     }
 
-    /** What to do where this leader can lead no longer. */
+    /** Sets the action that gives up the duty when this replica can no longer be the leader. */
     void onStepDown(Runnable action) {
         giveUpDuty = action;
     }
 
-    /** The state machine; to be asked on the loop only. */
+    /** The state machine; to be used on the loop only. */
     Participant participant() {
         return participant;
     }
@@ -136,12 +137,12 @@
         return config.role();
     }
 
-    /** Changes submitted at this process. */
+    /** The changes submitted at this process. */
     SubmittedChanges submitted() {
         return submitted;
     }
 
-    /** Datagrams that were not taken, by reason. */
+    /** Datagrams dropped on receipt, by reason. */
     Map<DropReason, Long> dropped() {
         return Collections.unmodifiableMap(dropped);
     }
@@ -155,12 +156,12 @@
         }
     }
 
-    /** Lets this replica count towards majorities though its disk is empty. */
+    /** Lets this replica count towards majorities although its disk is empty. */
     boolean initialize() {
         return participant.found();
     }
 
-    /** Gives the disk up; nothing is confirmed after it. */
+    /** Closes the store; nothing is confirmed afterwards. */
     void close() throws StoreException {
         if (store != null) {
             store.close();
@@ -180,7 +181,7 @@
         try {
             store.snapshot(participant.snapshot());
         } catch (StoreException failed) {
-            // The next write fails as well, and the participant learns of it.
+            // The next write fails as well and reports the failure to the participant.
             LOG.atError()
                     .addKeyValue("event", "store")
                     .log("changes: the log cannot be compacted: {}", failed.getMessage());
@@ -190,7 +191,7 @@
     private void scheduleTimer() {
         long wakeUs = participant.wakeAtUs();
         if (timer != null && timerAtUs <= wakeUs && !timer.isDone()) {
-            return; // It looks again when that one has run.
+            return; // The timer is scheduled again after the pending one has run.
         }
         if (timer != null) {
             timer.cancel(false);
@@ -227,7 +228,7 @@
 
     private boolean isUnknownSender(String from, Message message) {
         if (message instanceof Message.Poll || message instanceof Message.Ack) {
-            return false; // Whoever is of the fleet may follow.
+            return false; // Any member of the fleet may follow.
         }
         return !config.replicas().contains(from) && !config.sources().contains(from);
     }
@@ -252,7 +253,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            LOG.atWarn().addKeyValue("event", "socket").log("changes: {}", cause.toString());
+            LOG.atWarn().addKeyValue("event", "socket").log("changes socket: {}", cause.toString());
         }
     }
 
@@ -303,10 +304,10 @@
             store.append(records);
             return true;
         } catch (StoreException failed) {
-            // Told once: nothing is forced again after a failure.
+            // Logged once, as nothing is forced to disk after a failure.
             LOG.atError()
                     .addKeyValue("event", "store")
-                    .log("changes are not durable here: {}", failed.getMessage());
+                    .log("changes cannot be written to disk: {}", failed.getMessage());
             return false;
         }
     }
@@ -326,8 +327,8 @@
         LOG.atWarn()
                 .addKeyValue("event", "changes")
                 .addKeyValue("term", term)
-                .log("this replica leads no longer: {}", reason);
-        // Later, as the lease may be the caller's caller.
+                .log("this replica is no longer the leader: {}", reason);
+        // Deferred, as the duty's candidate may be further up the call stack.
         loop.execute(giveUpDuty);
     }
 }
--- a/src/main/java/passhatch/agent/ChangesStore.java
+++ b/src/main/java/passhatch/agent/ChangesStore.java
@@ -18,28 +18,29 @@
 import passhatch.store.StoreException;
 
 /**
- * The disk of a participant in the distribution of changes. Records that were written together are
- * replayed together or not at all: what a crash left of a group without its last record is passed
- * over.
+ * The records on disk of a participant in the distribution of changes. Records written together are
+ * replayed together or not at all: after a crash, a group without its last record is skipped.
  */
 final class ChangesStore implements AutoCloseable {
 
-    /** Kinds of entries: a record alone, or its place in a group of several. */
+    /** Kinds of entries: a single record, or the position of a record in a group. */
     private static final int KIND_SINGLE = 1;
 
     private static final int KIND_FIRST = 2;
     private static final int KIND_MIDDLE = 3;
     private static final int KIND_LAST = 4;
 
-    /** The services whose keys the records cover, one a line; of subscribers only. */
+    /** The services whose keys the records cover, one per line; for subscribers only. */
     private static final int KIND_SERVICES = 5;
 
-    /** Bytes of records that are forced at once; a larger group is written in several parts. */
+    /**
+     * Most bytes of records that are forced to disk at once; a larger group is written in chunks.
+     */
     private static final int MAX_FORCED_BYTES = 1 << 20;
 
     private final RecordLog recordLog;
 
-    /** One a line; null for other roles than a subscriber's. */
+    /** One per line; null unless this is a subscriber. */
     private final String services;
 
     private final List<DiskRecord> incompleteGroup = new ArrayList<>();
@@ -65,9 +66,9 @@
      * Opens the store.
      *
      * @param services that a subscriber wants; empty for other roles
-     * @throws StoreException where a replica's records are damaged, where they are another owner's,
-     *     or the disk fails
-     * @throws IOException where a record cannot be read, as it is a newer program's
+     * @throws StoreException if a replica's records are damaged, if they belong to another owner,
+     *     or if the disk fails
+     * @throws IOException if a record cannot be read because a newer release wrote it
      */
     static ChangesStore open(Disk disk, String name, Role role, Collection<String> services)
             throws IOException, StoreException {
@@ -78,7 +79,7 @@
         }
     }
 
-    /** The same in a folder, which is made where it is not there. */
+    /** Opens the store in a folder, which is created if it does not exist. */
     static ChangesStore open(Path folder, String name, Role role, Collection<String> services)
             throws IOException, StoreException {
         FolderDisk disk = FolderDisk.take(folder);
@@ -90,7 +91,7 @@
         }
     }
 
-    /** A record whose checksum is right, but which this program cannot read. */
+    /** Thrown for a record whose checksum matches but which this program cannot read. */
     private static final class UnreadableRecordException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -119,8 +120,9 @@
     }
 
     /**
-     * What the records say of values, without their versions: the keys of further services were
-     * passed over, so the whole state is needed. The old values serve until it is there.
+     * Returns the values of the records without their versions. The keys of the services added
+     * since were skipped, so the whole state must be fetched; the old values serve until it is
+     * received.
      */
     private static List<DiskRecord> withoutVersions(List<DiskRecord> records) {
         List<DiskRecord> values = new ArrayList<>();
@@ -136,19 +138,19 @@
         return values;
     }
 
-    /** What was on disk when it was opened, in the order written; to be had once. */
+    /** Returns the records found on opening, in the order written; empty when called again. */
     List<DiskRecord> takeRecords() {
         List<DiskRecord> all = records;
         records = List.of();
         return all;
     }
 
-    /** What opening had to note. */
+    /** Warnings from opening the store. */
     List<String> warnings() {
         return recordLog.notes();
     }
 
-    /** Returns once all of these records are on disk; after a crash all of them count, or none. */
+    /** Makes records durable; after a crash either all of them are replayed or none. */
     void append(List<DiskRecord> group) throws StoreException {
         List<Entry> chunk = new ArrayList<>();
         int chunkBytes = 0;
@@ -175,12 +177,12 @@
         return index == 0 ? KIND_FIRST : index == size - 1 ? KIND_LAST : KIND_MIDDLE;
     }
 
-    /** Whether so much was written that {@link #snapshot} is worth its cost. */
+    /** Whether the log has grown enough for a {@link #snapshot} to be worth its cost. */
     boolean wantsSnapshot() {
         return recordLog.wantsSnapshot();
     }
 
-    /** Puts records in the place of all that was written so far. */
+    /** Replaces everything written so far by these records. */
     void snapshot(List<DiskRecord> state) throws StoreException {
         List<Entry> entries = new ArrayList<>();
         if (services != null) {
--- a/src/main/java/passhatch/agent/DatagramListener.java
+++ b/src/main/java/passhatch/agent/DatagramListener.java
@@ -11,19 +11,20 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** Opens the UDP sockets on which an agent hears other processes. */
+/** Binds the UDP sockets on which an agent receives datagrams. */
 final class DatagramListener {
 
-    /** More than is allowed, so that a datagram that is too long is seen to be. */
+    /** More than the largest valid datagram, so that longer ones are recognized and dropped. */
     private static final int RECEIVE_BYTES = 512;
 
     private DatagramListener() {}
 
     /**
-     * Binds a socket and hands what comes to a handler, on the loop. On no thread of the loop.
+     * Binds a socket whose datagrams are passed to a handler on the loop. Must not be called on a
+     * thread of the loop.
      *
-     * @param maxDatagramsPerRead how many are read in one turn of the loop at most
-     * @throws IOException where the address cannot be used
+     * @param maxDatagramsPerRead most datagrams that are read before the loop turns to other work
+     * @throws IOException if the address cannot be used
      */
     static Channel bind(
             EventLoop loop,
--- a/src/main/java/passhatch/agent/DutyListener.java
+++ b/src/main/java/passhatch/agent/DutyListener.java
@@ -1,15 +1,15 @@
 package passhatch.agent;
 
-/** A part of this process that acts while it has a duty. */
+/** A part of this process that acts while the process holds a duty. */
 interface DutyListener {
 
     /**
-     * The duty is this process's.
+     * Called when this process has acquired the duty.
      *
      * @param term the fencing token
      */
     void granted(long term);
 
-    /** The duty is this process's no more. */
+    /** Called when this process no longer holds the duty. */
     void lost(long term);
 }
--- a/src/main/java/passhatch/agent/DutyNode.java
+++ b/src/main/java/passhatch/agent/DutyNode.java
@@ -24,8 +24,8 @@
 import passhatch.store.StoreException;
 
 /**
- * Drives the duties of this machine's agent on its event loop: as a voter, where it is one, and as
- * candidate.
+ * Drives the duties of this machine's agent on its event loop: as a candidate, and as a voter if it
+ * is one.
  */
 final class DutyNode {
 
@@ -42,7 +42,7 @@
     private final Map<String, WantedDuty> candidates = new TreeMap<>();
     private Voter voter;
 
-    /** One duty that this process wants. */
+    /** A duty for which this process is a candidate. */
     private final class WantedDuty implements DutyActions {
         private final String duty;
         private final Candidate candidate;
@@ -83,7 +83,7 @@
                     .addKeyValue("event", "duty")
                     .addKeyValue("duty", duty)
                     .addKeyValue("term", term)
-                    .log("this process has the duty");
+                    .log("duty acquired");
             if (listener != null) {
                 listener.granted(term);
             }
@@ -95,7 +95,7 @@
                     .addKeyValue("event", "duty")
                     .addKeyValue("duty", duty)
                     .addKeyValue("term", term)
-                    .log("the duty is gone");
+                    .log("duty lost");
             if (listener != null) {
                 listener.lost(term);
             }
@@ -103,10 +103,10 @@
     }
 
     /**
-     * Takes part from now on; on the loop.
+     * Starts the voter and the candidates; to be called on the loop.
      *
-     * @param listeners parts of this process that are told when it has a duty or has it no more;
-     *     their duties are wanted beside those that are configured
+     * @param listeners parts of this process that are notified when a duty is acquired or lost;
+     *     their duties are wanted in addition to the configured ones
      */
     DutyNode(
             EventLoop loop,
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Asks the other voters what this one has forgotten, as long as it does not vote. */
+    /** Asks the other voters for the promises that this one has lost, until it votes. */
     private void recall() {
         if (voter != null && !voter.votes()) {
             config.voters().stream()
@@ -153,7 +153,9 @@
         }
     }
 
-    /** Lets this voter vote without a memory, at the first founding of the voters. */
+    /**
+     * Lets this voter vote without stored promises, when the set of voters is first initialized.
+     */
     String initializeVoter() {
         return voter != null && voter.found()
                 ? "done\n"
@@ -167,7 +169,9 @@
         } catch (StoreException failed) {
             LOG.atError()
                     .addKeyValue("event", "store")
-                    .log("nothing is granted: {}", failed.getMessage());
+                    .log(
+                            "the promise cannot be stored, so nothing is granted: {}",
+                            failed.getMessage());
             return false;
         }
     }
@@ -200,8 +204,8 @@
     }
 
     /**
-     * Whether this process may act on a duty just now: {@code done TERM}, with the token for
-     * whoever carries it out, or {@code error ...}.
+     * Whether this process may act on a duty now: {@code done TERM}, with the fencing token to act
+     * with, or {@code error ...}.
      */
     String act(String duty) {
         WantedDuty wantedDuty = candidates.get(duty);
@@ -212,8 +216,8 @@
     }
 
     /**
-     * Gives a duty up, to another candidate where one is named. It wants it again once a lease is
-     * over.
+     * Releases a duty, to another candidate if one is named. This process becomes a candidate again
+     * after the duration of a lease.
      */
     String giveUp(String duty, String to) {
         WantedDuty wantedDuty = candidates.get(duty);
@@ -232,7 +236,7 @@
         return "done\n";
     }
 
-    /** All that this process knows of the duties, one line. */
+    /** The state of the duties at this process, as one line of JSON. */
     String json() {
         long nowUs = FleetNode.nowUs();
         List<Object> wantedDuties = new ArrayList<>();
--- a/src/main/java/passhatch/agent/FleetNode.java
+++ b/src/main/java/passhatch/agent/FleetNode.java
@@ -30,8 +30,9 @@
 import passhatch.store.StoreException;
 
 /**
- * Drives membership over UDP, on one event loop: whatever has arrived is handed over before a timer
- * runs, so that a process that was held does not accuse others whose answers wait at its socket.
+ * Drives membership over UDP on one event loop. Datagrams that were received are handled before a
+ * timer runs, so that a process that was stalled does not suspect members whose replies wait at its
+ * socket.
  */
 final class FleetNode implements FleetActions {
 
@@ -39,7 +40,10 @@
 
     private static final int MAX_DATAGRAMS_PER_READ = 512;
 
-    /** A thousand members' changes of a moment need not be a thousand lines. */
+    /**
+     * Most changes of members that are logged within an interval, as a thousand members may change
+     * at once.
+     */
     private static final int MAX_LOGGED_CHANGES = 50;
 
     private static final long LOG_INTERVAL_US = 10_000_000;
@@ -64,9 +68,9 @@
     }
 
     /**
-     * Listens and takes part. On no thread of the loop.
+     * Binds the socket and starts the membership. Must not be called on a thread of the loop.
      *
-     * @throws IOException where the address cannot be used
+     * @throws IOException if the address cannot be used
      */
     void start(String version, RandomGenerator random) throws IOException, InterruptedException {
         Channel bound =
@@ -111,12 +115,12 @@
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    /** Who hears messages on duties; on the loop. */
+    /** Sets the listener for duty messages, which is called on the loop. */
     void onDutyMessage(BiConsumer<String, DutyMessage> listener) {
         dutyListener = listener;
     }
 
-    /** Sends a message on duties to a member, as far as its address is known; on the loop. */
+    /** Sends a duty message to a member if its address is known; to be called on the loop. */
     void send(String to, DutyMessage message) {
         int addressIndex = membership.addressIndex(to);
         if (addressIndex >= 0) {
@@ -124,12 +128,12 @@
         }
     }
 
-    /** The state machine; to be asked on the loop only. */
+    /** The state machine; to be used on the loop only. */
     Membership membership() {
         return membership;
     }
 
-    /** Whether it takes part: not where a newer process has its name. */
+    /** Whether this process participates; false if a newer process has its name. */
     boolean participates() {
         return membership != null && !membership.superseded();
     }
@@ -141,7 +145,7 @@
     private void scheduleTimer() {
         long wakeUs = membership.wakeAtUs();
         if (timer != null && timerAtUs <= wakeUs && !timer.isDone()) {
-            return; // It looks again when that one has run.
+            return; // The timer is scheduled again after the pending one has run.
         }
         if (timer != null) {
             timer.cancel(false);
@@ -183,11 +187,13 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            LOG.atWarn().addKeyValue("event", "socket").log("datagrams: {}", cause.toString());
+            LOG.atWarn()
+                    .addKeyValue("event", "socket")
+                    .log("datagram socket: {}", cause.toString());
         }
     }
 
-    /** Takes another list of members; on the loop. */
+    /** Switches to another list of members; to be called on the loop. */
     void reconfigure(AgentConfig.Fleet newer) {
         Map<InetSocketAddress, Integer> newIndexByAddress = indexesByAddress(newer.members());
         int[] newIndexes =
@@ -197,7 +203,7 @@
         LOG.atInfo()
                 .addKeyValue("event", "members-configured")
                 .addKeyValue("gone", Arrays.stream(newIndexes).filter(p -> p < 0).count())
-                .log("{} addresses are configured now", newIndexByAddress.size());
+                .log("the member list has {} addresses now", newIndexByAddress.size());
         config = newer;
         addressIndexes = newIndexByAddress;
         membership.updateAddresses(
@@ -206,8 +212,8 @@
     }
 
     /**
-     * Says that this process goes; on the loop. It has to go on for a second, so that the others
-     * hear it.
+     * Announces that this process leaves; to be called on the loop. The process must run for
+     * another second so that the other members receive the announcement.
      */
     void leave() {
         membership.leave(nowUs());
@@ -230,7 +236,7 @@
         } catch (StoreException failed) {
             LOG.atError()
                     .addKeyValue("event", "store")
-                    .log("epoch {} is not durable: {}", epoch, failed.getMessage());
+                    .log("epoch {} cannot be stored: {}", epoch, failed.getMessage());
             return false;
         }
     }
@@ -242,7 +248,7 @@
             if (suppressedChanges > 0) {
                 LOG.atInfo()
                         .addKeyValue("event", "members")
-                        .log("{} further changes were not told", suppressedChanges);
+                        .log("{} further changes of members were not logged", suppressedChanges);
             }
             logIntervalStartUs = now;
             changesInInterval = 0;
--- a/src/main/java/passhatch/agent/MembersText.java
+++ b/src/main/java/passhatch/agent/MembersText.java
@@ -14,7 +14,7 @@
 import passhatch.fleet.Membership;
 import passhatch.fleet.Status;
 
-/** What operators are told of the members: as JSON, and as figures in the form of {@code vars}. */
+/** Formats the members for operators: as JSON, and as metrics in the format of {@code vars}. */
 final class MembersText {
 
     private MembersText() {}
@@ -23,7 +23,7 @@
         return status.name().toLowerCase(Locale.ROOT);
     }
 
-    /** One line. */
+    /** The members and counters as one line of JSON. */
     static String json(FleetNode node) {
         Membership membership = node.membership();
         List<InetSocketAddress> addresses = node.memberAddresses();
@@ -63,12 +63,12 @@
         }
     }
 
-    /** An address as it is written. */
+    /** The address as IP address and port. */
     static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** A figure a line. */
+    /** The metrics, one per line. */
     static String metrics(FleetNode node) {
         Membership membership = node.membership();
         Membership.Metrics metrics = membership.metrics();
--- a/src/main/java/passhatch/agent/SubmittedChanges.java
+++ b/src/main/java/passhatch/agent/SubmittedChanges.java
@@ -4,19 +4,20 @@
 import java.util.Map;
 
 /**
- * What became of changes submitted at this process: those of a term in which it led, up to a
- * version, are committed. Of the rest it knows nothing once the term is over.
+ * Tracks the outcome of changes submitted at this process. For each term in which it was the
+ * leader, the versions up to a bound are committed; the outcome of later ones is unknown once the
+ * term has ended.
  */
 final class SubmittedChanges {
 
-    /** What is known of a change. */
+    /** The known outcome of a change. */
     enum Outcome {
         COMMITTED,
         PENDING,
         UNKNOWN
     }
 
-    /** Terms that are remembered after they are over. */
+    /** Most terms that are remembered. */
     private static final int MAX_TERMS = 16;
 
     private final Map<Long, Long> committedByTerm =
@@ -31,29 +32,29 @@
     private long term;
     private boolean leading;
 
-    /** A term begins. */
+    /** Starts a term. */
     void beginTerm(long newTerm) {
         term = newTerm;
         leading = true;
         committedByTerm.put(term, 0L);
     }
 
-    /** The term is over. */
+    /** Ends the term. */
     void endTerm() {
         leading = false;
     }
 
-    /** The newest term in which this process had the duty. */
+    /** The newest term in which this process held the duty. */
     long term() {
         return term;
     }
 
-    /** All changes of this term up to a version are committed. */
+    /** Records that all changes of this term up to a version are committed. */
     void committed(long version) {
         committedByTerm.merge(term, version, Math::max);
     }
 
-    /** What is known of a change by its version and the term in which it was submitted. */
+    /** Returns what is known of a change, by its version and the term in which it was submitted. */
     Outcome outcome(long version, long submittedTerm) {
         if (version <= committedByTerm.getOrDefault(submittedTerm, 0L)) {
             return Outcome.COMMITTED;
--- a/src/main/java/passhatch/agent/ValuesFile.java
+++ b/src/main/java/passhatch/agent/ValuesFile.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The file with the values in force, for programs on this machine that read them there. */
+/** Writes the values in force to a file, for other programs on this machine. */
 final class ValuesFile {
 
     private static final Logger LOG = LoggerFactory.getLogger(ValuesFile.class);
@@ -22,7 +22,10 @@
         this.path = path;
     }
 
-    /** Replaces the file, so that a reader sees the values of one version. Failures are logged. */
+    /**
+     * Replaces the file atomically, so that a reader sees the values of one version. Failures are
+     * logged.
+     */
     void replace(long epoch, long version, Map<String, String> values) {
         Map<String, Object> content = new LinkedHashMap<>();
         content.put("epoch", epoch);
@@ -41,7 +44,7 @@
             if (!failed) {
                 LOG.atError()
                         .addKeyValue("event", "changes")
-                        .log("the values in force cannot be published: {}", unwritable.toString());
+                        .log("the values file cannot be written: {}", unwritable.toString());
             }
             failed = true;
         }
--- a/src/main/java/passhatch/agent/config/TomlFile.java
+++ b/src/main/java/passhatch/agent/config/TomlFile.java
@@ -25,8 +25,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A file in TOML, read into records. Of a bad one it says which file, which key or line, and what
- * was expected there. Times are written like {@code "250ms"}, {@code "5s"} or {@code "2m"}.
+ * A TOML file that is read into records. Errors name the file, the key or line, and what was
+ * expected. Times are written like {@code "250ms"}, {@code "5s"} or {@code "2m"}.
  */
 public final class TomlFile {
 
@@ -50,7 +50,7 @@
         this.tree = tree;
     }
 
-    /** Reads a file; nothing is checked yet but that it is TOML. */
+    /** Reads a file; checks only that it is valid TOML. */
     public static TomlFile read(Path file) {
         try {
             return of(file.toString(), Files.readString(file));
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Reads a text that stands in a file of this name. */
+    /** Parses a text as the content of a file with this name. */
     public static TomlFile of(String name, String text) {
         try {
             return new TomlFile(name, TOML.readTree(text).deepCopy());
@@ -78,12 +78,12 @@
         return name;
     }
 
-    /** What stands in it, to be looked at or changed before {@link #as}. */
+    /** The parsed content, which may be changed before {@link #as}. */
     public ObjectNode tree() {
         return tree;
     }
 
-    /** The same with values, given as TOML, for what it leaves out. */
+    /** Returns the file with defaults, given as TOML, for the keys that it omits. */
     public TomlFile withDefaults(String defaults) {
         ObjectNode merged = of(name, defaults).tree;
         merge(merged, tree);
@@ -104,7 +104,7 @@
                         });
     }
 
-    /** As a record of this type. */
+    /** Converts the content to a record of this type. */
     public <T> T as(Class<T> type) {
         try {
             return TOML.treeToValue(tree, type);
@@ -125,7 +125,10 @@
         }
     }
 
-    /** Has a condition hold, or says which key should have had what. */
+    /**
+     * Throws {@link InvalidInputException} with the key and what was expected if the condition does
+     * not hold.
+     */
     public void require(boolean condition, String key, String expected) {
         if (!condition) {
             throw new InvalidInputException(name + ": " + key + ": expected " + expected);
@@ -162,7 +165,7 @@
         return text.lines().findFirst().orElse(text);
     }
 
-    /** Times like 250ms, 5s, 2m, 0.5s. */
+    /** Parses times like 250ms, 5s, 2m or 0.5s. */
     private static final class DurationDeserializer extends StdDeserializer<Duration> {
         private static final long serialVersionUID = 1L;
         private static final Pattern FORMAT =
--- a/src/main/java/passhatch/agent/config/package-info.java
+++ b/src/main/java/passhatch/agent/config/package-info.java
@@ -1,2 +1,2 @@
-/** Reads configuration and other files in TOML, and says clearly what is wrong with a bad one. */
+/** Reads configuration and other files in TOML and reports errors in them. */
 package passhatch.agent.config;
--- a/src/main/java/passhatch/agent/package-info.java
+++ b/src/main/java/passhatch/agent/package-info.java
@@ -1,2 +1,5 @@
-/** The process on each machine that drives the fleet's state machines over sockets and disk. */
+/**
+ * The agent: the process on each machine that drives the fleet's state machines over sockets and
+ * disk.
+ */
 package passhatch.agent;
--- a/src/main/java/passhatch/fleet/AddressTable.java
+++ b/src/main/java/passhatch/fleet/AddressTable.java
@@ -1,8 +1,9 @@
 package passhatch.fleet;
 
 /**
- * Who is at which place of the list of addresses. Kept in pages that are never written to: a change
- * replaces the page, so that a copy of the table shares all pages that neither has changed since.
+ * The name of the member at each index of the address list. It is stored in immutable pages: a
+ * change replaces the page, so that copies of the table share the pages that neither has changed
+ * since.
  */
 final class AddressTable {
 
@@ -16,7 +17,7 @@
         this.pages = new String[(length + PAGE_SIZE - 1) / PAGE_SIZE][];
     }
 
-    /** A copy that shares what does not change. */
+    /** Creates a copy that shares unchanged pages. */
     AddressTable(AddressTable other) {
         this.length = other.length;
         this.pages = other.pages.clone();
@@ -26,13 +27,13 @@
         return length;
     }
 
-    /** The name at an address, or null. */
+    /** The name at an index, or null. */
     String get(int addressIndex) {
         String[] page = pages[addressIndex / PAGE_SIZE];
         return page == null ? null : page[addressIndex % PAGE_SIZE];
     }
 
-    /** Takes a name for an address; null where nobody is there any more. */
+    /** Sets the name at an index; null if no member is there any more. */
     void set(int addressIndex, String name) {
         String[] page = pages[addressIndex / PAGE_SIZE];
         String[] changed = page == null ? new String[PAGE_SIZE] : page.clone();
--- a/src/main/java/passhatch/fleet/AntiEntropy.java
+++ b/src/main/java/passhatch/fleet/AntiEntropy.java
@@ -6,18 +6,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Brings views together that news did not: two processes compare digests from the root downwards
- * and tell each other what is at the leaves where they differ. Each answer follows from the one
- * datagram it answers.
+ * Reconciles views that gossip left different. Two processes compare digests from the root of the
+ * tree downwards and send each other their updates of the leaves that differ. A reply depends only
+ * on the datagram that it answers.
  */
 final class AntiEntropy {
 
     /**
-     * Children that are followed up at a time, so that one datagram does not bring hundreds back.
+     * Most children that are followed up after one comparison, so that one datagram does not cause
+     * hundreds of replies.
      */
     private static final int MAX_CHILDREN_PER_REPLY = 4;
 
-    /** Comparisons in quick order after one that found a difference: some datagrams get lost. */
+    /**
+     * Comparisons at the short interval after one that found a difference; several, because
+     * datagrams get lost.
+     */
     private static final int EAGER_ROUNDS = 8;
 
     private final View view;
@@ -32,8 +36,8 @@
     }
 
     /**
-     * Begins with one member; returns whether to do so again soon, as a difference was found
-     * lately.
+     * Starts a comparison with one member. Returns whether the next one is due soon, because a
+     * difference was found recently.
      */
     boolean start(Member peer) {
         outbox.sendSync(peer.addressIndex(), Digests.ROOT, view.digests().children(Digests.ROOT));
@@ -41,7 +45,10 @@
         return eagerRoundsLeft > 0;
     }
 
-    /** Somebody's digests of a node. */
+    /**
+     * Compares another process's digests of a node with this process's and follows up the
+     * differences.
+     */
     void onDigests(int senderIndex, int node, int[] digests) {
         int[] ownDigests = view.digests().children(node);
         List<Integer> different = new ArrayList<>();
@@ -68,7 +75,10 @@
         }
     }
 
-    /** Somebody's facts at a leaf, which were heard already: tells what they do not have. */
+    /**
+     * Replies to another process's updates of a leaf, which were applied already, with those that
+     * it lacks.
+     */
     void onLeaf(int senderIndex, int leaf, List<MemberUpdate> receivedUpdates) {
         List<MemberUpdate> missing = updatesAtLeaf(leaf, receivedUpdates);
         if (!missing.isEmpty()) {
@@ -90,7 +100,7 @@
                                                                             .incarnation())
                                                     && update.status() == member.status());
             if (!alreadyKnown) {
-                // Drawn order: where not all fit, each comes at some time.
+                // Random order, so that each update is sent eventually if not all of them fit.
                 updates.add(random.nextInt(updates.size() + 1), member.lastUpdate());
             }
         }
--- a/src/main/java/passhatch/fleet/CborReader.java
+++ b/src/main/java/passhatch/fleet/CborReader.java
@@ -5,44 +5,46 @@
 import java.io.IOException;
 
 /**
- * Reads a datagram's fields one after the other; what is not as it has to be is an {@link
- * IOException}.
+ * Reads the fields of a datagram in order; throws an {@link IOException} for unexpected content.
  */
 public final class CborReader {
 
     private final JsonParser cbor;
 
-    /** Reads on from where the parser stands. */
+    /** Reads from the current position of the parser. */
     public CborReader(JsonParser cbor) {
         this.cbor = cbor;
     }
 
-    /** Goes into an array. */
+    /** Enters an array. */
     public void beginArray() throws IOException {
         require(cbor.nextToken() == JsonToken.START_ARRAY);
     }
 
-    /** Goes into an array, or to the end of the one around it; whether it was the first. */
+    /**
+     * Enters the next array and returns true, or reaches the end of the enclosing array and returns
+     * false.
+     */
     public boolean beginArrayOrEnd() throws IOException {
         JsonToken token = cbor.nextToken();
         require(token == JsonToken.START_ARRAY || token == JsonToken.END_ARRAY);
         return token == JsonToken.START_ARRAY;
     }
 
-    /** A text. */
+    /** Reads a text. */
     public String readText() throws IOException {
         require(cbor.nextToken() == JsonToken.VALUE_STRING);
         return cbor.getText();
     }
 
-    /** A text as {@link Names#isLabel} has it. */
+    /** Reads a text that satisfies {@link Names#isLabel}. */
     public String readLabel() throws IOException {
         String text = readText();
         require(Names.isLabel(text));
         return text;
     }
 
-    /** A whole number within bounds. */
+    /** Reads a whole number within bounds, both inclusive. */
     public long readLong(long min, long max) throws IOException {
         require(cbor.nextToken() == JsonToken.VALUE_NUMBER_INT);
         long value = cbor.getLongValue();
@@ -50,32 +52,32 @@
         return value;
     }
 
-    /** A text, or null where there is none. */
+    /** Reads a text or null. */
     public String readTextOrNull() throws IOException {
         JsonToken token = cbor.nextToken();
         require(token == JsonToken.VALUE_STRING || token == JsonToken.VALUE_NULL);
         return token == JsonToken.VALUE_NULL ? null : cbor.getText();
     }
 
-    /** True or false. */
+    /** Reads a boolean. */
     public boolean readBoolean() throws IOException {
         JsonToken token = cbor.nextToken();
         require(token == JsonToken.VALUE_TRUE || token == JsonToken.VALUE_FALSE);
         return token == JsonToken.VALUE_TRUE;
     }
 
-    /** The same within the bounds of an int. */
+    /** Reads a whole number within bounds, both inclusive. */
     public int readInt(int min, int max) throws IOException {
         return (int) readLong(min, max);
     }
 
-    /** Bytes. */
+    /** Reads a byte string. */
     public byte[] readBytes() throws IOException {
         require(cbor.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
         return cbor.getBinaryValue();
     }
 
-    /** Goes to the end of the array, over fields of a later program. */
+    /** Skips to the end of the current array, over fields added by a later release. */
     public void skipToArrayEnd() throws IOException {
         JsonToken token = cbor.nextToken();
         while (token != null && token != JsonToken.END_ARRAY) {
@@ -85,15 +87,15 @@
         require(token == JsonToken.END_ARRAY);
     }
 
-    /** Nothing may follow. */
+    /** Requires that nothing follows. */
     void requireEnd() throws IOException {
         require(cbor.nextToken() == null);
     }
 
-    /** Has a condition hold. */
+    /** Throws an {@link IOException} if the condition does not hold. */
     public static void require(boolean condition) throws IOException {
         if (!condition) {
-            throw new IOException("not a message");
+            throw new IOException("malformed content");
         }
     }
 }
--- a/src/main/java/passhatch/fleet/Codec.java
+++ b/src/main/java/passhatch/fleet/Codec.java
@@ -10,13 +10,13 @@
 import java.util.List;
 
 /**
- * Datagrams as bytes: a version, a CRC32C of the rest, and the rest as a CBOR array. Within a
- * version fields may be added at the end of an array, and who does not know them passes over them,
- * so that two versions of the program can live together.
+ * Encodes messages as datagrams: a version byte, a CRC32C of everything else, and a CBOR array.
+ * Within a version, fields may be added at the end of an array; readers skip fields that they do
+ * not know, so that two releases of the program can interoperate.
  */
 final class Codec {
 
-    /** The version that this program speaks and understands. */
+    /** The format version that this program writes and reads. */
     static final byte VERSION = 1;
 
     private static final int FIELDS = 8;
@@ -26,12 +26,12 @@
     private static final Status[] STATUSES = Status.values();
     private static final CBORFactory CBOR = new CBORFactory();
 
-    /** Facts and labels come again and again; all memberships in one process share them. */
+    /** Updates and labels recur, so all memberships in one process share equal instances. */
     private static final Interner<MemberUpdate> UPDATE_POOL = new Interner<>(4096);
 
     private static final Interner<String> LABEL_POOL = new Interner<>(64);
 
-    /** Why a datagram was not taken. */
+    /** Says why a datagram was rejected. */
     static final class RejectedException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient DropReason reason;
@@ -48,14 +48,14 @@
 
     private final String fleetName;
 
-    /** For datagrams of one fleet. */
+    /** Creates a codec for the datagrams of one fleet. */
     Codec(String fleetName) {
         this.fleetName = fleetName;
     }
 
-    /** Bytes that a message takes without its facts, at most. */
+    /** Upper bound on the encoded size of a message without its updates, in bytes. */
     int sizeWithoutUpdates(Message message) {
-        // Two for the head of the list of facts, where there are 24 or more.
+        // The header of the list of updates takes two bytes from 24 entries on.
         return Frame.HEADER_BYTES
                 + 1
                 + textSize(fleetName)
@@ -68,7 +68,7 @@
                 + 2;
     }
 
-    /** Bytes that a fact takes. */
+    /** Encoded size of an update, in bytes. */
     static int size(MemberUpdate update) {
         int size =
                 1
@@ -147,7 +147,7 @@
         cbor.writeEndArray();
     }
 
-    /** Reads a datagram; whatever it is, the answer is a message within its bounds or a reason. */
+    /** Decodes a datagram into a message within its bounds, or rejects it with a reason. */
     Message decode(byte[] bytes) throws RejectedException {
         DropReason rejection = Frame.dropReason(VERSION, bytes);
         if (rejection != null) {
--- a/src/main/java/passhatch/fleet/Digests.java
+++ b/src/main/java/passhatch/fleet/Digests.java
@@ -1,18 +1,18 @@
 package passhatch.fleet;
 
 /**
- * Digests of a view as a tree of a root, 16 inner nodes and 256 leaves, so that two processes find
- * where they differ in a few datagrams (Merkle trees for anti-entropy as in Demers et al.,
+ * Digests of a view as a tree with a root, 16 inner nodes and 256 leaves, with which two processes
+ * find their differences in a few datagrams (Merkle trees for anti-entropy as in Demers et al.,
  * "Epidemic Algorithms for Replicated Database Maintenance", 1987, and Dynamo).
  *
- * <p>Suspicion is left out: it comes and goes faster than digests are compared.
+ * <p>A suspect counts as alive, because suspicions change faster than digests are compared.
  */
 final class Digests {
 
     static final int CHILDREN = 16;
     static final int LEAVES = CHILDREN * CHILDREN;
 
-    /** The root's number as a node. */
+    /** The node number of the root. */
     static final int ROOT = -1;
 
     private static final int HASH_MULTIPLIER = 0x9E3779B9;
@@ -23,22 +23,22 @@
         leaves = new int[LEAVES];
     }
 
-    /** A copy. */
+    /** Creates a copy. */
     Digests(Digests other) {
         leaves = other.leaves.clone();
     }
 
-    /** The leaf of a member, by {@link Names#hash} of its name. */
+    /** The leaf of a member, from {@link Names#hash} of its name. */
     static int leafIndex(int nameHash) {
         return nameHash & LEAVES - 1;
     }
 
-    /** Adds a statement, or takes it away again. */
+    /** Adds an update to its leaf, or removes it if it was added before. */
     void toggle(MemberUpdate update) {
         Status digestedStatus = update.status() == Status.SUSPECT ? Status.ALIVE : update.status();
         int hash = Names.hash(update.name());
         int digest = mix(hash, Long.hashCode(update.incarnation().epoch()));
-        // As a long, as on the wire: the sign of the number counts.
+        // Sign-extended to a long, as it is encoded on the wire.
         digest = mix(digest, Long.hashCode(update.incarnation().runId()));
         digest = mix(digest, update.incarnation().refutation());
         digest = mix(digest, digestedStatus.ordinal());
@@ -51,7 +51,7 @@
         return x * HASH_MULTIPLIER ^ x >>> 13;
     }
 
-    /** The children's digests of an inner node or of the root. */
+    /** The digests of the children of an inner node or of the root. */
     int[] children(int node) {
         int[] digests = new int[CHILDREN];
         for (int i = 0; i < CHILDREN; i++) {
@@ -68,7 +68,9 @@
         return digest;
     }
 
-    /** Two views are the same but for suspicion where this is. */
+    /**
+     * The digest of the whole view; equal digests mean views that are equal except for suspicions.
+     */
     int root() {
         int digest = 1;
         for (int leaf : leaves) {
--- a/src/main/java/passhatch/fleet/DropReason.java
+++ b/src/main/java/passhatch/fleet/DropReason.java
@@ -2,26 +2,26 @@
 
 import java.util.Locale;
 
-/** Why a datagram was not taken, or not sent. */
+/** Why a datagram was dropped on receipt, or not sent. */
 public enum DropReason {
-    /** Too long or too short. */
+    /** It is too long or too short. */
     SIZE,
-    /** Of a version that this program does not speak. */
+    /** Its format version is not one that this program reads. */
     VERSION,
-    /** Its checksum does not fit. */
+    /** Its checksum does not match. */
     CHECKSUM,
-    /** Of another fleet. */
+    /** It belongs to another fleet. */
     FLEET,
-    /** Not a message, or one out of its bounds. */
+    /** It is not a message, or a field is out of bounds. */
     FORM,
-    /** From an address that is not configured. */
+    /** It was received from an address that is not configured. */
     STRANGER,
-    /** Our own, come back. */
+    /** It was sent by this process itself. */
     ECHO,
-    /** Not sent, as the bytes of this second are spent. */
+    /** It was not sent because the rate limit is reached. */
     BUDGET;
 
-    /** As it is written in figures. */
+    /** The name in metrics and JSON. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/passhatch/fleet/FleetActions.java
+++ b/src/main/java/passhatch/fleet/FleetActions.java
@@ -1,20 +1,22 @@
 package passhatch.fleet;
 
-/** What the state machine asks of whoever drives it. All calls come within a call to it. */
+/**
+ * Actions that the membership state machine requires of its driver. They are called only from
+ * within a call to the state machine.
+ */
 public interface FleetActions {
 
-    /** Sends a datagram to the address at this place of the list; it may get lost. */
+    /** Sends a datagram to the address at this index of the address list; it may get lost. */
     void send(int addressIndex, byte[] datagram);
 
     /**
-     * Makes this epoch durable. It is used only if this returns true, and then no start may ever
-     * use it again.
+     * Makes an epoch durable. Returns whether it may be used; no later start may then use it again.
      */
     boolean persistEpoch(long epoch);
 
-    /** What is thought of a member has changed. {@code before} is null for one not known so far. */
+    /** Called when the status of a member changes; {@code before} is null for a new member. */
     void memberChanged(Status before, MemberInfo after);
 
-    /** Something that those on call should read; one line. */
+    /** Reports a condition that needs an operator's attention, in one line. */
     void warn(String text);
 }
--- a/src/main/java/passhatch/fleet/FleetSettings.java
+++ b/src/main/java/passhatch/fleet/FleetSettings.java
@@ -1,18 +1,18 @@
 package passhatch.fleet;
 
 /**
- * How one process takes part in a fleet. Other processes' addresses are known here by their place
- * in the configured list only, from 0; what stands there is the driver's business.
+ * Settings of one process in a fleet. The state machine knows addresses only by their index in the
+ * configured list, from 0; the driver resolves them.
  *
- * @param fleetName its name; datagrams of others are dropped
- * @param name this process's, the same after a restart and unlike all others'
- * @param version of the program that it runs
- * @param roles what it is there for, separated by commas; may be empty
- * @param ownAddressIndex place of its own address in the list, or -1
- * @param addressCount how many there are in the list, its own among them
- * @param probePeriodUs between two probes, in microseconds; all other times follow from it
- * @param bytesPerSecond that are sent at most
- * @param forgetAfterUs how long one that failed or left is still shown, in microseconds
+ * @param fleetName name of the fleet; datagrams of other fleets are dropped
+ * @param name of this process; stable across restarts and unique in the fleet
+ * @param version of the program that this process runs
+ * @param roles of this process, separated by commas; may be empty
+ * @param ownAddressIndex index of its own address in the list, or -1
+ * @param addressCount length of the list, including its own address
+ * @param probePeriodUs time between two probes, in microseconds; all other intervals follow from it
+ * @param bytesPerSecond most bytes that are sent in a second
+ * @param forgetAfterUs how long a member that failed or left is still listed, in microseconds
  */
 public record FleetSettings(
         String fleetName,
@@ -25,7 +25,7 @@
         long bytesPerSecond,
         long forgetAfterUs) {
 
-    /** The same with another list. */
+    /** Returns the same settings with another address list. */
     FleetSettings withAddresses(int newOwnAddressIndex, int newAddressCount) {
         return new FleetSettings(
                 fleetName,
--- a/src/main/java/passhatch/fleet/Frame.java
+++ b/src/main/java/passhatch/fleet/Frame.java
@@ -4,26 +4,26 @@
 import java.util.zip.CRC32C;
 
 /**
- * What all datagrams of the fleet begin with: a byte that says which format follows, and a CRC32C
- * of the rest.
+ * The header that all datagrams of the fleet share: a byte for the format of the content, and a
+ * CRC32C of everything else.
  */
 public final class Frame {
 
-    /** The most bytes of a datagram on the platform. */
+    /** The largest datagram that the platform allows. */
     public static final int MAX_BYTES = 256;
 
-    /** Bytes before the content. */
+    /** Size of the header. */
     public static final int HEADER_BYTES = 5;
 
     private Frame() {}
 
-    /** Puts the checksum into a datagram that is complete but for it. */
+    /** Sets the checksum of a datagram that is otherwise complete, and returns it. */
     static byte[] withChecksum(byte[] bytes) {
         ByteBuffer.wrap(bytes).putInt(1, crc(bytes));
         return bytes;
     }
 
-    /** A datagram of this format with this content. */
+    /** Builds a datagram of this format with this content. */
     public static byte[] of(byte format, byte[] content) {
         return withChecksum(
                 ByteBuffer.allocate(HEADER_BYTES + content.length)
@@ -33,7 +33,7 @@
                         .array());
     }
 
-    /** Why a datagram cannot be of this format, or null. */
+    /** Why a datagram is not a valid one of this format, or null if it is. */
     public static DropReason dropReason(byte format, byte[] bytes) {
         if (bytes.length > MAX_BYTES || bytes.length <= HEADER_BYTES) {
             return DropReason.SIZE;
--- a/src/main/java/passhatch/fleet/GossipQueue.java
+++ b/src/main/java/passhatch/fleet/GossipQueue.java
@@ -8,12 +8,12 @@
 import java.util.TreeSet;
 
 /**
- * News that others should hear, each a bounded number of times: what was told least often goes
- * first, and of those the latest (SWIM: Das, Gupta, Motivala, 2002, 4.1).
+ * Updates to gossip, each a bounded number of times: those sent least often first, and among equals
+ * the most recent (SWIM: Das, Gupta, Motivala, 2002, 4.1).
  */
 final class GossipQueue {
 
-    /** After so many that do not fit, a datagram is full enough. */
+    /** After this many updates that do not fit, the datagram counts as full. */
     private static final int MAX_MISSES = 4;
 
     private static final Comparator<Item> ORDER =
@@ -39,13 +39,13 @@
         return items.size();
     }
 
-    /** All that there is to tell is known already. */
+    /** Removes all updates, as all members know them already. */
     void clear() {
         byMember.clear();
         items.clear();
     }
 
-    /** Tells this from now on, instead of what was told of the member before. */
+    /** Queues an update in place of an earlier one about the same member. */
     void add(MemberUpdate update) {
         Item item = new Item(update, nextSequence++);
         Item previous = byMember.put(update.name(), item);
@@ -56,10 +56,10 @@
     }
 
     /**
-     * Takes facts for one datagram.
+     * Takes updates for one datagram.
      *
      * @param maxBytes bytes that they may take
-     * @param maxSends that a fact is told before it is news no more
+     * @param maxSends how often an update is sent before it is removed
      */
     List<MemberUpdate> take(int maxBytes, int maxSends) {
         List<Item> taken = new ArrayList<>();
--- a/src/main/java/passhatch/fleet/Incarnation.java
+++ b/src/main/java/passhatch/fleet/Incarnation.java
@@ -3,11 +3,11 @@
 import java.util.Comparator;
 
 /**
- * Tells a member's statements about itself apart by age: the greater one is newer.
+ * Orders a member's statements about itself; the greater incarnation is newer.
  *
- * @param epoch grows with each start of the process and is on disk before it is used; 0 or more
- * @param runId drawn at random at each start, so that two processes of one name and epoch differ
- * @param refutation grows each time that the process denies what is said of it; 0 or more
+ * @param epoch grows with each start of the process and is durable before it is used; 0 or more
+ * @param runId drawn at random at each start, so that two processes with one name and epoch differ
+ * @param refutation grows each time the process refutes an update about itself; 0 or more
  */
 public record Incarnation(long epoch, int runId, int refutation)
         implements Comparable<Incarnation> {
@@ -22,7 +22,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** Whether both are of the same run of one process. */
+    /** Whether both belong to the same run of one process. */
     boolean sameRun(Incarnation other) {
         return epoch == other.epoch && runId == other.runId;
     }
--- a/src/main/java/passhatch/fleet/Interner.java
+++ b/src/main/java/passhatch/fleet/Interner.java
@@ -3,19 +3,19 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * Keeps the latest of equal values, so that a value that arrives again and again is held in memory
- * once. Of values that fall on one place only the last is known; the others are just not shared.
+ * Interns values, so that a value that is received repeatedly is held in memory once. Each slot
+ * keeps only the latest value that hashes to it; earlier values are then no longer shared.
  */
 final class Interner<T> {
 
     private final AtomicReferenceArray<T> slots;
 
-    /** {@code size} is a power of two. */
+    /** Creates an interner with {@code size} slots, a power of two. */
     Interner(int size) {
         slots = new AtomicReferenceArray<>(size);
     }
 
-    /** An equal value that was seen lately, or this one. */
+    /** Returns an equal value seen earlier if it is still held, or else this one. */
     T intern(T value) {
         int hash = value.hashCode();
         int slot = (hash ^ hash >>> Short.SIZE) & slots.length() - 1;
--- a/src/main/java/passhatch/fleet/LocalHealth.java
+++ b/src/main/java/passhatch/fleet/LocalHealth.java
@@ -1,9 +1,9 @@
 package passhatch.fleet;
 
 /**
- * How far this process is to be trusted in what it says of others: the worse, the longer it waits
- * before it accuses (Lifeguard: Dadgar, Phillips, Currey, "Lifeguard: SWIM-ing with Situational
- * Awareness", 2017).
+ * Lifeguard's local health score: the worse it is, the less reliably this process can judge others,
+ * and the longer it waits before it suspects them (Dadgar, Phillips, Currey, "Lifeguard: SWIM-ing
+ * with Situational Awareness", 2017).
  */
 final class LocalHealth {
 
@@ -11,12 +11,12 @@
 
     private int score;
 
-    /** From 0, all is well, to 8. */
+    /** From 0 (healthy) to 8. */
     int score() {
         return score;
     }
 
-    /** What waiting times are multiplied by. */
+    /** The factor by which timeouts are multiplied. */
     int timeoutMultiplier() {
         return 1 + score;
     }
--- a/src/main/java/passhatch/fleet/LocalMember.java
+++ b/src/main/java/passhatch/fleet/LocalMember.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What this process says of itself. */
+/** The state that this process announces about itself. */
 final class LocalMember {
 
     private final String name;
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Whether a newer process has this name: then this one takes no part but to hear when that one
-     * ends.
+     * Whether a newer process has this name. This process then does not participate, but still
+     * receives updates so that it notices when the newer one ends.
      */
     boolean superseded() {
         return superseded;
--- a/src/main/java/passhatch/fleet/Member.java
+++ b/src/main/java/passhatch/fleet/Member.java
@@ -1,8 +1,8 @@
 package passhatch.fleet;
 
 /**
- * What this process knows of one member. Immutable, so that views in one process can share it until
- * one of them changes its mind.
+ * What this process knows of one member. Immutable, so that several views in one process can share
+ * it until one of them changes.
  */
 final class Member {
 
@@ -47,18 +47,23 @@
         return addressIndex;
     }
 
-    /** The same member with another statement; the time starts anew where the status differs. */
+    /**
+     * Returns the member with a newer update; the time of its status restarts if the status
+     * differs.
+     */
     Member withUpdate(MemberUpdate update, long nowUs) {
         long since = update.status() == lastUpdate.status() ? sinceUs : nowUs;
         return new Member(update, nameHash, addressIndex, since);
     }
 
-    /** Time in which this process was held up does not count. */
+    /**
+     * Returns the member with its status time moved later, as the time of a stall does not count.
+     */
     Member withSinceDelayed(long byUs) {
         return new Member(lastUpdate, nameHash, addressIndex, sinceUs + byUs);
     }
 
-    /** The same member, found at another address; -1 where none is known. */
+    /** Returns the member at another address, or -1 if none is known. */
     Member withAddressIndex(int newIndex) {
         return new Member(lastUpdate, nameHash, newIndex, sinceUs);
     }
--- a/src/main/java/passhatch/fleet/MemberInfo.java
+++ b/src/main/java/passhatch/fleet/MemberInfo.java
@@ -3,9 +3,9 @@
 /**
  * A member as this process sees it.
  *
- * @param sinceUs when its status became this; {@link Membership#ageUs} says how long ago that is
- * @param addressIndex place in the list of addresses from which it was last heard, or where it is
- *     looked for; -1 where none is known
+ * @param sinceUs when it took its status; {@link Membership#ageUs} returns how long ago that is
+ * @param addressIndex index in the address list from which it was last received, or else where its
+ *     own list places it; -1 if none is known
  */
 public record MemberInfo(
         String name,
--- a/src/main/java/passhatch/fleet/MemberStates.java
+++ b/src/main/java/passhatch/fleet/MemberStates.java
@@ -6,33 +6,37 @@
 import java.util.stream.IntStream;
 
 /**
- * Which statement about a member holds: the newer one, by {@link MemberUpdate#overrides}; what is
- * said of this process itself is refuted. Owns the view and the times after which suspects have
- * failed (SWIM with Lifeguard's suspicion: the more have found it silent independently, the shorter
- * it may stay silent).
+ * Decides which update about a member holds and applies it: the newer one, as {@link
+ * MemberUpdate#overrides} defines it. Updates about this process itself are refuted. Changes the
+ * view and moves suspects to failed when their suspicion timeout ends. The timeout is SWIM's with
+ * Lifeguard's dynamic suspicion: the more members report the suspect independently, the shorter it
+ * is.
  */
 final class MemberStates {
 
-    /** The shortest suspicion: so many periods times the logarithm of the fleet's size. */
+    /**
+     * The shortest suspicion timeout, in probe periods, for fleets of up to ten members; above that
+     * it grows with the decimal logarithm of the fleet's size.
+     */
     private static final double MIN_SUSPICION_PERIODS = 2;
 
-    /** The longest one, beside the shortest. */
+    /** The longest suspicion timeout as a multiple of the shortest. */
     private static final double MAX_TO_MIN_SUSPICION_RATIO = 6;
 
-    /** Accusers after the first, with whom it is shortest. */
+    /** Reports after the first with which the suspicion timeout is shortest. */
     private static final int MAX_CONFIRMATIONS = MemberUpdate.MAX_REPORTERS - 1;
 
-    /** As if as many as count had accused. */
+    /** Stands for the largest number of reporters that counts. */
     private static final List<Integer> ALL_REPORTERS =
             IntStream.range(0, MemberUpdate.MAX_REPORTERS).boxed().toList();
 
     /**
-     * Suspects are looked at so often, as a share of a period: their times change with all that is
-     * heard.
+     * Interval between checks for expired suspicions, in probe periods. They are checked at
+     * intervals because their deadlines change with every update received.
      */
     private static final double EXPIRY_CHECK_INTERVAL_PERIODS = 0.2;
 
-    /** Two processes that claim one name are told of so often at most. */
+    /** Shortest time between two warnings that another process uses this one's name. */
     private static final long CONFLICT_WARNING_INTERVAL_US = 10_000_000;
 
     private final LocalMember self;
@@ -45,7 +49,7 @@
     private long lastExpiryCheckUs;
     private long lastConflictWarningUs = Long.MIN_VALUE / 2;
 
-    /** {@code rumour} hears of a member that others have found silent. */
+    /** Creates the states; {@code suspicionListener} is called for members that others suspect. */
     MemberStates(
             FleetSettings settings,
             LocalMember self,
@@ -63,7 +67,7 @@
         this.periodUs = settings.probePeriodUs();
     }
 
-    /** Believes a statement, or not. */
+    /** Applies an update, or ignores it if what is known overrides it. */
     void apply(long nowUs, MemberUpdate update) {
         boolean aboutSelf = update.name().equals(self.name());
         if (aboutSelf && !self.superseded()) {
@@ -77,9 +81,10 @@
         }
         MemberUpdate known = member.lastUpdate();
         if (update.overrides(known)) {
-            // That others took it for failed is hearsay where it was heard of as alive: it may have
-            // missed
-            // the accusation, as across a partition that has healed, so it gets the time to refute.
+            // A reported failure of a member that this process knows as alive is not final. The
+            // member
+            // may have missed the suspicion, as across a partition that has healed, so it becomes
+            // suspect first and has the time to refute.
             boolean unconfirmed =
                     update.status() == Status.FAILED
                             && known.status() == Status.ALIVE
@@ -151,29 +156,29 @@
                                 + ") gives way");
                 changeMember(nowUs, view.get(self.name()), update);
             } else {
-                // An earlier run of this process whose epoch was lost, as on a machine set back to
-                // a
-                // snapshot.
+                // An earlier run of this process whose epoch was lost, for example because the
+                // machine was restored from a snapshot.
                 supersede(nowUs, update);
             }
         } else if (update.status() == Status.ALIVE) {
-            // An earlier run, or another process that is told in this way to give way.
+            // An earlier run of this process, or another process of its name, which learns from
+            // this update that it is superseded.
             outbox.gossipQueue().add(self.currentUpdate());
         }
     }
 
-    /** Another process says that it has this one's name, with an older incarnation. */
+    /** Warns that another process sends under this one's name, with an older incarnation. */
     void onNameConflict(long nowUs, MemberUpdate sender, int addressIndex) {
         if (nowUs - lastConflictWarningUs >= CONFLICT_WARNING_INTERVAL_US) {
             lastConflictWarningUs = nowUs;
             actions.warn(
-                    "another process, at address "
+                    "another process at address "
                             + addressIndex
-                            + " of the list, is "
+                            + " of the list uses the name "
                             + sender.name()
                             + " with the older incarnation "
                             + sender.incarnation()
-                            + ", and has to give way");
+                            + " and has to give way");
         }
     }
 
@@ -183,7 +188,7 @@
         }
     }
 
-    /** Becomes newer than the run that has ended. */
+    /** Takes an incarnation newer than that of the run that has ended. */
     private void supersede(long nowUs, MemberUpdate endedRun) {
         long epoch = endedRun.incarnation().epoch() + 1;
         if (actions.persistEpoch(epoch)) {
@@ -204,7 +209,7 @@
         changeMember(nowUs, view.get(self.name()), self.currentUpdate());
     }
 
-    /** A member did not answer this process. */
+    /** Marks a member suspect because it did not answer this process. */
     void suspect(long nowUs, Member member) {
         List<Integer> ownReport = List.of(shortHash(self.name()));
         if (member.status() == Status.ALIVE) {
@@ -250,7 +255,7 @@
         return changed;
     }
 
-    /** Those whose time to refute is over have failed. */
+    /** Marks as failed the suspects whose suspicion timeout has ended. */
     void expire(long nowUs) {
         if (nowUs < nextExpiryCheckUs()) {
             return;
@@ -271,7 +276,7 @@
                 Status.FAILED, update.name(), update.incarnation(), update.addressIndex());
     }
 
-    /** When suspects are looked at next; {@link Long#MAX_VALUE} where there are none. */
+    /** When suspects are checked next, or {@link Long#MAX_VALUE} if there are none. */
     long nextExpiryCheckUs() {
         return view.hasSuspects()
                 ? lastExpiryCheckUs + (long) (EXPIRY_CHECK_INTERVAL_PERIODS * periodUs)
@@ -292,12 +297,14 @@
         return suspect.sinceUs() + (long) (timeoutUs * health.timeoutMultiplier());
     }
 
-    /** Time in which this process was held up is no time in which others had a chance. */
+    /**
+     * Extends all suspicions by the length of a stall, in which refutations could not be received.
+     */
     void onStall(long byUs) {
         view.delaySuspects(byUs);
     }
 
-    /** Drops those from sight that failed or left long ago. */
+    /** Removes members that failed or left more than {@code afterUs} ago. */
     void removeAbsent(long nowUs, long afterUs) {
         view.removeAbsentBefore(nowUs - afterUs);
     }
--- a/src/main/java/passhatch/fleet/MemberTable.java
+++ b/src/main/java/passhatch/fleet/MemberTable.java
@@ -5,9 +5,9 @@
 import java.util.stream.Stream;
 
 /**
- * Members by name, in the leaves of the tree of digests. A leaf is an array in order of the names'
- * hashes that is never written to: a change replaces it, so that a copy of the table shares all
- * leaves that neither has changed since.
+ * Members by name, in the leaves of the digest tree. A leaf is an immutable array in the order of
+ * the names' hashes: a change replaces it, so that copies of the table share the leaves that
+ * neither has changed since.
  */
 final class MemberTable {
 
@@ -21,7 +21,7 @@
         Arrays.fill(leaves, EMPTY);
     }
 
-    /** A copy that shares what does not change. */
+    /** Creates a copy that shares unchanged leaves. */
     MemberTable(MemberTable other) {
         leaves = other.leaves.clone();
         size = other.size;
@@ -31,7 +31,7 @@
         return size;
     }
 
-    /** The member of this name, or null. */
+    /** The member with this name, or null. */
     Member get(String name) {
         int hash = Names.hash(name);
         Member[] leaf = leaves[Digests.leafIndex(hash)];
@@ -39,7 +39,7 @@
         return index < 0 ? null : leaf[index];
     }
 
-    /** Adds a member, or takes it in place of the one of this name. */
+    /** Adds a member, or replaces the one with the same name. */
     void put(Member member) {
         int leafIndex = Digests.leafIndex(member.nameHash());
         Member[] leaf = leaves[leafIndex];
@@ -59,7 +59,7 @@
         size++;
     }
 
-    /** Removes a member that is there. */
+    /** Removes a member that is present. */
     void remove(Member member) {
         int leafIndex = Digests.leafIndex(member.nameHash());
         Member[] leaf = leaves[leafIndex];
@@ -74,12 +74,15 @@
         return Arrays.asList(leaves[leafIndex]);
     }
 
-    /** All members; the table may change while they are gone through. */
+    /** All members; the table may change while they are iterated. */
     Stream<Member> all() {
         return Arrays.stream(leaves.clone()).flatMap(Arrays::stream);
     }
 
-    /** The place of a name in a leaf, or as {@link Arrays#binarySearch(int[], int)} has it. */
+    /**
+     * The index of a name in a leaf, or a negative value as {@link Arrays#binarySearch(int[], int)}
+     * returns it.
+     */
     private static int find(Member[] leaf, int hash, String name) {
         int low = 0;
         int high = leaf.length - 1;
--- a/src/main/java/passhatch/fleet/Membership.java
+++ b/src/main/java/passhatch/fleet/Membership.java
@@ -9,29 +9,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Membership of one process: told the time and what arrived, it says what to send and when to wake
- * it. For one thread; it never blocks. After each call {@link #wakeAtUs} is when {@link #timer} has
- * to be called next. Whoever drives it hands over datagrams that wait before it calls the timer.
+ * The membership state machine of one process. It is given the time and the datagrams received,
+ * sends through {@link FleetActions} and says when to wake it. It is single-threaded and never
+ * blocks. After each call, {@link #wakeAtUs} is the time at which {@link #timer} must be called
+ * next. The caller passes in all datagrams that wait at its socket before it calls the timer.
  *
- * <p>Failure detection in the manner of SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's local
- * health (Dadgar, Phillips, Currey, 2017), and anti-entropy. What each view says when is in {@code
- * docs/membership.md}.
+ * <p>Failure detection follows SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's local health
+ * (Dadgar, Phillips, Currey, 2017), and anti-entropy reconciles the views. {@code
+ * docs/membership.md} describes what each view may say at which time.
  */
 public final class Membership {
 
-    /** Bytes of the heap that a proxy's membership may hold: a quarter of what control has. */
+    /** Heap that the membership of a proxy may use: a quarter of the memory allotted to control. */
     private static final int MAX_HEAP_BYTES = 32 << 20;
 
     /**
-     * Bytes that one member takes at most, as {@code scale membership} measured it: with the news
-     * of it still to be told. Those that are shown no more take as much again at worst.
+     * Most bytes of heap that one member takes while updates about it are still queued. Removed
+     * members, whose last update is kept, take as much again at worst.
      */
     private static final int BYTES_PER_MEMBER = 512;
 
-    /** Members that one process knows at most; what is told of further ones is not taken. */
+    /** Most members that one process tracks; updates about further members are ignored. */
     public static final int MAX_MEMBERS = MAX_HEAP_BYTES / (2 * BYTES_PER_MEMBER);
 
-    /** Times as shares of a period. */
+    /** Intervals in probe periods. */
     private static final double GOSSIP_INTERVAL_PERIODS = 0.4;
 
     private static final double SYNC_INTERVAL_PERIODS = 4;
@@ -39,18 +40,21 @@
     private static final double LATE_TIMER_PERIODS = 0.5;
 
     /**
-     * Members that news goes to at a time; to more where there is more than fits, within the
-     * budget.
+     * Members that gossip is sent to at a time. More updates than fit into one datagram raise the
+     * number, up to the maximum and within the rate limit.
      */
     private static final int GOSSIP_FANOUT = 3;
 
     private static final int MAX_GOSSIP_FANOUT = 6;
     private static final int UPDATES_PER_DATAGRAM = 8;
 
-    /** Members that hear at once that this one goes. */
+    /** Members that a leaving process notifies at once. */
     private static final int LEAVE_FANOUT = 8;
 
-    /** While it knows fewer others it looks for them more often. */
+    /**
+     * With at most this many members present, the process probes more often in order to find
+     * others.
+     */
     private static final int SMALL_FLEET_SIZE = 4;
 
     private static final long REMOVAL_INTERVAL_US = 10_000_000;
@@ -67,7 +71,7 @@
     private FleetSettings settings;
     private long nowUs;
 
-    /** What the caller's clock has gone back by, in all. */
+    /** Total time by which the caller's clock has gone back. */
     private long clockSetbackUs;
 
     private long wakeAtUs;
@@ -79,10 +83,10 @@
     private long stalls;
 
     /**
-     * Takes part from now on.
+     * Starts the membership of this process.
      *
-     * @param epoch durable, and greater than in any earlier run where the disk kept it
-     * @param random seeded by the caller; all that is drawn comes from it
+     * @param epoch durable, and greater than that of any earlier run unless the disk lost it
+     * @param random seeded by the caller; the only source of randomness
      */
     public Membership(
             FleetSettings settings,
@@ -112,7 +116,7 @@
         Member own = view.add(self.currentUpdate(), nowUs);
         outbox.gossipQueue().add(own.lastUpdate());
         actions.memberChanged(null, own.info());
-        // Not all at the same moment, where all start at the same moment.
+        // Spreads the first probes of processes that start at the same moment.
         probeAtUs = nowUs + random.nextLong(periodsUs(1));
         gossipAtUs = probeAtUs;
         syncAtUs = nowUs + random.nextLong(periodsUs(SYNC_INTERVAL_PERIODS));
@@ -121,8 +125,8 @@
     }
 
     /**
-     * What a process knows that knows just these, each as it speaks of itself: a start for views
-     * that agree from the beginning, which then share their state until they change.
+     * Builds the view of a process that knows exactly these members, each as it describes itself.
+     * It is a common start for views that agree, which share their state until they change.
      */
     public static Snapshot snapshot(Collection<Membership> members, int addressCount) {
         View view = new View(addressCount);
@@ -139,14 +143,16 @@
         }
     }
 
-    /** Takes what is known from a snapshot that has this process; nothing of it is news. */
+    /** Takes over the view of a snapshot that includes this process; none of it is gossiped. */
     public void adopt(Snapshot snapshot) {
         view.adopt(snapshot.view);
         outbox.gossipQueue().clear();
         wakeAtUs = nextWakeUs();
     }
 
-    /** For the rumours, which come only once all is put together. */
+    /**
+     * Returns the probes, which the suspicion listener needs before the constructor has set them.
+     */
     private Probes probes() {
         return probes;
     }
@@ -155,12 +161,12 @@
         return (long) (count * settings.probePeriodUs());
     }
 
-    /** When {@link #timer} has to be called next, on the clock whose times are passed in. */
+    /** When {@link #timer} must be called next, on the caller's clock. */
     public long wakeAtUs() {
         return wakeAtUs - clockSetbackUs;
     }
 
-    /** A datagram has arrived from the address at this place of the list. */
+    /** Handles a datagram received from the address at this index of the address list. */
     public void receive(long callerNowUs, int addressIndex, byte[] bytes) {
         advanceTime(callerNowUs);
         try {
@@ -171,7 +177,7 @@
         wakeAtUs = nextWakeUs();
     }
 
-    /** A datagram was not handed in, for this reason. */
+    /** Counts a datagram that the caller dropped for this reason. */
     public void countDropped(DropReason reason) {
         outbox.countDropped(reason);
     }
@@ -215,8 +221,8 @@
     }
 
     /**
-     * What a sender has to hear: that it is thought to be gone, or that a newer process has its
-     * name.
+     * Returns the update that corrects a sender's view of itself, if it is not known as alive or a
+     * newer process has its name.
      */
     private List<MemberUpdate> correctionFor(MemberUpdate sender) {
         Member member = view.get(sender.name());
@@ -229,7 +235,7 @@
                 : List.of(known);
     }
 
-    /** The time of {@link #wakeAtUs} has come. */
+    /** Does what is due; to be called at {@link #wakeAtUs}. */
     public void timer(long callerNowUs) {
         advanceTime(callerNowUs);
         memberStates.expire(nowUs);
@@ -267,8 +273,9 @@
     }
 
     /**
-     * Takes the time. Where the caller's clock went back, time goes on from where it was; where
-     * this process was held up, what it waited for had no chance to come.
+     * Advances the time. If the caller's clock has gone back, time continues from where it was. If
+     * this process was stalled, replies had no chance to be received in time, so running probes are
+     * abandoned and suspicions extended.
      */
     private void advanceTime(long callerNowUs) {
         clockSetbackUs = Math.max(clockSetbackUs, nowUs - callerNowUs);
@@ -296,8 +303,8 @@
     }
 
     /**
-     * Says that it goes. Whoever drives it goes on for a second or so, so that the others hear of
-     * it.
+     * Announces that this process leaves. The caller keeps it running for about a second so that
+     * the other members receive the announcement.
      */
     public void leave(long callerNowUs) {
         advanceTime(callerNowUs);
@@ -311,11 +318,11 @@
     }
 
     /**
-     * The list of addresses is another one now.
+     * Switches to a new address list.
      *
-     * @param newIndexes for each place of the old list the one in the new list, or -1 where it is
-     *     gone
-     * @param ownAddressIndex place of this process's own in the new list, or -1
+     * @param newIndexes for each index of the old list the index in the new list, or -1 if the
+     *     address was removed
+     * @param ownAddressIndex index of this process's own address in the new list, or -1
      * @param addressCount length of the new list
      */
     public void updateAddresses(
@@ -329,62 +336,64 @@
         wakeAtUs = nextWakeUs();
     }
 
-    /** This process's own name. */
+    /** The name of this process. */
     public String name() {
         return self.name();
     }
 
-    /** This process's own incarnation. */
+    /** The current incarnation of this process. */
     public Incarnation incarnation() {
         return self.incarnation();
     }
 
-    /** Whether another, newer process has this one's name: then this one takes no part. */
+    /**
+     * Whether another, newer process has this one's name; this process then does not participate.
+     */
     public boolean superseded() {
         return self.superseded();
     }
 
-    /** At which place of the list a member is found; -1 where that is not known. */
+    /** The index of a member in the address list, or -1 if it is not known. */
     public int addressIndex(String member) {
         Member known = view.get(member);
         return known == null ? -1 : known.addressIndex();
     }
 
-    /** How long a member has had its status, in microseconds up to now. */
+    /** How long a member has had its status, in microseconds. */
     public long ageUs(MemberInfo member) {
         return nowUs - member.sinceUs();
     }
 
-    /** All members that are known, this one among them, by name. */
+    /** All known members in the order of their names, including this process. */
     public List<MemberInfo> members() {
         return view.all().map(Member::info).sorted(Comparator.comparing(MemberInfo::name)).toList();
     }
 
-    /** Members that are present in the view, this one and suspects among them. */
+    /** The number of members that are alive or suspect, including this process. */
     public int presentCount() {
         return view.presentCount();
     }
 
-    /** Whether just these are present in the view, suspects among them. */
+    /** Whether exactly these members are alive or suspect. */
     public boolean hasExactlyPresent(Set<String> names) {
         return view.presentCount() == names.size()
                 && names.stream().map(view::get).allMatch(m -> m != null && m.status().present());
     }
 
-    /** A digest of the view but for suspicion: where two processes have the same, they agree. */
+    /** A digest of the view without suspicions; processes with equal digests have equal views. */
     public int digest() {
         return view.digests().root();
     }
 
     /**
-     * Counts since the start.
+     * Counters since the start.
      *
-     * @param localHealth from 0, all is well, to 8: how far this process distrusts itself
-     * @param stalls how often a timer came so late that it voided what was being waited for
-     * @param received datagrams that were taken
-     * @param sent datagrams
-     * @param sentBytes bytes of those
-     * @param dropped datagrams that were not taken or not sent, by reason
+     * @param localHealth 0 (healthy) to 8; the higher, the less this process trusts its own probes
+     * @param stalls how often a timer ran so late that the pending probes were abandoned
+     * @param received datagrams accepted
+     * @param sent datagrams sent
+     * @param sentBytes bytes of the datagrams sent
+     * @param dropped datagrams dropped on receipt or not sent, by reason
      */
     public record Metrics(
             int localHealth,
@@ -394,7 +403,7 @@
             long sentBytes,
             Map<DropReason, Long> dropped) {}
 
-    /** The figures as they are now. */
+    /** Returns the current counters. */
     public Metrics metrics() {
         return new Metrics(
                 health.score(),
--- a/src/main/java/passhatch/fleet/Message.java
+++ b/src/main/java/passhatch/fleet/Message.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What one datagram says.
+ * The content of one datagram.
  *
- * @param sequenceNumber answers repeat that of the question; 0 where there is none
- * @param target name of the member that a question is about, or empty
- * @param node of the tree of digests: {@link Digests#ROOT}, an inner node, or a leaf, by the kind
- * @param digests of the node's children; empty but for {@link Type#SYNC}
- * @param sender what the sender says of itself
- * @param updates what it says of others, the most useful first
+ * @param sequenceNumber repeated in the replies to a request; 0 if there is none
+ * @param target name of the member that a request is about, or empty
+ * @param node of the digest tree: {@link Digests#ROOT}, an inner node or a leaf, by message type
+ * @param digests of the node's children; empty except for {@link Type#SYNC}
+ * @param sender the sender's update about itself
+ * @param updates updates about other members, the most useful first
  */
 record Message(
         Type type,
@@ -21,23 +21,26 @@
         MemberUpdate sender,
         List<MemberUpdate> updates) {
 
-    /** What a datagram is for; their order is part of the format. */
+    /** Message types; their order is part of the wire format. */
     enum Type {
-        /** Wants an {@link #ACK}. */
+        /** Requests an {@link #ACK}. */
         PING,
-        /** The sender, or the member that it was asked about, is there. */
+        /** The sender, or the member that it was asked to ping, is alive. */
         ACK,
-        /** The member that it was asked about did not answer the sender. */
+        /** The member that the sender was asked to ping did not answer. */
         NACK,
-        /** Wants the sender to ask the target. */
+        /** Requests that the receiver ping the target. */
         PING_REQUEST,
-        /** Only tells facts. */
+        /** Carries only updates. */
         GOSSIP,
-        /** Digests of a part of the sender's view; whoever differs answers with what is below. */
+        /**
+         * Digests of a part of the sender's view; the receiver replies with the level below if they
+         * differ.
+         */
         SYNC,
-        /** All that the sender has at a leaf; wants what the other has there. */
+        /** All updates that the sender has in a leaf; requests the receiver's. */
         LEAF,
-        /** What the sender has at a leaf. */
+        /** Updates that the sender has in a leaf. */
         LEAF_ANSWER
     }
 }
--- a/src/main/java/passhatch/fleet/Names.java
+++ b/src/main/java/passhatch/fleet/Names.java
@@ -4,16 +4,13 @@
 import java.util.regex.Pattern;
 import java.util.zip.CRC32C;
 
-/**
- * Bounds on what is named in a datagram, so that one always has room for a statement about a
- * member.
- */
+/** Limits on the names in a datagram, so that it always has room for one update. */
 public final class Names {
 
-    /** Characters of a member's name, at most. */
+    /** Most characters of a member's name. */
     public static final int MAX_NAME_LENGTH = 48;
 
-    /** Characters of a fleet's name, of a version, and of all roles together, at most. */
+    /** Most characters of a fleet's name, of a version, and of all roles together. */
     public static final int MAX_LABEL_LENGTH = 16;
 
     private static final Pattern NAME =
@@ -23,17 +20,17 @@
 
     private Names() {}
 
-    /** Whether it may name a member. */
+    /** Whether a text is valid as a member's name. */
     public static boolean isName(String text) {
         return NAME.matcher(text).matches();
     }
 
-    /** Whether it may be a fleet's name, a version or roles. */
+    /** Whether a text is valid as a fleet's name, a version or roles. */
     public static boolean isLabel(String text) {
         return LABEL.matcher(text).matches();
     }
 
-    /** The same at all processes, on all machines. */
+    /** Returns a hash that is the same in all processes on all machines. */
     static int hash(String name) {
         CRC32C crc = new CRC32C();
         crc.update(name.getBytes(StandardCharsets.US_ASCII));
--- a/src/main/java/passhatch/fleet/Outbox.java
+++ b/src/main/java/passhatch/fleet/Outbox.java
@@ -6,15 +6,17 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Makes datagrams, fills them up with news, and sends as many as the budget allows. */
+/** Builds datagrams, fills them up with gossip, and sends as many as the rate limit allows. */
 final class Outbox {
 
-    /** How often a fact is told: so many times the decimal logarithm of the fleet's size. */
+    /**
+     * How often an update is gossiped, as a multiple of the decimal logarithm of the fleet's size.
+     */
     private static final double RETRANSMIT_FACTOR = 3;
 
     private static final int[] NO_DIGESTS = {};
 
-    /** Most datagrams for one list of facts; what does not fit comes at another time. */
+    /** Most datagrams for one list of updates; the rest is left to later comparisons. */
     private static final int MAX_DATAGRAMS_PER_LIST = 3;
 
     private final Codec codec;
@@ -69,8 +71,8 @@
     }
 
     /**
-     * A datagram without which a member would be taken for failed; {@code first} stands before the
-     * news.
+     * Sends a datagram without which a member could be taken for failed; {@code first} goes before
+     * the gossip.
      */
     void sendEssential(
             int addressIndex,
@@ -81,7 +83,7 @@
         send(addressIndex, type, sequenceNumber, target, 0, NO_DIGESTS, first, true);
     }
 
-    /** News only. */
+    /** Sends gossip only. */
     void sendGossip(int addressIndex) {
         send(addressIndex, Message.Type.GOSSIP, 0, "", 0, NO_DIGESTS, List.of(), false);
     }
@@ -90,7 +92,7 @@
         send(addressIndex, Message.Type.SYNC, 0, "", node, digests, List.of(), false);
     }
 
-    /** What is at a leaf, in as many datagrams as it takes, within a bound. */
+    /** Sends the updates of a leaf in as many datagrams as they need, up to a limit. */
     void sendLeaf(int addressIndex, Message.Type type, int node, List<MemberUpdate> updates) {
         int sentUpdates = 0;
         for (int i = 0;
@@ -109,7 +111,7 @@
         }
     }
 
-    /** Returns how many of the first facts went with it. */
+    /** Returns how many of the first updates were sent. */
     private int send(
             int addressIndex,
             Message.Type type,
--- a/src/main/java/passhatch/fleet/ProbeOrder.java
+++ b/src/main/java/passhatch/fleet/ProbeOrder.java
@@ -3,15 +3,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All addresses once, in an order drawn at random that takes no memory: a Feistel network permutes
- * the numbers below a power of four, and those that are no address are passed over (Black and
- * Rogaway, "Ciphers with Arbitrary Finite Domains", 2002).
+ * Returns all addresses once, in a random order that needs no memory for each address: a Feistel
+ * network permutes the numbers below a power of four, and numbers that are no address are skipped
+ * (Black and Rogaway, "Ciphers with Arbitrary Finite Domains", 2002).
  */
 final class ProbeOrder {
 
     private static final int ROUNDS = 6;
 
-    /** Bits of half a number at least: with fewer not all orders would be about as likely. */
+    /**
+     * Fewest bits of half a number; with fewer, some orders would be much more likely than others.
+     */
     private static final int MIN_HALF_BITS = 4;
 
     private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
@@ -28,7 +30,7 @@
         this.key = random.nextLong();
     }
 
-    /** The next address; -1 where all have been. */
+    /** The next address, or -1 after the last one. */
     int next() {
         int end = 1 << 2 * halfBits;
         while (addressCount > 0 && position < end) {
@@ -53,7 +55,7 @@
         return left << halfBits | right;
     }
 
-    /** The last step of SplitMix64 (Steele, Lea, Flood, 2014). */
+    /** The finalizer of SplitMix64 (Steele, Lea, Flood, 2014). */
     private int mix(int half, int round) {
         long x = key + GOLDEN_GAMMA * ((long) round << Integer.SIZE | half + 1L);
         x = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
--- a/src/main/java/passhatch/fleet/Probes.java
+++ b/src/main/java/passhatch/fleet/Probes.java
@@ -8,25 +8,28 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Asks one member after the other, in an order drawn anew each round, whether it is there (SWIM
- * 4.3): itself, several times as datagrams get lost, and then through others. Several probes may
- * run at a time. Only an answer to the probe's own number counts, as other datagrams may be minutes
- * old.
+ * Probes one member after the other, in a new random order each round (SWIM 4.3): directly, several
+ * times because datagrams get lost, and then indirectly through other members. Several probes may
+ * run at a time. Only a reply with the probe's own sequence number counts, as other datagrams may
+ * be minutes old.
  */
 final class Probes {
 
     /**
-     * Times as shares of a period: between two questions; until others are asked; until it is over.
+     * Intervals in probe periods: between two pings of a probe, until the indirect probe, and until
+     * the probe times out.
      */
     private static final double RETRY_DELAY_PERIODS = 0.3;
 
     private static final double INDIRECT_DELAY_PERIODS = 0.9;
     private static final double PROBE_TIMEOUT_PERIODS = 2.4;
 
-    /** Members that are asked to ask. */
+    /** Members that are asked to ping the target of an indirect probe. */
     private static final int MAX_HELPERS = 4;
 
-    /** Of all that hear of a suspect, so many see for themselves, on average. */
+    /**
+     * How many of the members that receive a suspicion probe the suspect themselves, on average.
+     */
     private static final double EXPECTED_CONFIRMING_PROBES = 4;
 
     private static final int MAX_RUNNING_PROBES = 64;
@@ -50,7 +53,7 @@
         }
     }
 
-    /** A question that is asked for somebody else. */
+    /** A ping that this process sends on behalf of another one. */
     private static final class RelayedProbe {
         private final int requesterIndex;
         private final int requestNumber;
@@ -102,7 +105,7 @@
         this.probeOrder = new ProbeOrder(view.addressCount(), random);
     }
 
-    /** The list of addresses is another now. */
+    /** Starts a new round over a changed address list and abandons all probes. */
     void addressesChanged(int newOwnAddressIndex) {
         ownAddressIndex = newOwnAddressIndex;
         probeOrder = new ProbeOrder(view.addressCount(), random);
@@ -110,7 +113,7 @@
         relayedProbes.clear();
     }
 
-    /** Begins the next probe; one address at which nobody is thought to be is asked beside it. */
+    /** Starts the next probe, and pings at most one address at which no present member is known. */
     void startNext(long nowUs) {
         boolean absentPinged = false;
         for (int skipped = 0; skipped < MAX_SKIPPED_ADDRESSES; skipped++) {
@@ -125,7 +128,8 @@
             }
             if (!absentPinged) {
                 absentPinged = true;
-                // It hears in this way what is thought of it, and refutes that if it is there.
+                // Tells the process at this address, if there is one, which status it has, so that
+                // it can refute that.
                 outbox.sendEssential(addressIndex, Message.Type.PING, 0, "", correctionFor(member));
             }
         }
@@ -134,7 +138,10 @@
         }
     }
 
-    /** The next address but its own, in a new order once all have been; -1 where there is none. */
+    /**
+     * The next address other than this process's own, in a new order after the last one; -1 if
+     * there is none.
+     */
     private int nextAddress() {
         int addressIndex = nextOfRound();
         if (addressIndex < 0) {
@@ -151,7 +158,7 @@
                 : addressIndex;
     }
 
-    /** A member that is known from hearsay only, and that others have to ask. */
+    /** Probes a member whose address is not known, which only other members can ping. */
     private void probeOneWithoutAddress(long nowUs) {
         List<Member> without =
                 view.all()
@@ -181,15 +188,15 @@
         }
     }
 
-    /** Never 0, which stands for none. */
+    /** Returns the next sequence number; 0 is skipped, as it stands for none. */
     private int nextSequenceNumber() {
         lastSequenceNumber = lastSequenceNumber + 1 == 0 ? 1 : lastSequenceNumber + 1;
         return lastSequenceNumber;
     }
 
     /**
-     * Others have found a member silent: some see for themselves, so that the verdict is not one's
-     * alone.
+     * Called when others suspect a member. Some members probe it themselves, so that the suspicion
+     * does not depend on one process alone.
      */
     void onSuspicion(long nowUs, Member suspect) {
         if (random.nextDouble() * Math.max(1, view.presentCount()) < EXPECTED_CONFIRMING_PROBES
@@ -199,7 +206,7 @@
         }
     }
 
-    /** Does what is due. */
+    /** Sends the pings that are due and ends the probes that have timed out. */
     void runDue(long nowUs) {
         for (Map.Entry<Integer, Probe> entry : List.copyOf(runningProbes.entrySet())) {
             Probe probe = entry.getValue();
@@ -267,8 +274,8 @@
 
     private void onTimeout(long nowUs, Probe probe) {
         if (probe.helperCount > 0 && probe.nackCount == 0) {
-            // None of those asked for help said anything either: then this process itself hears
-            // badly.
+            // No helper replied either, so this process probably does not receive datagrams
+            // reliably.
             health.degrade(1);
         }
         Member member = view.get(probe.name);
@@ -278,8 +285,8 @@
     }
 
     /**
-     * Members that are present and have an address, drawn at random; fewer where there are not as
-     * many.
+     * Returns distinct present members with a known address, drawn at random; fewer than {@code
+     * count} if there are not enough.
      */
     List<Member> pickRandom(int count, String excluded) {
         List<Member> picked = new ArrayList<>();
@@ -307,7 +314,7 @@
         }
     }
 
-    /** Somebody wants to know of a member. */
+    /** Handles a request to ping a member on behalf of the sender. */
     void onPingRequest(long nowUs, int requesterIndex, Message request) {
         Member target = view.get(request.target());
         if (target == null
@@ -344,16 +351,18 @@
     }
 
     /**
-     * An answer.
+     * Handles an acknowledgement.
      *
-     * @param senderIndex the address from which it came
-     * @param current whether its sender is who this process thinks it is, and not an older run
+     * @param senderIndex index of the address from which it was received
+     * @param current whether its sender has the incarnation that this process knows, so that it is
+     *     not an earlier run
      */
     void onAck(int senderIndex, Message ack, boolean current) {
         Probe probe = runningProbes.get(ack.sequenceNumber());
         if (probe != null && (probe.addressIndex != senderIndex || current)) {
             runningProbes.remove(ack.sequenceNumber());
-            // Another process at that address says nothing about the member.
+            // Another process at that address proves nothing about the member, so it does not
+            // improve the health score.
             if (probe.addressIndex != senderIndex || ack.sender().name().equals(probe.name)) {
                 health.recover();
             }
@@ -370,7 +379,7 @@
         }
     }
 
-    /** A helper did not hear from the member either. */
+    /** Counts a helper that did not reach the member either. */
     void onNack(Message nack) {
         Probe probe = runningProbes.get(nack.sequenceNumber());
         if (probe != null) {
@@ -378,13 +387,13 @@
         }
     }
 
-    /** What ran while this process was held up proves nothing. */
+    /** Abandons all probes, as replies may have been missed while this process was stalled. */
     void onStall() {
         runningProbes.clear();
         relayedProbes.clear();
     }
 
-    /** When something is due; {@link Long#MAX_VALUE} where nothing is. */
+    /** When the next action is due, or {@link Long#MAX_VALUE} if there is none. */
     long nextActionUs() {
         long actionUs = Long.MAX_VALUE;
         for (Probe probe : runningProbes.values()) {
--- a/src/main/java/passhatch/fleet/RateLimiter.java
+++ b/src/main/java/passhatch/fleet/RateLimiter.java
@@ -1,9 +1,9 @@
 package passhatch.fleet;
 
-/** Bytes that may be sent: a second's worth at once, and then as they come back. */
+/** A token bucket for the bytes sent: it holds at most one second's worth and refills steadily. */
 final class RateLimiter {
 
-    /** What is only useful leaves so much of a second's worth to what is needed. */
+    /** Fraction of one second's worth that is reserved for essential datagrams. */
     private static final double RESERVED_FRACTION = 0.25;
 
     private final long bytesPerSecond;
@@ -15,7 +15,7 @@
         this.availableBytes = bytesPerSecond;
     }
 
-    /** Takes the bytes of a datagram, or says that there are not as many. */
+    /** Takes the bytes of a datagram from the bucket; returns false if there are too few. */
     boolean tryAcquire(long nowUs, int bytes, boolean essential) {
         availableBytes =
                 Math.min(bytesPerSecond, availableBytes + (nowUs - lastUs) * 1e-6 * bytesPerSecond);
@@ -27,7 +27,7 @@
         return true;
     }
 
-    /** Bytes that were taken and not sent. */
+    /** Returns bytes that were taken and not sent. */
     void release(int bytes) {
         availableBytes += bytes;
     }
--- a/src/main/java/passhatch/fleet/Status.java
+++ b/src/main/java/passhatch/fleet/Status.java
@@ -1,20 +1,22 @@
 package passhatch.fleet;
 
 /**
- * What is said of a member. Of two statements about one incarnation the later in this order holds;
- * to overrule it, the member itself has to come with a newer incarnation.
+ * The status of a member. Of two updates about one incarnation, the status later in this order
+ * holds; only a newer incarnation of the member itself overrides it.
  */
 public enum Status {
     /** It is present. */
     ALIVE,
-    /** It did not answer somebody; it is still counted as present, and may refute that. */
+    /**
+     * It did not answer another member; it still counts as present and may refute the suspicion.
+     */
     SUSPECT,
-    /** Nobody heard its refutation in time. */
+    /** It did not refute the suspicion in time. */
     FAILED,
-    /** It said that it goes. */
+    /** It announced that it leaves. */
     LEFT;
 
-    /** Whether such a member is counted as present. */
+    /** Whether a member with this status counts as present. */
     public boolean present() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/src/main/java/passhatch/fleet/View.java
+++ b/src/main/java/passhatch/fleet/View.java
@@ -8,16 +8,17 @@
 import java.util.stream.Stream;
 
 /**
- * All members that this process knows of, itself among them, and at which address it finds them.
+ * All members that this process knows, including itself, and the address of each as far as it is
+ * known.
  */
 final class View {
 
-    /** Members at most; what is told of further ones is not taken. */
+    /** Most members; updates about further ones are ignored. */
     static final int MAX_MEMBERS = Membership.MAX_MEMBERS;
 
     private final Set<String> suspects = new LinkedHashSet<>();
 
-    /** The last word on those that are shown no more, so that old news does not bring them back. */
+    /** The last update of each removed member, so that an old update does not add it again. */
     private final Map<String, MemberUpdate> removed =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1L;
@@ -33,14 +34,14 @@
     private Digests digests = new Digests();
     private int presentCount;
 
-    /** No member that failed or left did so before this. */
+    /** No member that failed or left did so before this time. */
     private long earliestAbsenceUs = Long.MAX_VALUE;
 
     View(int addressCount) {
         addressTable = new AddressTable(addressCount);
     }
 
-    /** Knows from now on what the other view knows, and shares its state until either changes. */
+    /** Takes over the content of another view and shares its state until either changes. */
     void adopt(View other) {
         members = new MemberTable(other.members);
         addressTable = new AddressTable(other.addressTable);
@@ -63,7 +64,7 @@
         return members.leaf(leafIndex);
     }
 
-    /** Those that are suspect now; the view may change while they are gone through. */
+    /** The members that are suspect now; the view may change while the list is iterated. */
     List<Member> suspects() {
         return suspects.stream().map(members::get).toList();
     }
@@ -72,7 +73,7 @@
         return !suspects.isEmpty();
     }
 
-    /** Time in which this process was held up does not count against suspects. */
+    /** Extends all suspicions by the time for which this process was stalled. */
     void delaySuspects(long byUs) {
         suspects().forEach(m -> members.put(m.withSinceDelayed(byUs)));
     }
@@ -81,7 +82,7 @@
         return digests;
     }
 
-    /** Members that are present, this one and suspects among them. */
+    /** The number of members that are alive or suspect, including this process. */
     int presentCount() {
         return presentCount;
     }
@@ -90,18 +91,18 @@
         return addressTable.length();
     }
 
-    /** Who is at an address, or null. */
+    /** The member at an address, or null. */
     Member memberAt(int addressIndex) {
         String name = addressTable.get(addressIndex);
         return name == null ? null : members.get(name);
     }
 
-    /** The last word on a member that is shown no more, or null. */
+    /** The last update of a removed member, or null. */
     MemberUpdate lastUpdateOfRemoved(String name) {
         return removed.get(name);
     }
 
-    /** A new member, or null where there are too many. */
+    /** Adds a member and returns it, or returns null if there are too many. */
     Member add(MemberUpdate update, long nowUs) {
         if (members.size() >= MAX_MEMBERS) {
             return null;
@@ -113,7 +114,7 @@
         return placeByHint(member);
     }
 
-    /** What is thought of a member is now this; returns the member as it is now. */
+    /** Replaces the last update of a member and returns the changed member. */
     Member change(Member member, MemberUpdate update, long nowUs) {
         Member changed = member.withUpdate(update, nowUs);
         adjustCounts(member, -1);
@@ -138,7 +139,10 @@
         }
     }
 
-    /** Where a member was never heard itself, it is looked for where its own list has it. */
+    /**
+     * Uses the index in the member's own address list for a member of which nothing was received
+     * directly.
+     */
     private Member placeByHint(Member member) {
         int hintIndex = member.lastUpdate().addressIndex();
         boolean usable =
@@ -148,7 +152,7 @@
         return member.addressIndex() < 0 && usable ? setAddress(member, hintIndex) : member;
     }
 
-    /** A member was heard from an address. */
+    /** Records the address from which a member's datagram was received. */
     void confirmAddress(Member member, int addressIndex) {
         if (member.addressIndex() != addressIndex
                 || !member.name().equals(addressTable.get(addressIndex))) {
@@ -169,7 +173,7 @@
         return moved;
     }
 
-    /** Shows those no more that failed or left before a time. */
+    /** Removes the members that failed or left before a time. */
     void removeAbsentBefore(long us) {
         if (earliestAbsenceUs >= us) {
             return;
@@ -186,7 +190,7 @@
         }
     }
 
-    /** Shows a member no more, and keeps the last word on it. */
+    /** Removes a member and keeps its last update. */
     private void remove(Member member) {
         digests.toggle(member.lastUpdate());
         members.remove(member);
@@ -198,7 +202,7 @@
     }
 
     /**
-     * Addresses have other places from now on; {@code newPlaces} has -1 for those that are gone.
+     * Switches to a new address list; {@code newIndexes} has -1 for addresses that were removed.
      */
     void remap(int[] newIndexes, int addressCount) {
         AddressTable previous = addressTable;
--- a/src/main/java/passhatch/fleet/package-info.java
+++ b/src/main/java/passhatch/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Membership among the program's own processes: a state machine without clock, threads, sockets or
- * files.
+ * Membership among the processes of the program, as a state machine without clock, threads, sockets
+ * or files.
  */
 package passhatch.fleet;
--- a/src/test/java/passhatch/agent/AgentConfigTest.java
+++ b/src/test/java/passhatch/agent/AgentConfigTest.java
@@ -64,7 +64,7 @@
                         read(AGENT + FLEET.replace(", \"127.0.0.1:7947\"", ""), Map.of()).fleet()));
     }
 
-    /** Each is one line with the file, the key and what was expected. */
+    /** Each message is one line with the file, the key and what was expected. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
--- a/src/test/java/passhatch/agent/ChangesStoreTest.java
+++ b/src/test/java/passhatch/agent/ChangesStoreTest.java
@@ -26,7 +26,7 @@
 import passhatch.lab.disk.FaultyDisk.Fault;
 import passhatch.store.StoreException;
 
-/** Participants on a disk that stops at every one of its calls in turn. */
+/** Runs participants on a disk that stops at each of its calls in turn. */
 class ChangesStoreTest {
 
     private static final String NAME = "n1";
@@ -35,7 +35,7 @@
     private static final int STEPS = 60;
     private static final long TERM = 5;
 
-    /** What a participant on a disk has said to others. */
+    /** A participant on a disk, and the newest version that it has confirmed to others. */
     private static final class Run implements DistributionActions {
         private final Role role;
         private final ChangesStore store;
@@ -62,7 +62,9 @@
                             this);
         }
 
-        /** A leader or source sends what comes after the version here, or a whole state. */
+        /**
+         * Receives the entries after the version here, or a whole state, from a leader or source.
+         */
         void runSteps(List<LogEntry> all, UniformRandomProvider random) throws StoreException {
             if (role == Role.REPLICA) {
                 participant.found();
@@ -124,7 +126,7 @@
         return all;
     }
 
-    /** The newest entry of each key, in the order of keys. */
+    /** The newest entry of each key up to a version, in the order of keys. */
     private static List<LogEntry> valuesAt(List<LogEntry> all, int version) {
         Map<String, LogEntry> newest = new TreeMap<>();
         all.subList(0, version).forEach(entry -> newest.put(entry.key(), entry));
@@ -155,7 +157,7 @@
                 run = new Run(disk, role);
                 run.runSteps(all, new Seeds(9).stream("work"));
             } catch (FaultyDisk.Stopped stopped) {
-                // It starts again below.
+                // Restarts below.
             }
             long confirmed = run == null ? 0 : run.confirmed;
             for (int survivor = 0; survivor < 4; survivor++) {
@@ -174,7 +176,8 @@
     }
 
     /**
-     * Its old values serve, and it asks for the whole state, as it passed over the others' keys.
+     * The old values serve, and the whole state is fetched, because the keys of the other services
+     * were skipped.
      */
     @Test
     void subscriberToOtherServicesKeepsValuesWithoutVersion() throws Exception {
--- a/src/test/java/passhatch/fleet/CodecTest.java
+++ b/src/test/java/passhatch/fleet/CodecTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whatever arrives, it is read within bounds or rejected; whatever is sent fits and is read as it
- * was meant.
+ * Any datagram is decoded within bounds or rejected, and any message encoded fits into a datagram
+ * and decodes unchanged.
  */
 class CodecTest {
 
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Sizes are told exactly, and a fact of any size has room beside anything that is not a
-     * comparison.
+     * Predicted sizes are at most one byte too large, and an update of any size fits beside any
+     * content except digests.
      */
     @Test
     void encodedMessagesFitAndDecodeUnchanged() throws Codec.RejectedException {
@@ -100,7 +100,7 @@
                     bytes.length <= predictedSize
                             && predictedSize <= bytes.length + 1
                             && predictedSize <= Frame.MAX_BYTES,
-                    bytes.length + " bytes, told " + predictedSize);
+                    bytes.length + " bytes, predicted " + predictedSize);
             Message read = codec.decode(bytes);
             assertEquals(sent.sender(), read.sender());
             assertEquals(sent.updates(), read.updates());
@@ -159,7 +159,7 @@
                                 : bytes;
             }
             if (i % 2 == 0 && bytes.length > 5) {
-                // What gets past the checksum is read as carefully.
+                // A matching checksum lets the malformed content reach the decoder.
                 Frame.withChecksum(bytes);
             }
             try {
@@ -182,7 +182,7 @@
                 assertThrows(Codec.RejectedException.class, () -> codec.decode(good)).reason());
     }
 
-    /** A later program adds fields at the ends; this one passes over them. */
+    /** A later release may add fields at the end of each array; this one skips them. */
     @Test
     void unknownTrailingFieldsAreSkipped() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/src/test/java/passhatch/fleet/IncarnationRulesTest.java
+++ b/src/test/java/passhatch/fleet/IncarnationRulesTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every order of a few steps with three members, breadth first over the real rules: two accuse, a
- * third is started anew, set back, or leaves, and any statement ever made arrives anywhere, also
- * late and again.
+ * Runs the rules for incarnations over every order of a few steps with three members, breadth
+ * first. Two members suspect the third, which restarts, restarts with an epoch that is in use, or
+ * leaves; any earlier update is received by any member, also late and repeatedly.
  */
 class IncarnationRulesTest {
 
@@ -25,7 +25,7 @@
     private static final String SUBJECT = "c";
     private static final long HOUR_US = 3_600_000_000L;
 
-    /** Members a and b, and c of whom all is said. */
+    /** Members a and b, and member c, which all updates are about. */
     private static final class World {
         private final List<Process> processes = new ArrayList<>();
         private final Set<MemberUpdate> updates = new LinkedHashSet<>();
@@ -33,7 +33,7 @@
         private long nowUs;
         private long epoch = 2;
 
-        /** The worst that chance can do: each later run draws a lesser number. */
+        /** The least favourable draw: each later run has a smaller run id. */
         private int lastRunId = Integer.MAX_VALUE;
 
         World() {
@@ -151,7 +151,7 @@
 
     private static final int STEPS = 7 + 3 * MAX_UPDATES;
 
-    /** Takes a step; false where it does not exist here. */
+    /** Takes a step; returns false if the step is not possible in this state. */
     private static boolean step(World world, int step) {
         world.nowUs += HOUR_US / 3_600_000;
         switch (step) {
@@ -161,7 +161,7 @@
                 world.processes.get(step - 2).memberStates.expire(world.nowUs);
             }
             case 4 -> world.startSubject(world.epoch + 1);
-            // Set back to the epoch that is in use already.
+            // Restarts with the epoch that is in use already.
             case 5 -> world.startSubject(world.epoch);
             case 6 -> {
                 if (world.subject().self.superseded()) {
@@ -212,17 +212,19 @@
                     () -> where + " after " + before);
             assertTrue(
                     world.claimedIncarnations.contains(now.incarnation()),
-                    () -> where + ", which nobody claimed");
+                    () -> where + ", which no process used");
         }
     }
 
-    /** Once all talk to each other again, all say the same, and what the member itself says. */
+    /**
+     * Once all members exchange their updates again, all agree, and agree with the subject itself.
+     */
     private static void checkConvergence(int[] path, World world) {
         for (int round = 0; round < 8; round++) {
             world.exchangeAll();
             if (world.subject().self.superseded() || world.subject().self.leaving()) {
-                // An older run than is known does not answer for the newer one; one that has left
-                // does not.
+                // An older run does not answer for the newer one that is known, and a member that
+                // has left does not answer.
                 world.processes.get(0).suspect();
                 world.nowUs += HOUR_US;
                 world.processes.get(0).memberStates.expire(world.nowUs);
@@ -230,7 +232,8 @@
             }
         }
         if (world.subject().self.leaving()) {
-            // Set back and gone before it heard of its later run, it cannot speak for that one.
+            // Restarted with an old epoch and left before it received an update of its later run,
+            // so it cannot refute what is known of that run.
             MemberUpdate known = world.processes.get(0).subjectUpdate();
             assertEquals(
                     known, world.processes.get(1).subjectUpdate(), () -> Arrays.toString(path));
@@ -278,6 +281,7 @@
         }
         System.out.println("incarnation rules: " + seen.size() + " states to depth " + DEPTH);
         assertTrue(
-                seen.size() > 10_000, "so few states were found that the steps cannot have worked");
+                seen.size() > 10_000,
+                "too few states were reached, so the steps cannot have worked");
     }
 }
--- a/src/test/java/passhatch/fleet/MemberTableTest.java
+++ b/src/test/java/passhatch/fleet/MemberTableTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The table against a plain map, with a copy that must not see later changes. */
+/** Compares the table with a plain map; a copy of it must not see later changes. */
 class MemberTableTest {
 
     private static final int NAMES = 2_000;
@@ -57,7 +57,7 @@
         assertEquals(expectedOfCopy, content(copy));
     }
 
-    /** Two names of one CRC32C, drawn until there are. */
+    /** Draws names until two have the same CRC32C. */
     private static String[] namesWithEqualHashes() {
         SplittableRandom random = new SplittableRandom(1);
         Map<Integer, String> byHash = new HashMap<>();
--- a/src/test/java/passhatch/fleet/ProbeOrderTest.java
+++ b/src/test/java/passhatch/fleet/ProbeOrderTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Each address comes once, and no order is favoured. */
+/** Each address is returned once, and all orders are about equally likely. */
 class ProbeOrderTest {
 
     private static List<Integer> round(int addresses, SplittableRandom random) {
