--- a/src/main/java/passhatch/agent/AgentStore.java
+++ b/src/main/java/passhatch/agent/AgentStore.java
@@ -37,7 +37,7 @@
      *     fails
      */
     AgentStore(Path folder, String owner) throws IOException, StoreException {
-        FolderDisk disk = FolderDisk.take(folder);
+        FolderDisk disk = FolderDisk.open(folder);
         try {
             recordLog = RecordLog.open(disk, owner, this::replay);
             // The store's own epoch counts as well: if a salvage lost the record, the new epoch is
@@ -101,7 +101,7 @@
 
     /** Warnings from opening the store. */
     List<String> warnings() {
-        return recordLog.notes();
+        return recordLog.warnings();
     }
 
     /** The last promise of each duty. */
--- a/src/main/java/passhatch/agent/ChangesCalls.java
+++ b/src/main/java/passhatch/agent/ChangesCalls.java
@@ -65,7 +65,7 @@
         if (changesNode.role() != Role.REPLICA) {
             return "error this process is no replica\n";
         }
-        if (changesNode.participant().founded()) {
+        if (changesNode.participant().isInitialized()) {
             return "error this replica counts towards majorities already\n";
         }
         return changesNode.initialize() ? "done\n" : "error the disk fails\n";
@@ -133,7 +133,7 @@
         root.put("epoch", participant.epoch());
         root.put("version", participant.version());
         root.put("age_ms", ageMs());
-        root.put("founded", participant.founded());
+        root.put("founded", participant.isInitialized());
         root.put("leading", participant.isLeading());
         root.put("term", changesNode.submitted().term());
         root.put("source", participant.source());
--- a/src/main/java/passhatch/agent/ChangesNode.java
+++ b/src/main/java/passhatch/agent/ChangesNode.java
@@ -158,7 +158,7 @@
 
     /** Lets this replica count towards majorities although its disk is empty. */
     boolean initialize() {
-        return participant.found();
+        return participant.initialize();
     }
 
     /** Closes the store; nothing is confirmed afterwards. */
@@ -222,7 +222,7 @@
         } else if (isUnknownSender(from, read.message())) {
             dropped.merge(DropReason.STRANGER, 1L, Long::sum);
         } else {
-            participant.hear(FleetNode.nowUs(), from, read.message());
+            participant.onMessage(FleetNode.nowUs(), from, read.message());
         }
     }
 
@@ -275,14 +275,14 @@
     @Override
     public void granted(long term) {
         submitted.beginTerm(term);
-        participant.granted(FleetNode.nowUs(), term);
+        participant.leaseGranted(FleetNode.nowUs(), term);
         compactAndSchedule();
     }
 
     @Override
     public void lost(long term) {
         submitted.endTerm();
-        participant.lost();
+        participant.leaseLost();
         compactAndSchedule();
     }
 
@@ -313,7 +313,7 @@
     }
 
     @Override
-    public void inForce(long epoch, long version) {
+    public void versionApplied(long epoch, long version) {
         schedulePublish();
     }
 
--- a/src/main/java/passhatch/agent/ChangesStore.java
+++ b/src/main/java/passhatch/agent/ChangesStore.java
@@ -82,7 +82,7 @@
     /** Opens the store in a folder, which is created if it does not exist. */
     static ChangesStore open(Path folder, String name, Role role, Collection<String> services)
             throws IOException, StoreException {
-        FolderDisk disk = FolderDisk.take(folder);
+        FolderDisk disk = FolderDisk.open(folder);
         try {
             return open(disk, name, role, services);
         } catch (IOException | StoreException failed) {
@@ -147,7 +147,7 @@
 
     /** Warnings from opening the store. */
     List<String> warnings() {
-        return recordLog.notes();
+        return recordLog.warnings();
     }
 
     /** Makes records durable; after a crash either all of them are replayed or none. */
@@ -179,7 +179,7 @@
 
     /** Whether the log has grown enough for a {@link #snapshot} to be worth its cost. */
     boolean wantsSnapshot() {
-        return recordLog.wantsSnapshot();
+        return recordLog.isSnapshotDue();
     }
 
     /** Replaces everything written so far by these records. */
--- a/src/main/java/passhatch/agent/DutyNode.java
+++ b/src/main/java/passhatch/agent/DutyNode.java
@@ -138,14 +138,14 @@
             WantedDuty wantedDuty =
                     new WantedDuty(duty, self + ":" + store.epoch(), random, listeners.get(duty));
             candidates.put(duty, wantedDuty);
-            wantedDuty.candidate.want(FleetNode.nowUs());
+            wantedDuty.candidate.campaign(FleetNode.nowUs());
             wantedDuty.scheduleTimer();
         }
     }
 
     /** Asks the other voters for the promises that this one has lost, until it votes. */
     private void recall() {
-        if (voter != null && !voter.votes()) {
+        if (voter != null && !voter.isVoting()) {
             config.voters().stream()
                     .filter(v -> !v.equals(self))
                     .forEach(v -> send(v, voter.recall()));
@@ -157,7 +157,7 @@
      * Lets this voter vote without stored promises, when the set of voters is first initialized.
      */
     String initializeVoter() {
-        return voter != null && voter.found()
+        return voter != null && voter.initialize()
                 ? "done\n"
                 : "error this process is no voter, or votes already\n";
     }
@@ -188,7 +188,7 @@
         long nowUs = FleetNode.nowUs();
         switch (message.kind()) {
             case REQUEST, RELEASE, RECALL, TERMS -> {
-                DutyMessage reply = voter == null ? null : voter.hear(nowUs, from, message);
+                DutyMessage reply = voter == null ? null : voter.onMessage(nowUs, from, message);
                 if (reply != null) {
                     send(from, reply);
                 }
@@ -196,7 +196,7 @@
             case GRANT, REFUSAL, TAKE -> {
                 WantedDuty wantedDuty = candidates.get(message.duty());
                 if (wantedDuty != null) {
-                    wantedDuty.candidate.hear(nowUs, from, message);
+                    wantedDuty.candidate.onMessage(nowUs, from, message);
                     wantedDuty.scheduleTimer();
                 }
             }
@@ -210,7 +210,7 @@
     String act(String duty) {
         WantedDuty wantedDuty = candidates.get(duty);
         long term = wantedDuty == null ? 0 : wantedDuty.candidate.term();
-        return wantedDuty != null && wantedDuty.candidate.guard(FleetNode.nowUs(), term)
+        return wantedDuty != null && wantedDuty.candidate.mayActInTerm(FleetNode.nowUs(), term)
                 ? "done " + term + "\n"
                 : "error this process does not hold '" + duty + "'\n";
     }
@@ -228,7 +228,7 @@
         wantedDuty.scheduleTimer();
         loop.schedule(
                 () -> {
-                    wantedDuty.candidate.want(FleetNode.nowUs());
+                    wantedDuty.candidate.campaign(FleetNode.nowUs());
                     wantedDuty.scheduleTimer();
                 },
                 settings.leaseUs(),
@@ -245,7 +245,7 @@
                     Map<String, Object> entry = new LinkedHashMap<>();
                     entry.put("duty", duty);
                     entry.put("term", wantedDuty.candidate.term());
-                    entry.put("left_ms", wantedDuty.candidate.leftUs(nowUs) / 1_000);
+                    entry.put("left_ms", wantedDuty.candidate.remainingUs(nowUs) / 1_000);
                     wantedDuties.add(entry);
                 });
         List<Object> promised = new ArrayList<>();
@@ -267,7 +267,7 @@
         Map<String, Object> root = new LinkedHashMap<>();
         root.put("self", self);
         root.put("voter", voter != null);
-        root.put("votes", voter != null && voter.votes());
+        root.put("votes", voter != null && voter.isVoting());
         root.put("voters", config.voters());
         root.put("epoch", config.epoch());
         root.put("candidate", wantedDuties);
--- a/src/main/java/passhatch/cli/StoreCommand.java
+++ b/src/main/java/passhatch/cli/StoreCommand.java
@@ -58,17 +58,17 @@
         if (!Files.isDirectory(folder)) {
             throw new InvalidInputException(folder + ": there is no such folder");
         }
-        return FolderDisk.take(folder);
+        return FolderDisk.open(folder);
     }
 
     private static int tell(Inspection.Report report, PrintWriter out) {
         out.println(
                 report.records()
                         + " records, the last is "
-                        + report.last()
+                        + report.lastSequence()
                         + ", epoch "
                         + report.epoch());
-        report.notes().forEach(n -> out.println("note: " + n));
+        report.warnings().forEach(n -> out.println("note: " + n));
         report.damage().forEach(d -> out.println("DAMAGED: " + d));
         out.flush();
         return report.damage().isEmpty() ? 0 : Commands.FAILED;
@@ -136,7 +136,7 @@
                 throw new InvalidInputException(to + ": is there already");
             }
             try (FolderDisk from = take(folder);
-                    FolderDisk disk = FolderDisk.take(to)) {
+                    FolderDisk disk = FolderDisk.open(to)) {
                 return tell(Inspection.salvage(from, disk, owner), spec.commandLine().getOut());
             }
         }
--- a/src/main/java/passhatch/distribution/ConfigKey.java
+++ b/src/main/java/passhatch/distribution/ConfigKey.java
@@ -16,14 +16,14 @@
     public static final int MAX_VALUE_BYTES = 96;
 
     private static final String SERVICE_PREFIX = "service/";
-    private static final Pattern FORM =
+    private static final Pattern KEY_PATTERN =
             Pattern.compile("(service/[a-z0-9][a-z0-9.-]*|fleet)/[a-z][a-z0-9_]*");
 
     private ConfigKey() {}
 
     /** Whether a text has the form of a key. */
     public static boolean isKey(String text) {
-        return text.length() <= MAX_KEY_LENGTH && FORM.matcher(text).matches();
+        return text.length() <= MAX_KEY_LENGTH && KEY_PATTERN.matcher(text).matches();
     }
 
     /** Whether a value is short enough. */
--- a/src/main/java/passhatch/distribution/ConfigState.java
+++ b/src/main/java/passhatch/distribution/ConfigState.java
@@ -50,26 +50,26 @@
 
     /** Takes one entry, whatever the version is; an older one of its key never replaces a newer. */
     void put(LogEntry entry) {
-        if (entry.setsNothing()) {
+        if (entry.isNoOperation()) {
             return;
         }
-        LogEntry before = byKey.get(entry.key());
-        if (before != null && before.version() >= entry.version()) {
+        LogEntry previous = byKey.get(entry.key());
+        if (previous != null && previous.version() >= entry.version()) {
             return;
         }
-        if (before != null) {
-            byVersion.remove(before.version());
-            tombstones.remove(before.version());
+        if (previous != null) {
+            byVersion.remove(previous.version());
+            tombstones.remove(previous.version());
         }
         byKey.put(entry.key(), entry);
         byVersion.put(entry.version(), entry);
         if (entry.isTombstone()) {
             tombstones.put(entry.version(), entry);
-            dropTombstones();
+            dropExcessTombstones();
         }
     }
 
-    private void dropTombstones() {
+    private void dropExcessTombstones() {
         while (tombstones.size() > maxTombstones) {
             LogEntry oldest = tombstones.pollFirstEntry().getValue();
             byKey.remove(oldest.key());
--- a/src/main/java/passhatch/distribution/DatagramBudget.java
+++ b/src/main/java/passhatch/distribution/DatagramBudget.java
@@ -8,30 +8,30 @@
 final class DatagramBudget {
 
     /** Room for the entries of a message that names no key beside them. */
-    static final int ENTRY_BYTES = 182;
+    static final int MAX_ENTRIES_BYTES = 182;
 
     /** Bytes of an entry beside its key and value: array, two numbers, two lengths. */
-    private static final int OVERHEAD_BYTES = 23;
+    private static final int ENTRY_OVERHEAD_BYTES = 23;
 
     private DatagramBudget() {}
 
     static int sizeOf(LogEntry entry) {
         int value =
                 entry.value() == null ? 1 : entry.value().getBytes(StandardCharsets.UTF_8).length;
-        return OVERHEAD_BYTES + entry.key().length() + value;
+        return ENTRY_OVERHEAD_BYTES + entry.key().length() + value;
     }
 
     /** The first entries, as many as fit. */
     static List<LogEntry> fitting(Iterable<LogEntry> entries) {
-        return fitting(entries, ENTRY_BYTES);
+        return fitting(entries, MAX_ENTRIES_BYTES);
     }
 
     static List<LogEntry> fitting(Iterable<LogEntry> entries, int bytes) {
         List<LogEntry> fitting = new ArrayList<>();
-        int left = bytes;
+        int remaining = bytes;
         for (LogEntry entry : entries) {
-            left -= sizeOf(entry);
-            if (left < 0) {
+            remaining -= sizeOf(entry);
+            if (remaining < 0) {
                 break;
             }
             fitting.add(entry);
--- a/src/main/java/passhatch/distribution/DiskRecord.java
+++ b/src/main/java/passhatch/distribution/DiskRecord.java
@@ -9,7 +9,7 @@
     record Promised(long epoch, long term) implements DiskRecord {}
 
     /** An operator, or a raised epoch, has let this replica count towards majorities. */
-    record Founded(long epoch) implements DiskRecord {}
+    record Initialized(long epoch) implements DiskRecord {}
 
     /** A replica has this entry, and none after it of what it had before. */
     record Appended(long epoch, LogEntry entry) implements DiskRecord {}
--- a/src/main/java/passhatch/distribution/DiskRecordCodec.java
+++ b/src/main/java/passhatch/distribution/DiskRecordCodec.java
@@ -11,7 +11,7 @@
 import passhatch.distribution.DiskRecord.Applied;
 import passhatch.distribution.DiskRecord.Committed;
 import passhatch.distribution.DiskRecord.Content;
-import passhatch.distribution.DiskRecord.Founded;
+import passhatch.distribution.DiskRecord.Initialized;
 import passhatch.distribution.DiskRecord.Promised;
 import passhatch.distribution.DiskRecord.Reset;
 import passhatch.fleet.CborReader;
@@ -48,34 +48,35 @@
             cbor.writeNumber(FORMAT_VERSION);
             write(cbor, record);
             cbor.writeEndArray();
-        } catch (IOException cannotBe) {
-            throw new IllegalStateException(cannotBe);
+        } catch (IOException impossible) {
+            throw new IllegalStateException(impossible);
         }
         return out.toByteArray();
     }
 
     private static void write(CBORGenerator cbor, DiskRecord record) throws IOException {
         if (record instanceof Promised of) {
-            numbers(cbor, Kind.PROMISED, of.epoch(), of.term());
-        } else if (record instanceof Founded of) {
-            numbers(cbor, Kind.FOUNDED, of.epoch());
+            writeNumbers(cbor, Kind.PROMISED, of.epoch(), of.term());
+        } else if (record instanceof Initialized of) {
+            writeNumbers(cbor, Kind.FOUNDED, of.epoch());
         } else if (record instanceof Appended of) {
-            numbers(cbor, Kind.APPENDED, of.epoch());
+            writeNumbers(cbor, Kind.APPENDED, of.epoch());
             entries(cbor, List.of(of.entry()));
         } else if (record instanceof Committed of) {
-            numbers(cbor, Kind.COMMITTED, of.epoch(), of.version());
+            writeNumbers(cbor, Kind.COMMITTED, of.epoch(), of.version());
         } else if (record instanceof Applied of) {
-            numbers(cbor, Kind.APPLIED, of.epoch(), of.upto(), of.uptoTerm());
+            writeNumbers(cbor, Kind.APPLIED, of.epoch(), of.upto(), of.uptoTerm());
             entries(cbor, of.entries());
         } else if (record instanceof Reset of) {
-            numbers(cbor, Kind.RESET, of.epoch(), of.version(), of.versionTerm(), of.floor());
+            writeNumbers(cbor, Kind.RESET, of.epoch(), of.version(), of.versionTerm(), of.floor());
         } else if (record instanceof Content of) {
-            numbers(cbor, Kind.CONTENT);
+            writeNumbers(cbor, Kind.CONTENT);
             entries(cbor, of.entries());
         }
     }
 
-    private static void numbers(CBORGenerator cbor, Kind kind, long... numbers) throws IOException {
+    private static void writeNumbers(CBORGenerator cbor, Kind kind, long... numbers)
+            throws IOException {
         cbor.writeNumber(kind.ordinal());
         for (long number : numbers) {
             cbor.writeNumber(number);
@@ -117,24 +118,28 @@
 
     private static DiskRecord read(CborReader cbor, Kind kind) throws IOException {
         return switch (kind) {
-            case PROMISED -> new Promised(number(cbor), number(cbor));
-            case FOUNDED -> new Founded(number(cbor));
-            case APPENDED -> appended(cbor);
-            case COMMITTED -> new Committed(number(cbor), number(cbor));
-            case APPLIED -> new Applied(number(cbor), number(cbor), number(cbor), entries(cbor));
-            case RESET -> new Reset(number(cbor), number(cbor), number(cbor), number(cbor));
+            case PROMISED -> new Promised(readNumber(cbor), readNumber(cbor));
+            case FOUNDED -> new Initialized(readNumber(cbor));
+            case APPENDED -> readAppended(cbor);
+            case COMMITTED -> new Committed(readNumber(cbor), readNumber(cbor));
+            case APPLIED ->
+                    new Applied(
+                            readNumber(cbor), readNumber(cbor), readNumber(cbor), entries(cbor));
+            case RESET ->
+                    new Reset(
+                            readNumber(cbor), readNumber(cbor), readNumber(cbor), readNumber(cbor));
             case CONTENT -> new Content(entries(cbor));
         };
     }
 
-    private static Appended appended(CborReader cbor) throws IOException {
-        long epoch = number(cbor);
+    private static Appended readAppended(CborReader cbor) throws IOException {
+        long epoch = readNumber(cbor);
         List<LogEntry> entries = entries(cbor);
         CborReader.require(entries.size() == 1);
         return new Appended(epoch, entries.get(0));
     }
 
-    private static long number(CborReader cbor) throws IOException {
+    private static long readNumber(CborReader cbor) throws IOException {
         return cbor.readLong(0, MAX_NUMBER);
     }
 
@@ -144,7 +149,10 @@
         while (cbor.beginArrayOrEnd()) {
             entries.add(
                     new LogEntry(
-                            number(cbor), number(cbor), cbor.readText(), cbor.readTextOrNull()));
+                            readNumber(cbor),
+                            readNumber(cbor),
+                            cbor.readText(),
+                            cbor.readTextOrNull()));
             cbor.skipToArrayEnd();
         }
         return List.copyOf(entries);
--- a/src/main/java/passhatch/distribution/DistributionActions.java
+++ b/src/main/java/passhatch/distribution/DistributionActions.java
@@ -16,7 +16,7 @@
     boolean force(List<DiskRecord> records);
 
     /** The state in force here has reached a newer version. */
-    default void inForce(long epoch, long version) {}
+    default void versionApplied(long epoch, long version) {}
 
     /** A change submitted at this leader is committed. */
     default void committed(long version) {}
--- a/src/main/java/passhatch/distribution/Follower.java
+++ b/src/main/java/passhatch/distribution/Follower.java
@@ -33,15 +33,15 @@
     private long epoch;
 
     /** Deltas that do not follow yet, by what they follow on. */
-    private final TreeMap<Long, Delta> early = new TreeMap<>();
+    private final TreeMap<Long, Delta> earlyDeltas = new TreeMap<>();
 
     private IncomingSnapshot snapshot;
-    private int current;
+    private int sourceIndex;
     private long pollAtUs;
-    private long polledUs;
+    private long lastPollUs;
 
     /** When the current source answered last, or was turned to. */
-    private long answeredUs;
+    private long lastReplyUs;
 
     /** What the current source said of its own state. */
     private long sourceAgeUs;
@@ -52,7 +52,7 @@
     private boolean sourceBehind;
 
     /** Sources left one after the other as each was stale. */
-    private int staleMoves;
+    private int staleSwitches;
 
     /** Until then a stale source is as good as any. */
     private long staleRetryAtUs;
@@ -82,8 +82,8 @@
         this.random = random;
         this.actions = actions;
         records.forEach(this::replay);
-        answeredUs = nowUs;
-        pollAtUs = nowUs + (long) (random.nextDouble() * Timing.POLL_US);
+        lastReplyUs = nowUs;
+        pollAtUs = nowUs + (long) (random.nextDouble() * Timing.POLL_INTERVAL_US);
     }
 
     private void replay(DiskRecord record) {
@@ -126,7 +126,7 @@
     }
 
     String source() {
-        return sources.get(current);
+        return sources.get(sourceIndex);
     }
 
     long wakeAtUs() {
@@ -142,38 +142,38 @@
     }
 
     private void chooseSource(long nowUs) {
-        boolean silent = nowUs - answeredUs > Timing.SILENCE_US;
-        boolean stale = sourceAgeUs > Timing.STALE_US || sourceBehind;
-        if (stale && nowUs >= staleRetryAtUs && ++staleMoves >= sources.size()) {
+        boolean silent = nowUs - lastReplyUs > Timing.SOURCE_TIMEOUT_US;
+        boolean stale = sourceAgeUs > Timing.MAX_SOURCE_AGE_US || sourceBehind;
+        if (stale && nowUs >= staleRetryAtUs && ++staleSwitches >= sources.size()) {
             // None is better, as when there is no leader: no use in going round for the time being.
-            staleMoves = 0;
-            staleRetryAtUs = nowUs + aboutReturnTime();
-            moveTo(nowUs, 0);
+            staleSwitches = 0;
+            staleRetryAtUs = nowUs + randomReturnDelayUs();
+            switchSource(nowUs, 0);
             return;
         }
-        boolean leaves = silent || stale && nowUs >= staleRetryAtUs;
-        if (sources.size() > 1 && leaves) {
-            moveTo(nowUs, (current + 1) % sources.size());
+        boolean leaveSource = silent || stale && nowUs >= staleRetryAtUs;
+        if (sources.size() > 1 && leaveSource) {
+            switchSource(nowUs, (sourceIndex + 1) % sources.size());
         } else if (nowUs >= returnAtUs) {
-            moveTo(nowUs, 0);
+            switchSource(nowUs, 0);
         }
     }
 
-    private void moveTo(long nowUs, int source) {
-        current = source;
-        answeredUs = nowUs;
+    private void switchSource(long nowUs, int source) {
+        sourceIndex = source;
+        lastReplyUs = nowUs;
         sourceAgeUs = 0;
         sourceBehind = false;
-        returnAtUs = source == 0 ? Long.MAX_VALUE : nowUs + aboutReturnTime();
+        returnAtUs = source == 0 ? Long.MAX_VALUE : nowUs + randomReturnDelayUs();
     }
 
-    private long aboutReturnTime() {
-        return (long) ((0.5 + random.nextDouble()) * Timing.RETURN_US);
+    private long randomReturnDelayUs() {
+        return (long) ((0.5 + random.nextDouble()) * Timing.PREFERRED_SOURCE_RETRY_US);
     }
 
     private void poll(long nowUs) {
-        polledUs = nowUs;
-        pollAtUs = nowUs + Timing.POLL_RETRY_US;
+        lastPollUs = nowUs;
+        pollAtUs = nowUs + Timing.POLL_RETRY_DELAY_US;
         boolean ofThisSource = snapshot != null && snapshot.source().equals(source());
         if (!ofThisSource) {
             snapshot = null;
@@ -182,71 +182,71 @@
         actions.send(source(), new Poll(epoch, state.version(), cursor, filter, name));
     }
 
-    void hear(long nowUs, String from, Message message) {
+    void onMessage(long nowUs, String from, Message message) {
         if (message instanceof Delta delta) {
-            delta(nowUs, from, delta);
+            onDelta(nowUs, from, delta);
         } else if (message instanceof SnapshotPart part) {
-            part(nowUs, from, part);
+            onSnapshotPart(nowUs, from, part);
         }
     }
 
-    private void answered(long nowUs, String from, long ageUs, boolean behind) {
+    private void onSourceReply(long nowUs, String from, long ageUs, boolean behind) {
         if (from.equals(source())) {
-            answeredUs = nowUs;
-            pollAtUs = Math.max(pollAtUs, polledUs + Timing.POLL_US);
+            lastReplyUs = nowUs;
+            pollAtUs = Math.max(pollAtUs, lastPollUs + Timing.POLL_INTERVAL_US);
             sourceAgeUs = ageUs;
             sourceBehind = behind;
-            if (!behind && ageUs <= Timing.STALE_US) {
-                staleMoves = 0;
+            if (!behind && ageUs <= Timing.MAX_SOURCE_AGE_US) {
+                staleSwitches = 0;
                 staleRetryAtUs = 0;
             }
         }
     }
 
-    private void current(long nowUs, long ageUs) {
+    private void updateCurrentAsOf(long nowUs, long ageUs) {
         currentAsOfUs = Math.max(currentAsOfUs, nowUs - ageUs);
     }
 
-    private void delta(long nowUs, String from, Delta delta) {
+    private void onDelta(long nowUs, String from, Delta delta) {
         boolean behind =
                 delta.epoch() < epoch || delta.epoch() == epoch && delta.upto() < state.version();
-        answered(nowUs, from, delta.ageUs(), behind);
+        onSourceReply(nowUs, from, delta.ageUs(), behind);
         if (delta.epoch() != epoch) {
             return;
         }
         if (delta.after() > state.version()) {
-            keepEarly(delta);
+            addEarlyDelta(delta);
             return;
         }
         if (delta.upto() > state.version()) {
             apply(delta);
-            applyEarly();
+            applyEarlyDeltas();
             snapshot = null;
-            actions.inForce(epoch, state.version());
+            actions.versionApplied(epoch, state.version());
         }
         if (!behind) {
-            current(nowUs, delta.ageUs());
+            updateCurrentAsOf(nowUs, delta.ageUs());
         }
         if (!delta.entries().isEmpty()) {
             actions.send(from, new Ack(epoch, state.version()));
         }
     }
 
-    private void keepEarly(Delta delta) {
-        if (early.size() >= MAX_EARLY_DELTAS) {
-            early.clear();
+    private void addEarlyDelta(Delta delta) {
+        if (earlyDeltas.size() >= MAX_EARLY_DELTAS) {
+            earlyDeltas.clear();
         }
-        early.put(delta.after(), delta);
+        earlyDeltas.put(delta.after(), delta);
     }
 
     /** Applies what has come before its turn, as far as it follows now. */
-    private void applyEarly() {
-        for (Map.Entry<Long, Delta> next = early.pollFirstEntry();
+    private void applyEarlyDeltas() {
+        for (Map.Entry<Long, Delta> next = earlyDeltas.pollFirstEntry();
                 next != null;
-                next = early.pollFirstEntry()) {
+                next = earlyDeltas.pollFirstEntry()) {
             Delta delta = next.getValue();
             if (delta.after() > state.version()) {
-                early.put(next.getKey(), delta);
+                earlyDeltas.put(next.getKey(), delta);
                 return;
             }
             if (delta.epoch() == epoch && delta.upto() > state.version()) {
@@ -267,10 +267,10 @@
         state.advance(delta.upto(), delta.uptoTerm());
     }
 
-    private void part(long nowUs, String from, SnapshotPart part) {
+    private void onSnapshotPart(long nowUs, String from, SnapshotPart part) {
         boolean behind =
                 part.epoch() < epoch || part.epoch() == epoch && part.version() < state.version();
-        answered(nowUs, from, part.ageUs(), behind);
+        onSourceReply(nowUs, from, part.ageUs(), behind);
         if (behind || part.epoch() == epoch && part.version() == state.version()) {
             return;
         }
@@ -280,35 +280,38 @@
         if (!snapshot.accepts(from, part)) {
             return;
         }
-        boolean burstIsOver = snapshot.take(part, wanted);
-        if (snapshot.isWhole()) {
+        boolean burstComplete = snapshot.addPart(part, wanted);
+        if (snapshot.isComplete()) {
             install(snapshot);
         }
-        boolean gap = !burstIsOver && !part.more() && from.equals(source());
-        if (burstIsOver || gap && nowUs - polledUs >= Timing.SNAPSHOT_RETRY_US) {
+        boolean gap = !burstComplete && !part.more() && from.equals(source());
+        if (burstComplete || gap && nowUs - lastPollUs >= Timing.MIN_SNAPSHOT_RETRY_INTERVAL_US) {
             poll(nowUs);
         }
     }
 
-    private void install(IncomingSnapshot whole) {
+    private void install(IncomingSnapshot complete) {
         snapshot = null;
-        if (whole.epoch() == epoch) {
+        if (complete.epoch() == epoch) {
             // What an earlier snapshot brought beyond its version may be newer than this one.
-            whole.entries().addAll(state.beyond(whole.version()));
+            complete.entries().addAll(state.beyond(complete.version()));
         }
         List<DiskRecord> records = new ArrayList<>();
         records.add(
                 new DiskRecord.Reset(
-                        whole.epoch(), whole.version(), whole.versionTerm(), whole.version()));
-        whole.entries().forEach(entry -> records.add(new DiskRecord.Content(List.of(entry))));
+                        complete.epoch(),
+                        complete.version(),
+                        complete.versionTerm(),
+                        complete.version()));
+        complete.entries().forEach(entry -> records.add(new DiskRecord.Content(List.of(entry))));
         force(records);
-        if (whole.epoch() != epoch) {
-            early.clear();
+        if (complete.epoch() != epoch) {
+            earlyDeltas.clear();
         }
-        epoch = whole.epoch();
-        state.reset(whole.version(), whole.versionTerm(), whole.version());
-        whole.entries().forEach(state::put);
-        actions.inForce(epoch, state.version());
+        epoch = complete.epoch();
+        state.reset(complete.version(), complete.versionTerm(), complete.version());
+        complete.entries().forEach(state::put);
+        actions.versionApplied(epoch, state.version());
     }
 
     /** A copy may be lost with its disk; what is in force does not wait for a disk that fails. */
--- a/src/main/java/passhatch/distribution/IncomingSnapshot.java
+++ b/src/main/java/passhatch/distribution/IncomingSnapshot.java
@@ -14,16 +14,16 @@
 final class IncomingSnapshot {
 
     /** Parts kept before their turn, at most: two bursts. */
-    private static final int MAX_WAITING = 64;
+    private static final int MAX_EARLY_PARTS = 64;
 
     private final String source;
     private final long epoch;
     private final long version;
     private final long versionTerm;
     private final List<LogEntry> entries = new ArrayList<>();
-    private final Map<Integer, SnapshotPart> waiting = new HashMap<>();
+    private final Map<Integer, SnapshotPart> earlyParts = new HashMap<>();
     private String cursor = "";
-    private boolean whole;
+    private boolean complete;
 
     IncomingSnapshot(String source, SnapshotPart part) {
         this.source = source;
@@ -58,8 +58,8 @@
         return cursor;
     }
 
-    boolean isWhole() {
-        return whole;
+    boolean isComplete() {
+        return complete;
     }
 
     /** Whether a part can belong to this snapshot. */
@@ -73,19 +73,19 @@
      * @param wanted which keys are kept
      * @return whether the last part of a burst is in its place now, so that the next can be had
      */
-    boolean take(SnapshotPart part, Predicate<String> wanted) {
-        if (waiting.size() >= MAX_WAITING) {
-            waiting.clear();
+    boolean addPart(SnapshotPart part, Predicate<String> wanted) {
+        if (earlyParts.size() >= MAX_EARLY_PARTS) {
+            earlyParts.clear();
         }
-        waiting.put(part.afterKeyHash(), part);
-        boolean burstIsOver = false;
-        for (SnapshotPart next = waiting.remove(Message.keyHash(cursor));
+        earlyParts.put(part.afterKeyHash(), part);
+        boolean burstComplete = false;
+        for (SnapshotPart next = earlyParts.remove(Message.keyHash(cursor));
                 next != null;
-                next = waiting.remove(Message.keyHash(cursor))) {
+                next = earlyParts.remove(Message.keyHash(cursor))) {
             append(next, wanted);
-            burstIsOver |= !next.more();
+            burstComplete |= !next.more();
         }
-        return burstIsOver;
+        return burstComplete;
     }
 
     private void append(SnapshotPart part, Predicate<String> wanted) {
@@ -95,6 +95,6 @@
                 entries.add(entry);
             }
         }
-        whole |= part.last();
+        complete |= part.last();
     }
 }
--- a/src/main/java/passhatch/distribution/Leader.java
+++ b/src/main/java/passhatch/distribution/Leader.java
@@ -20,25 +20,25 @@
 final class Leader {
 
     /** Entries sent to a replica without being confirmed, at most. */
-    private static final int WINDOW_ENTRIES = 64;
+    private static final int MAX_UNCONFIRMED_ENTRIES = 64;
 
     /** Requests for a log without an answer before another replica's is looked for. */
-    private static final int MAX_ADOPTING_RETRIES = 5;
+    private static final int MAX_LOG_REQUEST_RETRIES = 5;
 
     /** Uncommitted entries at most; above it changes are refused. */
-    private static final int MAX_UNCOMMITTED = 1_024;
+    private static final int MAX_UNCOMMITTED_ENTRIES = 1_024;
 
     private enum Phase {
         PREPARING,
         ADOPTING,
         LEADING,
-        OVER
+        STOPPED
     }
 
     /** What the leader knows of another replica. */
     private static final class Peer {
-        private long matching;
-        private long next;
+        private long matchingVersion;
+        private long nextVersion;
         private long sentUs;
         private long confirmedUs = Long.MIN_VALUE / 2;
         private boolean voting;
@@ -52,11 +52,11 @@
     private final Replica replica;
     private final DistributionActions actions;
     private final Map<String, Peer> peers = new HashMap<>();
-    private final Map<String, Prepared> prepared = new HashMap<>();
+    private final Map<String, Prepared> preparedReplies = new HashMap<>();
     private Phase phase = Phase.PREPARING;
     private String adoptedFrom;
     private long adoptedVersion;
-    private int adoptingRetries;
+    private int logRequestRetries;
     private long wakeAtUs;
 
     Leader(
@@ -69,11 +69,11 @@
         this.term = term;
         this.replica = replica;
         this.actions = actions;
-        if (!replica.founded() || !replica.promise(term)) {
+        if (!replica.isInitialized() || !replica.promise(term)) {
             stepDown("this replica cannot promise term " + term);
             return;
         }
-        prepare(nowUs);
+        sendPrepare(nowUs);
         if (settings.majority() == 1) {
             adoptMostComplete(nowUs);
         }
@@ -88,12 +88,12 @@
     }
 
     /** Whether it has stepped down or lost its lease. */
-    boolean isOver() {
-        return phase == Phase.OVER;
+    boolean isStopped() {
+        return phase == Phase.STOPPED;
     }
 
     long wakeAtUs() {
-        return phase == Phase.OVER ? Long.MAX_VALUE : wakeAtUs;
+        return phase == Phase.STOPPED ? Long.MAX_VALUE : wakeAtUs;
     }
 
     void timer(long nowUs) {
@@ -101,47 +101,47 @@
             return;
         }
         switch (phase) {
-            case PREPARING -> prepare(nowUs);
-            case ADOPTING -> adoptAgain(nowUs);
+            case PREPARING -> sendPrepare(nowUs);
+            case ADOPTING -> retryAdoption(nowUs);
             case LEADING -> heartbeat(nowUs);
-            case OVER -> wakeAtUs = Long.MAX_VALUE;
+            case STOPPED -> wakeAtUs = Long.MAX_VALUE;
         }
     }
 
-    private void prepare(long nowUs) {
-        wakeAtUs = nowUs + Timing.RETRY_US;
+    private void sendPrepare(long nowUs) {
+        wakeAtUs = nowUs + Timing.RETRY_DELAY_US;
         for (String other : settings.otherReplicas()) {
-            if (!prepared.containsKey(other)) {
+            if (!preparedReplies.containsKey(other)) {
                 actions.send(other, new Prepare(settings.epoch(), term));
             }
         }
     }
 
-    void hear(long nowUs, String from, Message message) {
-        if (phase == Phase.OVER || !settings.otherReplicas().contains(from)) {
+    void onMessage(long nowUs, String from, Message message) {
+        if (phase == Phase.STOPPED || !settings.otherReplicas().contains(from)) {
             return;
         }
-        if (replica.promised() != term) {
-            stepDown("this replica has promised term " + replica.promised());
+        if (replica.promisedTerm() != term) {
+            stepDown("this replica has promised term " + replica.promisedTerm());
             return;
         }
         if (message instanceof Prepared of && of.term() == term) {
-            prepared(nowUs, from, of);
+            onPrepared(nowUs, from, of);
         } else if (message instanceof LogPart of && of.term() == term) {
-            adopt(nowUs, from, of);
+            onLogPart(nowUs, from, of);
         } else if (message instanceof Behind of && of.term() == term && phase == Phase.ADOPTING) {
             stepDown("its log lacks entries that others no longer keep");
         } else if (message instanceof Appended of) {
-            appended(nowUs, from, of);
+            onAppended(nowUs, from, of);
         }
     }
 
-    private void prepared(long nowUs, String from, Prepared of) {
-        if (of.promised() > term) {
-            stepDown("a replica has promised term " + of.promised());
+    private void onPrepared(long nowUs, String from, Prepared of) {
+        if (of.promisedTerm() > term) {
+            stepDown("a replica has promised term " + of.promisedTerm());
         } else if (phase == Phase.PREPARING) {
-            prepared.put(from, of);
-            if (prepared.size() + 1 >= settings.majority()) {
+            preparedReplies.put(from, of);
+            if (preparedReplies.size() + 1 >= settings.majority()) {
                 adoptMostComplete(nowUs);
             }
         }
@@ -150,7 +150,7 @@
     private void adoptMostComplete(long nowUs) {
         long bestTerm = replica.log().lastTerm();
         long bestVersion = replica.log().lastVersion();
-        for (Map.Entry<String, Prepared> other : prepared.entrySet()) {
+        for (Map.Entry<String, Prepared> other : preparedReplies.entrySet()) {
             Prepared of = other.getValue();
             boolean moreComplete =
                     of.lastTerm() > bestTerm
@@ -162,34 +162,34 @@
             }
         }
         if (adoptedFrom == null) {
-            lead(nowUs);
+            startLeading(nowUs);
         } else {
             phase = Phase.ADOPTING;
-            adoptingRetries = 0;
+            logRequestRetries = 0;
             adoptedVersion = replica.state().version();
             requestLog(nowUs);
         }
     }
 
     /** Requests again what did not come; where nothing comes at all, asks all replicas anew. */
-    private void adoptAgain(long nowUs) {
-        if (++adoptingRetries <= MAX_ADOPTING_RETRIES) {
+    private void retryAdoption(long nowUs) {
+        if (++logRequestRetries <= MAX_LOG_REQUEST_RETRIES) {
             requestLog(nowUs);
             return;
         }
         // None has accepted an entry of another leader since, and this one has appended none.
         phase = Phase.PREPARING;
         adoptedFrom = null;
-        prepared.clear();
-        prepare(nowUs);
+        preparedReplies.clear();
+        sendPrepare(nowUs);
     }
 
     private void requestLog(long nowUs) {
-        wakeAtUs = nowUs + Timing.RETRY_US;
+        wakeAtUs = nowUs + Timing.RETRY_DELAY_US;
         actions.send(adoptedFrom, new LogRequest(settings.epoch(), term, adoptedVersion));
     }
 
-    private void adopt(long nowUs, String from, LogPart part) {
+    private void onLogPart(long nowUs, String from, LogPart part) {
         boolean expected =
                 phase == Phase.ADOPTING
                         && from.equals(adoptedFrom)
@@ -197,41 +197,42 @@
         if (!expected) {
             return;
         }
-        if (!replica.take(part.entries())) {
+        if (!replica.storeEntries(part.entries())) {
             stepDown("the disk of this replica fails");
             return;
         }
         adoptedVersion = part.previousVersion() + part.entries().size();
-        adoptingRetries = 0;
+        logRequestRetries = 0;
         if (adoptedVersion >= part.lastVersion()) {
-            lead(nowUs);
+            startLeading(nowUs);
         } else {
             requestLog(nowUs);
         }
     }
 
-    private void lead(long nowUs) {
+    private void startLeading(long nowUs) {
         phase = Phase.LEADING;
-        long last = replica.log().lastVersion();
+        long lastVersion = replica.log().lastVersion();
         for (String other : settings.otherReplicas()) {
             Peer peer = new Peer();
-            Prepared told = prepared.get(other);
-            peer.next = 1 + (told == null ? last : Math.min(last, told.lastVersion()));
-            peer.next = Math.max(peer.next, replica.log().baseVersion() + 1);
+            Prepared reply = preparedReplies.get(other);
+            peer.nextVersion =
+                    1 + (reply == null ? lastVersion : Math.min(lastVersion, reply.lastVersion()));
+            peer.nextVersion = Math.max(peer.nextVersion, replica.log().baseVersion() + 1);
             peers.put(other, peer);
         }
-        if (append(LogEntry.noOperation(last + 1, term))) {
+        if (append(LogEntry.noOperation(lastVersion + 1, term))) {
             heartbeat(nowUs);
             commit(nowUs);
         }
     }
 
     private boolean append(LogEntry entry) {
-        if (replica.promised() != term) {
-            stepDown("this replica has promised term " + replica.promised());
+        if (replica.promisedTerm() != term) {
+            stepDown("this replica has promised term " + replica.promisedTerm());
             return false;
         }
-        if (replica.take(List.of(entry))) {
+        if (replica.storeEntries(List.of(entry))) {
             return true;
         }
         stepDown("the disk of this replica fails");
@@ -254,7 +255,7 @@
         if (phase != Phase.LEADING) {
             throw new InvalidChangeException("this replica does not lead yet; try again");
         }
-        if (replica.log().lastVersion() - replica.state().version() >= MAX_UNCOMMITTED) {
+        if (replica.log().lastVersion() - replica.state().version() >= MAX_UNCOMMITTED_ENTRIES) {
             throw new InvalidChangeException("too many changes wait for a majority; try again");
         }
         long newest = versionOf(key);
@@ -285,12 +286,12 @@
     }
 
     private void heartbeat(long nowUs) {
-        wakeAtUs = nowUs + Timing.HEARTBEAT_US;
+        wakeAtUs = nowUs + Timing.HEARTBEAT_INTERVAL_US;
         peers.forEach(
                 (name, peer) -> {
-                    boolean overdue = nowUs - peer.sentUs >= Timing.RETRY_US;
-                    if (!peer.probing && peer.matching + 1 < peer.next && overdue) {
-                        peer.next = peer.matching + 1;
+                    boolean overdue = nowUs - peer.sentUs >= Timing.RETRY_DELAY_US;
+                    if (!peer.probing && peer.matchingVersion + 1 < peer.nextVersion && overdue) {
+                        peer.nextVersion = peer.matchingVersion + 1;
                     }
                     replicate(nowUs, name, peer, true);
                 });
@@ -299,23 +300,23 @@
     /** Sends what a replica lacks, as far as the window goes; at least one message if so wished. */
     private void replicate(long nowUs, String name, Peer peer, boolean always) {
         ReplicatedLog log = replica.log();
-        if (peer.next <= log.baseVersion()) {
+        if (peer.nextVersion <= log.baseVersion()) {
             if (always) {
                 actions.send(name, new Behind(settings.epoch(), term));
                 // Refused until the replica has fetched the state; its answer says that it has.
                 peer.probing = true;
-                peer.next = log.baseVersion() + 1;
+                peer.nextVersion = log.baseVersion() + 1;
                 send(nowUs, name, peer, List.of());
             }
             return;
         }
         boolean sent = false;
         while (!peer.probing
-                && peer.next <= log.lastVersion()
-                && peer.next - peer.matching <= WINDOW_ENTRIES) {
-            List<LogEntry> entries = DatagramBudget.fitting(log.after(peer.next - 1));
+                && peer.nextVersion <= log.lastVersion()
+                && peer.nextVersion - peer.matchingVersion <= MAX_UNCONFIRMED_ENTRIES) {
+            List<LogEntry> entries = DatagramBudget.fitting(log.after(peer.nextVersion - 1));
             send(nowUs, name, peer, entries);
-            peer.next += entries.size();
+            peer.nextVersion += entries.size();
             peer.sentUs = nowUs;
             sent = true;
         }
@@ -325,7 +326,7 @@
     }
 
     private void send(long nowUs, String name, Peer peer, List<LogEntry> entries) {
-        long previous = peer.next - 1;
+        long previous = peer.nextVersion - 1;
         actions.send(
                 name,
                 new Append(
@@ -338,7 +339,7 @@
                         List.copyOf(entries)));
     }
 
-    private void appended(long nowUs, String from, Appended of) {
+    private void onAppended(long nowUs, String from, Appended of) {
         if (of.term() > term) {
             stepDown("a replica has promised term " + of.term());
             return;
@@ -349,47 +350,49 @@
         }
         peer.confirmedUs = nowUs;
         peer.voting = of.voting();
-        confirmed();
+        updateConfirmation();
         if (of.accepted()) {
             peer.probing = false;
-            peer.matching = Math.max(peer.matching, of.version());
-            peer.next = Math.max(peer.next, peer.matching + 1);
+            peer.matchingVersion = Math.max(peer.matchingVersion, of.version());
+            peer.nextVersion = Math.max(peer.nextVersion, peer.matchingVersion + 1);
             commit(nowUs);
             if (phase == Phase.LEADING) {
                 replicate(nowUs, from, peer, false);
             }
         } else {
-            refused(nowUs, from, peer, of.version());
+            onAppendRejected(nowUs, from, peer, of.version());
         }
     }
 
-    private void refused(long nowUs, String from, Peer peer, long version) {
+    private void onAppendRejected(long nowUs, String from, Peer peer, long version) {
         if (!peer.voting) {
             // It has lost its disk, and with it what it had confirmed.
-            peer.matching = Math.min(peer.matching, version);
+            peer.matchingVersion = Math.min(peer.matchingVersion, version);
         }
-        if (version + 1 < peer.next && version >= peer.matching) {
+        if (version + 1 < peer.nextVersion && version >= peer.matchingVersion) {
             peer.probing = true;
-            peer.next = version + 1;
+            peer.nextVersion = version + 1;
             // What is no longer kept waits for the next heartbeat: the answer would be the same.
-            replicate(nowUs, from, peer, peer.next > replica.log().baseVersion());
+            replicate(nowUs, from, peer, peer.nextVersion > replica.log().baseVersion());
         }
     }
 
-    private void confirmed() {
+    private void updateConfirmation() {
         List<Long> times = new ArrayList<>();
         peers.values().stream().filter(peer -> peer.voting).forEach(p -> times.add(p.confirmedUs));
         int needed = settings.majority() - 1;
         if (needed > 0 && times.size() >= needed) {
             times.sort(null);
-            replica.confirmed(times.get(times.size() - needed));
+            replica.leaderConfirmed(times.get(times.size() - needed));
         }
     }
 
     private void commit(long nowUs) {
         long before = replica.state().version();
         List<Long> matching = new ArrayList<>(List.of(replica.log().lastVersion()));
-        peers.values().stream().filter(peer -> peer.voting).forEach(p -> matching.add(p.matching));
+        peers.values().stream()
+                .filter(peer -> peer.voting)
+                .forEach(p -> matching.add(p.matchingVersion));
         if (matching.size() < settings.majority()) {
             return;
         }
@@ -399,7 +402,7 @@
             return;
         }
         if (settings.majority() == 1) {
-            replica.confirmed(nowUs);
+            replica.leaderConfirmed(nowUs);
         }
         replica.commit(onMajority);
         for (long version = before + 1; version <= onMajority; version++) {
@@ -410,13 +413,13 @@
     }
 
     /** The lease is over. */
-    void end() {
-        phase = Phase.OVER;
+    void leaseLost() {
+        phase = Phase.STOPPED;
     }
 
     private void stepDown(String reason) {
-        if (phase != Phase.OVER) {
-            phase = Phase.OVER;
+        if (phase != Phase.STOPPED) {
+            phase = Phase.STOPPED;
             actions.stepDown(term, reason);
         }
     }
--- a/src/main/java/passhatch/distribution/LogEntry.java
+++ b/src/main/java/passhatch/distribution/LogEntry.java
@@ -14,7 +14,7 @@
         return new LogEntry(version, term, "", null);
     }
 
-    boolean setsNothing() {
+    boolean isNoOperation() {
         return key.isEmpty();
     }
 
--- a/src/main/java/passhatch/distribution/Message.java
+++ b/src/main/java/passhatch/distribution/Message.java
@@ -17,10 +17,15 @@
     /**
      * Replica to leader: the end of its log.
      *
-     * @param promised the lowest term that it still accepts; above {@code term} it has refused
+     * @param promisedTerm the lowest term that it still accepts; above {@code term} it has refused
      */
     record Prepared(
-            long epoch, long term, long promised, long lastVersion, long lastTerm, long committed)
+            long epoch,
+            long term,
+            long promisedTerm,
+            long lastVersion,
+            long lastTerm,
+            long committed)
             implements Message {}
 
     /** New leader to the replica with the most complete log: what comes after a version? */
--- a/src/main/java/passhatch/distribution/MessageCodec.java
+++ b/src/main/java/passhatch/distribution/MessageCodec.java
@@ -64,69 +64,72 @@
             cbor.writeString(fleet);
             write(cbor, message);
             cbor.writeEndArray();
-        } catch (IOException cannotBe) {
-            throw new IllegalStateException(cannotBe);
+        } catch (IOException impossible) {
+            throw new IllegalStateException(impossible);
         }
         return Frame.of(FORMAT, out.toByteArray());
     }
 
     private static void write(CBORGenerator cbor, Message message) throws IOException {
         if (message instanceof Prepare of) {
-            begin(cbor, Kind.PREPARE, of.epoch());
-            numbers(cbor, of.term());
+            writeKindAndEpoch(cbor, Kind.PREPARE, of.epoch());
+            writeNumbers(cbor, of.term());
         } else if (message instanceof Prepared of) {
-            begin(cbor, Kind.PREPARED, of.epoch());
-            numbers(cbor, of.term(), of.promised());
-            numbers(cbor, of.lastVersion(), of.lastTerm(), of.committed());
+            writeKindAndEpoch(cbor, Kind.PREPARED, of.epoch());
+            writeNumbers(cbor, of.term(), of.promisedTerm());
+            writeNumbers(cbor, of.lastVersion(), of.lastTerm(), of.committed());
         } else if (message instanceof LogRequest of) {
-            begin(cbor, Kind.LOG_REQUEST, of.epoch());
-            numbers(cbor, of.term(), of.after());
+            writeKindAndEpoch(cbor, Kind.LOG_REQUEST, of.epoch());
+            writeNumbers(cbor, of.term(), of.after());
         } else if (message instanceof LogPart of) {
-            begin(cbor, Kind.LOG_PART, of.epoch());
-            numbers(cbor, of.term(), of.previousVersion(), of.previousTerm(), of.lastVersion());
+            writeKindAndEpoch(cbor, Kind.LOG_PART, of.epoch());
+            writeNumbers(
+                    cbor, of.term(), of.previousVersion(), of.previousTerm(), of.lastVersion());
             entries(cbor, of.entries());
         } else if (message instanceof Append of) {
-            begin(cbor, Kind.APPEND, of.epoch());
-            numbers(cbor, of.term(), of.committed(), age(of.ageUs()));
-            numbers(cbor, of.previousVersion(), of.previousTerm());
+            writeKindAndEpoch(cbor, Kind.APPEND, of.epoch());
+            writeNumbers(cbor, of.term(), of.committed(), age(of.ageUs()));
+            writeNumbers(cbor, of.previousVersion(), of.previousTerm());
             entries(cbor, of.entries());
         } else if (message instanceof Appended of) {
-            begin(cbor, Kind.APPENDED, of.epoch());
-            numbers(cbor, of.term(), of.version());
+            writeKindAndEpoch(cbor, Kind.APPENDED, of.epoch());
+            writeNumbers(cbor, of.term(), of.version());
             cbor.writeBoolean(of.accepted());
             cbor.writeBoolean(of.voting());
         } else if (message instanceof Behind of) {
-            begin(cbor, Kind.BEHIND, of.epoch());
-            numbers(cbor, of.term());
+            writeKindAndEpoch(cbor, Kind.BEHIND, of.epoch());
+            writeNumbers(cbor, of.term());
         } else {
-            writeOfFollowers(cbor, message);
+            writeFollowerMessage(cbor, message);
         }
     }
 
-    private static void writeOfFollowers(CBORGenerator cbor, Message message) throws IOException {
+    private static void writeFollowerMessage(CBORGenerator cbor, Message message)
+            throws IOException {
         if (message instanceof Poll of) {
-            begin(cbor, Kind.POLL, of.epoch());
-            numbers(cbor, of.version());
+            writeKindAndEpoch(cbor, Kind.POLL, of.epoch());
+            writeNumbers(cbor, of.version());
             cbor.writeString(of.cursor());
             cbor.writeBinary(of.filter().encode());
             cbor.writeString(of.name());
         } else if (message instanceof Ack of) {
-            begin(cbor, Kind.ACK, of.epoch());
-            numbers(cbor, of.version());
+            writeKindAndEpoch(cbor, Kind.ACK, of.epoch());
+            writeNumbers(cbor, of.version());
         } else if (message instanceof Delta of) {
-            begin(cbor, Kind.DELTA, of.epoch());
-            numbers(cbor, of.after(), of.upto(), of.uptoTerm(), age(of.ageUs()));
+            writeKindAndEpoch(cbor, Kind.DELTA, of.epoch());
+            writeNumbers(cbor, of.after(), of.upto(), of.uptoTerm(), age(of.ageUs()));
             entries(cbor, of.entries());
         } else if (message instanceof SnapshotPart of) {
-            begin(cbor, Kind.SNAPSHOT_PART, of.epoch());
-            numbers(cbor, of.version(), of.versionTerm(), age(of.ageUs()), of.afterKeyHash());
+            writeKindAndEpoch(cbor, Kind.SNAPSHOT_PART, of.epoch());
+            writeNumbers(cbor, of.version(), of.versionTerm(), age(of.ageUs()), of.afterKeyHash());
             cbor.writeBoolean(of.last());
             cbor.writeBoolean(of.more());
             entries(cbor, of.entries());
         }
     }
 
-    private static void begin(CBORGenerator cbor, Kind kind, long epoch) throws IOException {
+    private static void writeKindAndEpoch(CBORGenerator cbor, Kind kind, long epoch)
+            throws IOException {
         cbor.writeNumber(kind.ordinal());
         cbor.writeNumber(epoch);
     }
@@ -135,7 +138,7 @@
         return Math.max(0, Math.min(Integer.MAX_VALUE, ageUs));
     }
 
-    private static void numbers(CBORGenerator cbor, long... numbers) throws IOException {
+    private static void writeNumbers(CBORGenerator cbor, long... numbers) throws IOException {
         for (long number : numbers) {
             cbor.writeNumber(number);
         }
@@ -145,7 +148,7 @@
         cbor.writeStartArray(null, entries.size());
         for (LogEntry entry : entries) {
             cbor.writeStartArray(null, 4);
-            numbers(cbor, entry.version(), entry.term());
+            writeNumbers(cbor, entry.version(), entry.term());
             cbor.writeString(entry.key());
             cbor.writeString(entry.value());
             cbor.writeEndArray();
@@ -170,7 +173,7 @@
             Message message = read(cbor, kind, cbor.readLong(0, Integer.MAX_VALUE));
             cbor.skipToArrayEnd();
             return new Read(message, null);
-        } catch (IOException | IllegalArgumentException bad) {
+        } catch (IOException | IllegalArgumentException malformed) {
             return new Read(null, DropReason.FORM);
         }
     }
@@ -210,7 +213,7 @@
                 yield new Appended(epoch, term, cbor.readBoolean(), version, cbor.readBoolean());
             }
             case BEHIND -> new Behind(epoch, term(cbor));
-            case POLL -> poll(cbor, epoch);
+            case POLL -> readPoll(cbor, epoch);
             case ACK -> new Ack(epoch, version(cbor));
             case DELTA ->
                     new Delta(
@@ -233,7 +236,7 @@
         };
     }
 
-    private static Message poll(CborReader cbor, long epoch) throws IOException {
+    private static Message readPoll(CborReader cbor, long epoch) throws IOException {
         long version = version(cbor);
         String cursor = cbor.readTextOrNull();
         CborReader.require(cursor == null || ConfigKey.isKey(cursor));
--- a/src/main/java/passhatch/distribution/Participant.java
+++ b/src/main/java/passhatch/distribution/Participant.java
@@ -25,7 +25,7 @@
     private final RandomGenerator random;
     private Leader leader;
     private long flushAtUs;
-    private long servedVersion;
+    private long pushedVersion;
 
     /**
      * A participant that starts.
@@ -48,8 +48,8 @@
         view = isReplica ? replica : follower;
         boolean serves = settings.role() != DistributionSettings.Role.SUBSCRIBER;
         source = serves ? new Source(view, actions) : null;
-        flushAtUs = nowUs + Timing.COMMIT_FLUSH_US;
-        servedVersion = view.state().version();
+        flushAtUs = nowUs + Timing.COMMIT_FLUSH_INTERVAL_US;
+        pushedVersion = view.state().version();
     }
 
     private Follower follower(List<DiskRecord> records, long nowUs) {
@@ -92,7 +92,7 @@
         }
         if (replica != null && nowUs >= flushAtUs) {
             replica.flush();
-            flushAtUs = nowUs + Timing.COMMIT_FLUSH_US;
+            flushAtUs = nowUs + Timing.COMMIT_FLUSH_INTERVAL_US;
         }
         if (source != null) {
             source.timer(nowUs);
@@ -101,46 +101,46 @@
     }
 
     /** A message that arrived. */
-    public void hear(long nowUs, String from, Message message) {
+    public void onMessage(long nowUs, String from, Message message) {
         if (message instanceof Message.Poll || message instanceof Message.Ack) {
             if (source != null) {
-                source.hear(nowUs, from, message);
+                source.onMessage(nowUs, from, message);
             }
         } else if (message instanceof Message.Delta || message instanceof Message.SnapshotPart) {
-            hearFromSource(nowUs, from, message);
+            onSourceMessage(nowUs, from, message);
         } else if (replica != null
                 && message.epoch() == settings.epoch()
                 && settings.replicas().contains(from)) {
-            hearFromReplica(nowUs, from, message);
+            onReplicaMessage(nowUs, from, message);
         }
         pushIfAdvanced(nowUs);
     }
 
-    private void hearFromSource(long nowUs, String from, Message message) {
+    private void onSourceMessage(long nowUs, String from, Message message) {
         if (follower != null && settings.sources().contains(from)) {
-            follower.hear(nowUs, from, message);
+            follower.onMessage(nowUs, from, message);
         } else if (catchUp != null && from.equals(catchUp.source())) {
-            catchUp.hear(nowUs, from, message);
+            catchUp.onMessage(nowUs, from, message);
             if (catchUp.epoch() == settings.epoch()) {
                 replica.install(catchUp.state());
             }
         }
     }
 
-    private void hearFromReplica(long nowUs, String from, Message message) {
-        if (message instanceof Message.Append of && follows(of)) {
+    private void onReplicaMessage(long nowUs, String from, Message message) {
+        if (message instanceof Message.Append of && isWithinLog(of)) {
             catchUp = null;
         }
-        replica.hear(nowUs, from, message);
+        replica.onMessage(nowUs, from, message);
         if (leader != null) {
-            leader.hear(nowUs, from, message);
+            leader.onMessage(nowUs, from, message);
         }
-        if (message instanceof Message.Behind && (leader == null || leader.isOver())) {
+        if (message instanceof Message.Behind && (leader == null || leader.isStopped())) {
             catchUpFrom(nowUs, from);
         }
     }
 
-    private boolean follows(Message.Append append) {
+    private boolean isWithinLog(Message.Append append) {
         return append.previousVersion() <= replica.log().lastVersion();
     }
 
@@ -149,7 +149,7 @@
             return;
         }
         // What it writes is written again, as the replica's own, when it is installed.
-        DistributionActions unwritten =
+        DistributionActions actionsWithoutDisk =
                 new DistributionActions() {
                     @Override
                     public void send(String peer, Message message) {
@@ -170,33 +170,33 @@
                         List.of(),
                         nowUs,
                         random,
-                        unwritten);
+                        actionsWithoutDisk);
     }
 
     private void pushIfAdvanced(long nowUs) {
-        if (source != null && view.state().version() != servedVersion) {
-            servedVersion = view.state().version();
-            source.advanced(nowUs);
+        if (source != null && view.state().version() != pushedVersion) {
+            pushedVersion = view.state().version();
+            source.onStateAdvanced(nowUs);
         }
     }
 
     /** This replica has the lease, with its fencing token as the term. */
-    public void granted(long nowUs, long term) {
+    public void leaseGranted(long nowUs, long term) {
         leader = new Leader(settings, term, replica, nowUs, actions);
         pushIfAdvanced(nowUs);
     }
 
     /** It has the lease no more. */
-    public void lost() {
+    public void leaseLost() {
         if (leader != null) {
-            leader.end();
+            leader.leaseLost();
             leader = null;
         }
     }
 
     /** Lets a replica with an empty disk count towards majorities, when a log is founded. */
-    public boolean found() {
-        return replica != null && replica.found();
+    public boolean initialize() {
+        return replica != null && replica.initialize();
     }
 
     /**
@@ -224,8 +224,8 @@
     }
 
     /** Whether this replica counts towards majorities; false for other roles. */
-    public boolean founded() {
-        return replica != null && replica.founded();
+    public boolean isInitialized() {
+        return replica != null && replica.isInitialized();
     }
 
     /** The source that is followed just now; null where there is none. */
--- a/src/main/java/passhatch/distribution/Replica.java
+++ b/src/main/java/passhatch/distribution/Replica.java
@@ -27,12 +27,12 @@
     private final DistributionActions actions;
     private final ReplicatedLog log = new ReplicatedLog();
     private final ConfigState state = new ConfigState(MAX_TOMBSTONES);
-    private boolean founded;
+    private boolean initialized;
     private boolean diskFailed;
-    private long promised;
+    private long promisedTerm;
     private long committedOnDisk;
-    private long confirmedUs = Long.MIN_VALUE / 2;
-    private long toldAgeUs;
+    private long leaderConfirmedUs = Long.MIN_VALUE / 2;
+    private long reportedAgeUs;
 
     Replica(long epoch, List<DiskRecord> records, DistributionActions actions) {
         this.epoch = epoch;
@@ -40,7 +40,7 @@
         long epochOnDisk = 0;
         for (DiskRecord record : records) {
             replay(record);
-            if (record instanceof DiskRecord.Founded of) {
+            if (record instanceof DiskRecord.Initialized of) {
                 epochOnDisk = of.epoch();
             }
         }
@@ -48,22 +48,22 @@
             throw new IllegalArgumentException(
                     "the disk has epoch " + epochOnDisk + ", the configuration " + epoch);
         }
-        founded = epochOnDisk == epoch;
+        initialized = epochOnDisk == epoch;
         committedOnDisk = state.version();
-        if (epochOnDisk > 0 && !founded) {
+        if (epochOnDisk > 0 && !initialized) {
             // It has its disk, so it has forgotten nothing; the new epoch counts it as well.
-            found();
+            initialize();
         }
     }
 
     private void replay(DiskRecord record) {
         if (record instanceof DiskRecord.Promised of) {
-            promised = Math.max(promised, of.term());
+            promisedTerm = Math.max(promisedTerm, of.term());
         } else if (record instanceof DiskRecord.Appended of) {
             log.truncateAfter(of.entry().version() - 1);
             log.append(of.entry());
         } else if (record instanceof DiskRecord.Committed of) {
-            applyTo(of.version());
+            applyUpTo(of.version());
         } else if (record instanceof DiskRecord.Reset of) {
             state.reset(of.version(), of.versionTerm(), of.floor());
             log.reset(of.version(), of.versionTerm());
@@ -75,10 +75,10 @@
     /** All that a disk needs to have of this replica, in place of what was written so far. */
     List<DiskRecord> snapshot() {
         List<DiskRecord> records = new ArrayList<>();
-        if (founded) {
-            records.add(new DiskRecord.Founded(epoch));
+        if (initialized) {
+            records.add(new DiskRecord.Initialized(epoch));
         }
-        records.add(new DiskRecord.Promised(epoch, promised));
+        records.add(new DiskRecord.Promised(epoch, promisedTerm));
         records.add(new DiskRecord.Reset(epoch, state.version(), state.term(), state.floor()));
         state.entries().values().forEach(e -> records.add(new DiskRecord.Content(List.of(e))));
         log.after(state.version()).forEach(e -> records.add(new DiskRecord.Appended(epoch, e)));
@@ -91,24 +91,24 @@
      *
      * @return false where it counts already or the disk fails
      */
-    boolean found() {
-        if (founded || !force(List.of(new DiskRecord.Founded(epoch)))) {
+    boolean initialize() {
+        if (initialized || !force(List.of(new DiskRecord.Initialized(epoch)))) {
             return false;
         }
-        founded = true;
+        initialized = true;
         return true;
     }
 
-    boolean founded() {
-        return founded;
+    boolean isInitialized() {
+        return initialized;
     }
 
     boolean diskFailed() {
         return diskFailed;
     }
 
-    long promised() {
-        return promised;
+    long promisedTerm() {
+        return promisedTerm;
     }
 
     ReplicatedLog log() {
@@ -127,27 +127,27 @@
 
     @Override
     public long ageUs(long nowUs) {
-        return nowUs - confirmedUs + toldAgeUs;
+        return nowUs - leaderConfirmedUs + reportedAgeUs;
     }
 
     /** A majority has confirmed the leader that runs in this process. */
-    void confirmed(long atUs) {
-        confirmedUs = atUs;
-        toldAgeUs = 0;
+    void leaderConfirmed(long atUs) {
+        leaderConfirmedUs = atUs;
+        reportedAgeUs = 0;
     }
 
-    void hear(long nowUs, String from, Message message) {
+    void onMessage(long nowUs, String from, Message message) {
         if (message instanceof Prepare prepare) {
-            prepare(from, prepare);
+            onPrepare(from, prepare);
         } else if (message instanceof LogRequest request) {
-            tellLog(from, request);
+            onLogRequest(from, request);
         } else if (message instanceof Append append) {
-            append(nowUs, from, append);
+            onAppend(nowUs, from, append);
         }
     }
 
-    private void prepare(String from, Prepare prepare) {
-        if (!founded || prepare.term() > promised && !promise(prepare.term())) {
+    private void onPrepare(String from, Prepare prepare) {
+        if (!initialized || prepare.term() > promisedTerm && !promise(prepare.term())) {
             return;
         }
         actions.send(
@@ -155,7 +155,7 @@
                 new Prepared(
                         epoch,
                         prepare.term(),
-                        promised,
+                        promisedTerm,
                         log.lastVersion(),
                         log.lastTerm(),
                         state.version()));
@@ -163,15 +163,15 @@
 
     /** Accepts no lower term from now on; false where the disk does not have that. */
     boolean promise(long term) {
-        if (term < promised || !force(List.of(new DiskRecord.Promised(epoch, term)))) {
+        if (term < promisedTerm || !force(List.of(new DiskRecord.Promised(epoch, term)))) {
             return false;
         }
-        promised = term;
+        promisedTerm = term;
         return true;
     }
 
-    private void tellLog(String from, LogRequest request) {
-        if (request.term() != promised) {
+    private void onLogRequest(String from, LogRequest request) {
+        if (request.term() != promisedTerm) {
             return;
         }
         if (request.after() < log.baseVersion()) {
@@ -189,36 +189,37 @@
         }
     }
 
-    private void append(long nowUs, String from, Append append) {
-        if (append.term() > promised && !promise(append.term())) {
+    private void onAppend(long nowUs, String from, Append append) {
+        if (append.term() > promisedTerm && !promise(append.term())) {
             return;
         }
-        if (append.term() < promised) {
-            actions.send(from, new Appended(epoch, promised, false, log.lastVersion(), founded));
+        if (append.term() < promisedTerm) {
+            actions.send(
+                    from, new Appended(epoch, promisedTerm, false, log.lastVersion(), initialized));
             return;
         }
-        if (!follows(append.previousVersion(), append.previousTerm())) {
+        if (!matchesLog(append.previousVersion(), append.previousTerm())) {
             long retryAfter =
                     Math.max(
                             state.version(),
                             Math.min(log.lastVersion(), append.previousVersion() - 1));
-            actions.send(from, new Appended(epoch, append.term(), false, retryAfter, founded));
+            actions.send(from, new Appended(epoch, append.term(), false, retryAfter, initialized));
             return;
         }
-        if (!take(append.entries())) {
+        if (!storeEntries(append.entries())) {
             return;
         }
         long matching = append.previousVersion() + append.entries().size();
         commit(Math.min(append.committed(), matching));
         if (state.version() >= append.committed()) {
-            confirmedUs = nowUs;
-            toldAgeUs = append.ageUs();
+            leaderConfirmedUs = nowUs;
+            reportedAgeUs = append.ageUs();
         }
-        actions.send(from, new Appended(epoch, append.term(), true, matching, founded));
+        actions.send(from, new Appended(epoch, append.term(), true, matching, initialized));
     }
 
     /** Whether the logs agree up to an entry. What is committed is the same everywhere. */
-    private boolean follows(long version, long term) {
+    private boolean matchesLog(long version, long term) {
         return version <= state.version()
                 || version <= log.lastVersion() && log.termAt(version) == term;
     }
@@ -228,7 +229,7 @@
      *
      * @return false where the disk does not have them
      */
-    boolean take(List<LogEntry> entries) {
+    boolean storeEntries(List<LogEntry> entries) {
         List<LogEntry> missing = new ArrayList<>();
         for (LogEntry entry : entries) {
             boolean known =
@@ -258,14 +259,14 @@
         if (version <= state.version()) {
             return;
         }
-        applyTo(version);
+        applyUpTo(version);
         if (log.baseVersion() + 2 * RETAINED_ENTRIES < state.version()) {
             log.trimTo(state.version() - RETAINED_ENTRIES);
         }
-        actions.inForce(epoch, version);
+        actions.versionApplied(epoch, version);
     }
 
-    private void applyTo(long version) {
+    private void applyUpTo(long version) {
         for (long next = state.version() + 1; next <= version; next++) {
             LogEntry entry = log.get(next);
             state.put(entry);
@@ -306,7 +307,7 @@
         other.entries().values().forEach(state::put);
         log.reset(other.version(), other.term());
         committedOnDisk = other.version();
-        actions.inForce(epoch, other.version());
+        actions.versionApplied(epoch, other.version());
     }
 
     /** After one failed write nothing more is trusted of the disk until a restart. */
--- a/src/main/java/passhatch/distribution/Setting.java
+++ b/src/main/java/passhatch/distribution/Setting.java
@@ -17,12 +17,12 @@
     /** Whether calls are sent at all: 0 or 1. */
     ENABLED(0, 1);
 
-    private final long least;
-    private final long greatest;
+    private final long min;
+    private final long max;
 
-    Setting(long least, long greatest) {
-        this.least = least;
-        this.greatest = greatest;
+    Setting(long min, long max) {
+        this.min = min;
+        this.max = max;
     }
 
     /** Its name as the last part of a key. */
@@ -62,17 +62,11 @@
     private void checkValue(String key, String value) throws InvalidChangeException {
         boolean valid =
                 value.matches("\\d{1,9}")
-                        && Long.parseLong(value) >= least
-                        && Long.parseLong(value) <= greatest;
+                        && Long.parseLong(value) >= min
+                        && Long.parseLong(value) <= max;
         if (!valid) {
             throw new InvalidChangeException(
-                    key
-                            + ": '"
-                            + value
-                            + "': expected a whole number, "
-                            + least
-                            + " to "
-                            + greatest);
+                    key + ": '" + value + "': expected a whole number, " + min + " to " + max);
         }
     }
 
--- a/src/main/java/passhatch/distribution/Source.java
+++ b/src/main/java/passhatch/distribution/Source.java
@@ -19,19 +19,19 @@
     private static final int MAX_FOLLOWERS = 4_096;
 
     /** Datagrams of deltas to one follower without being confirmed, at most. */
-    private static final int WINDOW_DATAGRAMS = 16;
+    private static final int MAX_UNCONFIRMED_DATAGRAMS = 16;
 
     /** Parts of a snapshot that answer one poll. */
-    private static final int SNAPSHOT_BURST = 32;
+    private static final int MAX_PARTS_PER_BURST = 32;
 
     /** What is known of a follower. */
     private static final class FollowerState {
         private String name = "";
-        private long confirmed;
-        private long sent;
+        private long confirmedVersion;
+        private long sentVersion;
         private long sentUs;
-        private int datagrams;
-        private long polledUs;
+        private int unconfirmedDatagrams;
+        private long lastPollUs;
         private boolean inSnapshot;
         private ServiceFilter filter = ServiceFilter.all();
     }
@@ -40,7 +40,7 @@
     private final DistributionActions actions;
     private final Map<String, FollowerState> followers = new LinkedHashMap<>();
     private long wakeAtUs = Long.MAX_VALUE;
-    private long refused;
+    private long rejectedPolls;
 
     Source(CommittedView view, DistributionActions actions) {
         this.view = view;
@@ -52,13 +52,13 @@
     }
 
     /** Polls that were not answered as there were too many followers. */
-    long refused() {
-        return refused;
+    long rejectedPolls() {
+        return rejectedPolls;
     }
 
-    void hear(long nowUs, String from, Message message) {
+    void onMessage(long nowUs, String from, Message message) {
         if (message instanceof Poll poll) {
-            poll(nowUs, from, poll);
+            onPoll(nowUs, from, poll);
         } else if (message instanceof Ack ack && ack.epoch() == view.epoch()) {
             FollowerState follower = followers.get(from);
             if (follower != null) {
@@ -68,82 +68,83 @@
         }
     }
 
-    private void poll(long nowUs, String from, Poll poll) {
+    private void onPoll(long nowUs, String from, Poll poll) {
         FollowerState follower = followers.get(from);
         if (follower == null) {
             if (followers.size() >= MAX_FOLLOWERS) {
-                refused++;
+                rejectedPolls++;
                 return;
             }
             follower = new FollowerState();
             followers.put(from, follower);
-            wakeAtUs = Math.min(wakeAtUs, nowUs + Timing.RETRY_US);
+            wakeAtUs = Math.min(wakeAtUs, nowUs + Timing.RETRY_DELAY_US);
         }
-        follower.polledUs = nowUs;
+        follower.lastPollUs = nowUs;
         follower.name = poll.name();
         follower.filter = poll.filter();
-        boolean known = poll.epoch() == view.epoch();
-        follower.inSnapshot = !known || poll.version() < view.state().floor();
+        boolean sameEpoch = poll.epoch() == view.epoch();
+        follower.inSnapshot = !sameEpoch || poll.version() < view.state().floor();
         if (poll.epoch() > view.epoch()) {
             // This source is the one that is behind; an empty delta says so.
             follower.inSnapshot = false;
-            follower.confirmed = view.state().version();
-            sendDelta(nowUs, from, follower.confirmed, follower.confirmed, List.of());
+            follower.confirmedVersion = view.state().version();
+            sendDelta(nowUs, from, follower.confirmedVersion, follower.confirmedVersion, List.of());
         } else if (follower.inSnapshot || poll.cursor() != null) {
             follower.inSnapshot = true;
             sendSnapshot(nowUs, from, poll);
         } else {
-            follower.confirmed = poll.version();
-            follower.sent = poll.version();
-            follower.datagrams = 0;
+            follower.confirmedVersion = poll.version();
+            follower.sentVersion = poll.version();
+            follower.unconfirmedDatagrams = 0;
             if (!push(nowUs, from, follower)) {
-                long head = view.state().version();
-                long after = Math.min(poll.version(), head);
-                sendDelta(nowUs, from, after, head, List.of());
-                follower.sent = Math.max(follower.sent, head);
+                long lastVersion = view.state().version();
+                long after = Math.min(poll.version(), lastVersion);
+                sendDelta(nowUs, from, after, lastVersion, List.of());
+                follower.sentVersion = Math.max(follower.sentVersion, lastVersion);
             }
         }
     }
 
     private static void confirm(FollowerState follower, long version) {
-        if (version > follower.confirmed) {
-            follower.confirmed = version;
-            follower.sent = Math.max(follower.sent, version);
+        if (version > follower.confirmedVersion) {
+            follower.confirmedVersion = version;
+            follower.sentVersion = Math.max(follower.sentVersion, version);
         }
-        if (follower.confirmed >= follower.sent) {
-            follower.datagrams = 0;
+        if (follower.confirmedVersion >= follower.sentVersion) {
+            follower.unconfirmedDatagrams = 0;
         }
     }
 
     /** The state has reached a newer version. */
-    void advanced(long nowUs) {
+    void onStateAdvanced(long nowUs) {
         followers.forEach((peer, follower) -> push(nowUs, peer, follower));
     }
 
     /** Sends what a follower subscribes to and lacks; whether there was anything. */
     private boolean push(long nowUs, String peer, FollowerState follower) {
         ConfigState state = view.state();
-        if (follower.inSnapshot || follower.sent < state.floor()) {
+        if (follower.inSnapshot || follower.sentVersion < state.floor()) {
             return false;
         }
-        List<LogEntry> wanted = new ArrayList<>();
-        for (LogEntry entry : state.after(follower.sent)) {
+        List<LogEntry> entriesToSend = new ArrayList<>();
+        for (LogEntry entry : state.after(follower.sentVersion)) {
             if (follower.filter.passes(entry.key())) {
-                wanted.add(entry);
+                entriesToSend.add(entry);
             }
         }
-        boolean any = !wanted.isEmpty();
-        while (!wanted.isEmpty() && follower.datagrams < WINDOW_DATAGRAMS) {
-            List<LogEntry> entries = DatagramBudget.fitting(wanted);
-            wanted = wanted.subList(entries.size(), wanted.size());
+        boolean hasEntries = !entriesToSend.isEmpty();
+        while (!entriesToSend.isEmpty()
+                && follower.unconfirmedDatagrams < MAX_UNCONFIRMED_DATAGRAMS) {
+            List<LogEntry> entries = DatagramBudget.fitting(entriesToSend);
+            entriesToSend = entriesToSend.subList(entries.size(), entriesToSend.size());
             LogEntry newest = entries.get(entries.size() - 1);
-            long upto = wanted.isEmpty() ? state.version() : newest.version();
-            sendDelta(nowUs, peer, follower.sent, upto, entries);
-            follower.sent = upto;
+            long upto = entriesToSend.isEmpty() ? state.version() : newest.version();
+            sendDelta(nowUs, peer, follower.sentVersion, upto, entries);
+            follower.sentVersion = upto;
             follower.sentUs = nowUs;
-            follower.datagrams++;
+            follower.unconfirmedDatagrams++;
         }
-        return any;
+        return hasEntries;
     }
 
     private void sendDelta(long nowUs, String peer, long after, long upto, List<LogEntry> entries) {
@@ -157,22 +158,22 @@
     private void sendSnapshot(long nowUs, String peer, Poll poll) {
         String after = poll.cursor() == null ? "" : poll.cursor();
         NavigableMap<String, LogEntry> rest = view.state().afterKey(after);
-        List<LogEntry> wanted = new ArrayList<>();
-        int most = SNAPSHOT_BURST * DatagramBudget.ENTRY_BYTES;
+        List<LogEntry> entriesToSend = new ArrayList<>();
+        int remainingBytes = MAX_PARTS_PER_BURST * DatagramBudget.MAX_ENTRIES_BYTES;
         for (LogEntry entry : rest.values()) {
             if (poll.filter().passes(entry.key())) {
-                wanted.add(entry);
-                most -= DatagramBudget.sizeOf(entry);
-                if (most < 0) {
+                entriesToSend.add(entry);
+                remainingBytes -= DatagramBudget.sizeOf(entry);
+                if (remainingBytes < 0) {
                     break;
                 }
             }
         }
-        boolean whole = most >= 0;
+        boolean complete = remainingBytes >= 0;
         do {
-            List<LogEntry> entries = DatagramBudget.fitting(wanted);
-            wanted = wanted.subList(entries.size(), wanted.size());
-            boolean more = !wanted.isEmpty();
+            List<LogEntry> entries = DatagramBudget.fitting(entriesToSend);
+            entriesToSend = entriesToSend.subList(entries.size(), entriesToSend.size());
+            boolean more = !entriesToSend.isEmpty();
             actions.send(
                     peer,
                     new SnapshotPart(
@@ -181,13 +182,13 @@
                             view.state().term(),
                             view.ageUs(nowUs),
                             Message.keyHash(after),
-                            whole && !more,
+                            complete && !more,
                             more,
                             entries));
             if (!entries.isEmpty()) {
                 after = entries.get(entries.size() - 1).key();
             }
-        } while (!wanted.isEmpty());
+        } while (!entriesToSend.isEmpty());
     }
 
     /** Sends again what was not confirmed in time, and forgets followers that are gone. */
@@ -199,23 +200,23 @@
         while (all.hasNext()) {
             Map.Entry<String, FollowerState> next = all.next();
             FollowerState follower = next.getValue();
-            if (nowUs - follower.polledUs > Timing.FOLLOWER_EXPIRY_US) {
+            if (nowUs - follower.lastPollUs > Timing.FOLLOWER_EXPIRY_US) {
                 all.remove();
-            } else if (follower.datagrams > 0
-                    && follower.confirmed < follower.sent
-                    && nowUs - follower.sentUs >= Timing.RETRY_US) {
-                follower.sent = follower.confirmed;
-                follower.datagrams = 0;
+            } else if (follower.unconfirmedDatagrams > 0
+                    && follower.confirmedVersion < follower.sentVersion
+                    && nowUs - follower.sentUs >= Timing.RETRY_DELAY_US) {
+                follower.sentVersion = follower.confirmedVersion;
+                follower.unconfirmedDatagrams = 0;
                 push(nowUs, next.getKey(), follower);
             }
         }
-        wakeAtUs = followers.isEmpty() ? Long.MAX_VALUE : nowUs + Timing.RETRY_US;
+        wakeAtUs = followers.isEmpty() ? Long.MAX_VALUE : nowUs + Timing.RETRY_DELAY_US;
     }
 
     /** Names of the followers heard of lately, with the version that each has confirmed. */
     Map<String, Long> confirmedVersions() {
         Map<String, Long> versions = new TreeMap<>();
-        followers.values().forEach(f -> versions.put(f.name, f.confirmed));
+        followers.values().forEach(f -> versions.put(f.name, f.confirmedVersion));
         return versions;
     }
 }
--- a/src/main/java/passhatch/duty/Candidate.java
+++ b/src/main/java/passhatch/duty/Candidate.java
@@ -13,18 +13,18 @@
 public class Candidate {
 
     /** Askings in a lease: two may get lost. */
-    private static final int ASKS_A_LEASE = 4;
+    private static final int REQUESTS_PER_LEASE = 4;
 
     /** The shortest wait after an asking that came to nothing, as a part of a lease. */
-    private static final int SHORTEST_WAIT = 32;
+    private static final int MIN_BACKOFF_DIVISOR = 32;
 
     /**
      * Asked so often at once after another gave the duty up; its word may reach voters a little
      * later.
      */
-    private static final int TRIES_TO_TAKE = 20;
+    private static final int MAX_ACQUIRE_ATTEMPTS = 20;
 
-    private static final int TAKE_AGAIN = 256;
+    private static final int ACQUIRE_RETRY_DIVISOR = 256;
 
     private enum Phase {
         IDLE,
@@ -38,19 +38,19 @@
     private final String holder;
     private final RandomGenerator random;
     private final DutyActions actions;
-    private final long rankWaitUs;
+    private final long rankDelayUs;
     private Phase phase = Phase.IDLE;
     private long term;
-    private long greatestSeen;
+    private long maxSeenTerm;
     private int round;
-    private long askedUs;
+    private long requestedUs;
     private final Set<String> granted = new HashSet<>();
     private final Set<String> refused = new HashSet<>();
-    private long actUntilUs;
+    private long leaseUntilUs;
     private long wakeAtUs = Long.MAX_VALUE;
-    private long waitUs;
-    private long boundUs;
-    private int triesToTake;
+    private long backoffUs;
+    private long votersBoundUs;
+    private int acquireAttemptsLeft;
 
     /**
      * A candidate that does not want the duty yet.
@@ -70,8 +70,8 @@
         this.holder = holder;
         this.random = random;
         this.actions = actions;
-        this.rankWaitUs = rank * (settings.leaseUs() / SHORTEST_WAIT);
-        this.waitUs = settings.leaseUs() / SHORTEST_WAIT;
+        this.rankDelayUs = rank * (settings.leaseUs() / MIN_BACKOFF_DIVISOR);
+        this.backoffUs = settings.leaseUs() / MIN_BACKOFF_DIVISOR;
     }
 
     /** Votes that are needed. */
@@ -80,14 +80,14 @@
     }
 
     /** From when a lease is counted, of an asking that was answered now. */
-    protected long countedFromUs(long asked, long nowUs) {
-        return asked;
+    protected long leaseStartUs(long requestUs, long nowUs) {
+        return requestUs;
     }
 
     /** Wants the duty from now on. */
-    public void want(long nowUs) {
+    public void campaign(long nowUs) {
         if (phase == Phase.IDLE) {
-            waitAndAsk(nowUs, 0);
+            scheduleRequest(nowUs, 0);
         }
     }
 
@@ -98,12 +98,12 @@
 
     /** Whether this process may act on the duty at this moment; to be asked at each act. */
     public boolean mayAct(long nowUs) {
-        return phase == Phase.HOLDING && nowUs < actUntilUs;
+        return phase == Phase.HOLDING && nowUs < leaseUntilUs;
     }
 
     /** The same for an act that was planned in a term. */
-    public boolean guard(long nowUs, long ofTerm) {
-        return mayAct(nowUs) && term == ofTerm;
+    public boolean mayActInTerm(long nowUs, long expectedTerm) {
+        return mayAct(nowUs) && term == expectedTerm;
     }
 
     /** The term that it holds; 0 where it holds none. */
@@ -112,46 +112,46 @@
     }
 
     /** So long it may act without another answer, in microseconds. */
-    public long leftUs(long nowUs) {
-        return mayAct(nowUs) ? actUntilUs - nowUs : 0;
+    public long remainingUs(long nowUs) {
+        return mayAct(nowUs) ? leaseUntilUs - nowUs : 0;
     }
 
     /** Does what is due. */
     public void timer(long nowUs) {
-        if (phase == Phase.HOLDING && nowUs >= actUntilUs) {
-            lose(nowUs);
+        if (phase == Phase.HOLDING && nowUs >= leaseUntilUs) {
+            loseLease(nowUs);
         } else if (nowUs >= wakeAtUs) {
             switch (phase) {
-                case WAITING -> ask(nowUs, Math.max(term, greatestSeen) + 1);
-                case ASKING -> fail(nowUs);
+                case WAITING -> requestTerm(nowUs, Math.max(term, maxSeenTerm) + 1);
+                case ASKING -> onRequestFailed(nowUs);
                 case HOLDING -> renew(nowUs);
                 case IDLE -> wakeAtUs = Long.MAX_VALUE;
             }
         }
     }
 
-    private void ask(long nowUs, long newTerm) {
+    private void requestTerm(long nowUs, long newTerm) {
         phase = Phase.ASKING;
         term = newTerm;
-        boundUs = 0;
-        send(nowUs);
-        wakeAtUs = nowUs + settings.leaseUs() / ASKS_A_LEASE;
+        votersBoundUs = 0;
+        sendRequest(nowUs);
+        wakeAtUs = nowUs + settings.leaseUs() / REQUESTS_PER_LEASE;
     }
 
     private void renew(long nowUs) {
-        send(nowUs);
-        wakeAtUs = Math.min(actUntilUs, nowUs + settings.leaseUs() / ASKS_A_LEASE);
+        sendRequest(nowUs);
+        wakeAtUs = Math.min(leaseUntilUs, nowUs + settings.leaseUs() / REQUESTS_PER_LEASE);
     }
 
-    private void send(long nowUs) {
+    private void sendRequest(long nowUs) {
         round++;
-        askedUs = nowUs;
+        requestedUs = nowUs;
         granted.clear();
         refused.clear();
-        toVoters(DutyMessage.Kind.REQUEST);
+        sendToVoters(DutyMessage.Kind.REQUEST);
     }
 
-    private void toVoters(DutyMessage.Kind kind) {
+    private void sendToVoters(DutyMessage.Kind kind) {
         DutyMessage message = message(kind);
         settings.voters().forEach(v -> actions.send(v, message));
     }
@@ -161,89 +161,89 @@
     }
 
     /** A voter's answer, or the word of another holder that it has given up. */
-    public void hear(long nowUs, String from, DutyMessage message) {
+    public void onMessage(long nowUs, String from, DutyMessage message) {
         if (message.epoch() != settings.epoch() || !message.duty().equals(duty)) {
             return;
         }
         if (message.kind() == DutyMessage.Kind.TAKE) {
-            take(nowUs, message);
+            onTake(nowUs, message);
         } else if (message.holder().equals(holder) && message.round() == round) {
             if (message.kind() == DutyMessage.Kind.GRANT && message.term() == term) {
-                grant(nowUs, from);
+                onGrant(nowUs, from);
             } else if (message.kind() == DutyMessage.Kind.REFUSAL) {
-                refuse(nowUs, from, message);
+                onRefusal(nowUs, from, message);
             }
         }
     }
 
-    private void grant(long nowUs, String from) {
+    private void onGrant(long nowUs, String from) {
         if (phase != Phase.ASKING && phase != Phase.HOLDING || !settings.voters().contains(from)) {
             return;
         }
         granted.add(from);
-        long until = countedFromUs(askedUs, nowUs) + settings.actingUs();
+        long until = leaseStartUs(requestedUs, nowUs) + settings.holderLeaseUs();
         if (granted.size() < majority() || nowUs >= until) {
             return;
         }
-        if (phase == Phase.HOLDING && nowUs >= actUntilUs) {
-            lose(nowUs);
+        if (phase == Phase.HOLDING && nowUs >= leaseUntilUs) {
+            loseLease(nowUs);
             return;
         }
-        actUntilUs = Math.max(until, phase == Phase.HOLDING ? actUntilUs : 0);
-        wakeAtUs = Math.min(actUntilUs, askedUs + settings.leaseUs() / ASKS_A_LEASE);
+        leaseUntilUs = Math.max(until, phase == Phase.HOLDING ? leaseUntilUs : 0);
+        wakeAtUs = Math.min(leaseUntilUs, requestedUs + settings.leaseUs() / REQUESTS_PER_LEASE);
         if (phase == Phase.ASKING) {
             phase = Phase.HOLDING;
-            waitUs = settings.leaseUs() / SHORTEST_WAIT;
-            triesToTake = 0;
+            backoffUs = settings.leaseUs() / MIN_BACKOFF_DIVISOR;
+            acquireAttemptsLeft = 0;
             actions.granted(term);
         }
     }
 
-    private void refuse(long nowUs, String from, DutyMessage refusal) {
-        greatestSeen = Math.max(greatestSeen, refusal.term());
+    private void onRefusal(long nowUs, String from, DutyMessage refusal) {
+        maxSeenTerm = Math.max(maxSeenTerm, refusal.term());
         if (phase == Phase.ASKING) {
             refused.add(from);
-            boundUs = Math.max(boundUs, refusal.waitUs());
+            votersBoundUs = Math.max(votersBoundUs, refusal.waitUs());
             if (settings.voters().size() - refused.size() < majority()) {
-                fail(nowUs);
+                onRequestFailed(nowUs);
             }
         }
     }
 
     /** Gives back what it got, so that others need not wait a lease for nobody. */
-    private void fail(long nowUs) {
-        toVoters(DutyMessage.Kind.RELEASE);
-        if (triesToTake > 0) {
-            triesToTake--;
+    private void onRequestFailed(long nowUs) {
+        sendToVoters(DutyMessage.Kind.RELEASE);
+        if (acquireAttemptsLeft > 0) {
+            acquireAttemptsLeft--;
             phase = Phase.WAITING;
-            wakeAtUs = nowUs + settings.leaseUs() / TAKE_AGAIN;
+            wakeAtUs = nowUs + settings.leaseUs() / ACQUIRE_RETRY_DIVISOR;
         } else {
             // Where another has it there is a time to come back; only a split vote asks for more
             // patience.
-            waitUs =
-                    boundUs > 0
-                            ? settings.leaseUs() / SHORTEST_WAIT
-                            : Math.min(2 * waitUs, settings.leaseUs());
-            waitAndAsk(nowUs, boundUs);
+            backoffUs =
+                    votersBoundUs > 0
+                            ? settings.leaseUs() / MIN_BACKOFF_DIVISOR
+                            : Math.min(2 * backoffUs, settings.leaseUs());
+            scheduleRequest(nowUs, votersBoundUs);
         }
     }
 
-    private void waitAndAsk(long nowUs, long atLeastUs) {
+    private void scheduleRequest(long nowUs, long minDelayUs) {
         phase = Phase.WAITING;
-        wakeAtUs = nowUs + atLeastUs + rankWaitUs + 1 + random.nextLong(waitUs);
+        wakeAtUs = nowUs + minDelayUs + rankDelayUs + 1 + random.nextLong(backoffUs);
     }
 
-    private void lose(long nowUs) {
-        long had = term;
-        waitAndAsk(nowUs, 0);
-        actions.lost(had);
+    private void loseLease(long nowUs) {
+        long lostTerm = term;
+        scheduleRequest(nowUs, 0);
+        actions.lost(lostTerm);
     }
 
-    private void take(long nowUs, DutyMessage message) {
-        greatestSeen = Math.max(greatestSeen, message.term());
+    private void onTake(long nowUs, DutyMessage message) {
+        maxSeenTerm = Math.max(maxSeenTerm, message.term());
         if (phase == Phase.WAITING) {
-            triesToTake = TRIES_TO_TAKE;
-            ask(nowUs, Math.max(term, greatestSeen) + 1);
+            acquireAttemptsLeft = MAX_ACQUIRE_ATTEMPTS;
+            requestTerm(nowUs, Math.max(term, maxSeenTerm) + 1);
         }
     }
 
@@ -261,7 +261,7 @@
             actions.lost(term);
         }
         if (before == Phase.HOLDING || before == Phase.ASKING) {
-            toVoters(DutyMessage.Kind.RELEASE);
+            sendToVoters(DutyMessage.Kind.RELEASE);
         }
         if (before == Phase.HOLDING && to != null) {
             actions.send(to, message(DutyMessage.Kind.TAKE));
@@ -269,12 +269,12 @@
     }
 
     /** When it asked last. */
-    public long askedUs() {
-        return askedUs;
+    public long requestedUs() {
+        return requestedUs;
     }
 
     /** How a voter has answered what was asked last; null where it has not. */
-    public DutyMessage.Kind answerOf(String voter) {
+    public DutyMessage.Kind replyOf(String voter) {
         return granted.contains(voter)
                 ? DutyMessage.Kind.GRANT
                 : refused.contains(voter) ? DutyMessage.Kind.REFUSAL : null;
@@ -290,10 +290,10 @@
                 + " granted "
                 + granted.size()
                 + " seen "
-                + greatestSeen
+                + maxSeenTerm
                 + " tries "
-                + triesToTake
+                + acquireAttemptsLeft
                 + " bound "
-                + boundUs;
+                + votersBoundUs;
     }
 }
--- a/src/main/java/passhatch/duty/DutyCodec.java
+++ b/src/main/java/passhatch/duty/DutyCodec.java
@@ -17,7 +17,7 @@
     public static final byte FORMAT = 2;
 
     /** Characters of a holder, which is a member's name, a colon and its life, at most. */
-    private static final int MOST_HOLDER = Names.MAX_NAME_LENGTH + 20;
+    private static final int MAX_HOLDER_LENGTH = Names.MAX_NAME_LENGTH + 20;
 
     private static final int FIELDS = 9;
     private static final DutyMessage.Kind[] KINDS = DutyMessage.Kind.values();
@@ -29,22 +29,22 @@
     private DutyCodec() {}
 
     /** As a datagram from one member of a fleet. */
-    public static byte[] encode(String fleet, String from, DutyMessage m) {
+    public static byte[] encode(String fleet, String from, DutyMessage message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MAX_BYTES);
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
             cbor.writeStartArray(null, FIELDS);
             cbor.writeString(fleet);
             cbor.writeString(from);
-            cbor.writeNumber(m.kind().ordinal());
-            cbor.writeNumber(m.epoch());
-            cbor.writeString(m.duty());
-            cbor.writeNumber(m.term());
-            cbor.writeNumber(m.round());
-            cbor.writeString(m.holder());
-            cbor.writeNumber(m.waitUs());
+            cbor.writeNumber(message.kind().ordinal());
+            cbor.writeNumber(message.epoch());
+            cbor.writeString(message.duty());
+            cbor.writeNumber(message.term());
+            cbor.writeNumber(message.round());
+            cbor.writeString(message.holder());
+            cbor.writeNumber(message.waitUs());
             cbor.writeEndArray();
-        } catch (IOException cannotBe) {
-            throw new IllegalStateException(cannotBe);
+        } catch (IOException impossible) {
+            throw new IllegalStateException(impossible);
         }
         return Frame.of(FORMAT, out.toByteArray());
     }
@@ -71,14 +71,14 @@
             long term = cbor.readLong(0, Long.MAX_VALUE - 1);
             long round = cbor.readLong(0, Integer.MAX_VALUE);
             String holder = cbor.readText();
-            CborReader.require(!holder.isEmpty() && holder.length() <= MOST_HOLDER);
+            CborReader.require(!holder.isEmpty() && holder.length() <= MAX_HOLDER_LENGTH);
             long waitUs = cbor.readLong(0, Long.MAX_VALUE);
             return new Read(
                     from,
                     new DutyMessage(
                             KINDS[(int) kind], epoch, duty, term, (int) round, holder, waitUs),
                     null);
-        } catch (IOException bad) {
+        } catch (IOException malformed) {
             return new Read(null, null, DropReason.FORM);
         }
     }
--- a/src/main/java/passhatch/duty/DutyMessage.java
+++ b/src/main/java/passhatch/duty/DutyMessage.java
@@ -31,7 +31,7 @@
         TERMS
     }
 
-    DutyMessage answer(Kind how, long answerTerm, long wait) {
-        return new DutyMessage(how, epoch, duty, answerTerm, round, holder, wait);
+    DutyMessage reply(Kind replyKind, long answerTerm, long replyWaitUs) {
+        return new DutyMessage(replyKind, epoch, duty, answerTerm, round, holder, replyWaitUs);
     }
 }
--- a/src/main/java/passhatch/duty/DutySettings.java
+++ b/src/main/java/passhatch/duty/DutySettings.java
@@ -13,7 +13,7 @@
 public record DutySettings(List<String> voters, long epoch, long leaseUs, double drift) {
 
     /** How long a holder may act, in microseconds on its own clock, counted from its asking. */
-    public long actingUs() {
+    public long holderLeaseUs() {
         return (long) (leaseUs * (1 - drift) / (1 + drift));
     }
 }
--- a/src/main/java/passhatch/duty/Promise.java
+++ b/src/main/java/passhatch/duty/Promise.java
@@ -13,11 +13,11 @@
      *
      * @param floor terms up to this may have been granted by the voter, of any duty; 0 or more
      */
-    public static Promise toVote(long floor) {
+    public static Promise votingMarker(long floor) {
         return new Promise("", floor, "");
     }
 
-    boolean isToVote() {
+    boolean isVotingMarker() {
         return duty.isEmpty();
     }
 }
--- a/src/main/java/passhatch/duty/Voter.java
+++ b/src/main/java/passhatch/duty/Voter.java
@@ -26,23 +26,23 @@
     }
 
     /** Stands where a message has to have a duty and a holder and means none. */
-    private static final String RECALLED = "-";
+    private static final String PLACEHOLDER = "-";
 
     private final DutySettings settings;
     private final Predicate<Promise> disk;
     private final Map<String, Lease> leases = new HashMap<>();
 
     /** What the others told of their terms, while it does not vote. */
-    private final Map<String, Long> recalled = new HashMap<>();
+    private final Map<String, Long> reportedTerms = new HashMap<>();
 
-    private boolean votes;
-    private long floor;
-    private long votesFromUs = Long.MAX_VALUE;
+    private boolean voting;
+    private long floorTerm;
+    private long votingFromUs = Long.MAX_VALUE;
 
     /**
-     * A voter that starts. Without {@link Promise#toVote} on its disk it has forgotten, or never
-     * voted: it says nothing until it was founded, or has heard from the others what may have been
-     * granted.
+     * A voter that starts. Without {@link Promise#votingMarker} on its disk it has forgotten, or
+     * never voted: it says nothing until it was founded, or has heard from the others what may have
+     * been granted.
      *
      * @param promises the last of each duty that its disk has
      * @param disk has a promise on disk for good when it returns true; false where it may not be
@@ -56,9 +56,9 @@
         this.settings = settings;
         this.disk = disk;
         for (Promise promise : promises) {
-            if (promise.isToVote()) {
-                votes = true;
-                floor = promise.term();
+            if (promise.isVotingMarker()) {
+                voting = true;
+                floorTerm = promise.term();
                 continue;
             }
             leases.put(promise.duty(), new Lease(promise, boundAfterStartUs(nowUs)));
@@ -79,7 +79,7 @@
     }
 
     /** Writes a promise. */
-    protected boolean keep(Promise promise) {
+    protected boolean persist(Promise promise) {
         return disk.test(promise);
     }
 
@@ -89,28 +89,28 @@
      *
      * @return false where it votes already, or its disk fails
      */
-    public boolean found() {
-        return !votes && begin(0);
+    public boolean initialize() {
+        return !voting && startVoting(0);
     }
 
-    private boolean begin(long newFloor) {
-        if (!keep(Promise.toVote(newFloor))) {
+    private boolean startVoting(long newFloor) {
+        if (!persist(Promise.votingMarker(newFloor))) {
             return false;
         }
-        floor = newFloor;
-        votes = true;
+        floorTerm = newFloor;
+        voting = true;
         return true;
     }
 
     /** Whether it votes. */
-    public boolean votes() {
-        return votes;
+    public boolean isVoting() {
+        return voting;
     }
 
     /** What to send to all other voters now and then as long as it does not vote. */
     public DutyMessage recall() {
         return new DutyMessage(
-                DutyMessage.Kind.RECALL, settings.epoch(), RECALLED, 1, 0, RECALLED, 0);
+                DutyMessage.Kind.RECALL, settings.epoch(), PLACEHOLDER, 1, 0, PLACEHOLDER, 0);
     }
 
     /**
@@ -118,79 +118,81 @@
      * have been part of: so it is told each term that was held. What it granted itself is over one
      * lease later.
      */
-    private void terms(long nowUs, String from, long term) {
-        if (votes || !settings.voters().contains(from)) {
+    private void onTerms(long nowUs, String from, long term) {
+        if (voting || !settings.voters().contains(from)) {
             return;
         }
-        recalled.merge(from, term, Math::max);
-        if (recalled.size() > settings.voters().size() / 2 && votesFromUs == Long.MAX_VALUE) {
-            votesFromUs = boundAfterStartUs(nowUs);
+        reportedTerms.merge(from, term, Math::max);
+        if (reportedTerms.size() > settings.voters().size() / 2 && votingFromUs == Long.MAX_VALUE) {
+            votingFromUs = boundAfterStartUs(nowUs);
         }
-        if (nowUs >= votesFromUs) {
-            begin(recalled.values().stream().mapToLong(Long::longValue).max().orElseThrow());
+        if (nowUs >= votingFromUs) {
+            startVoting(
+                    reportedTerms.values().stream().mapToLong(Long::longValue).max().orElseThrow());
         }
     }
 
-    private long greatest() {
+    private long maxTerm() {
         return Math.max(
-                floor, leases.values().stream().mapToLong(l -> l.promise.term()).max().orElse(0));
+                floorTerm,
+                leases.values().stream().mapToLong(l -> l.promise.term()).max().orElse(0));
     }
 
     /** Answers a candidate or another voter; null where there is nothing to say. */
-    public DutyMessage hear(long nowUs, String from, DutyMessage message) {
+    public DutyMessage onMessage(long nowUs, String from, DutyMessage message) {
         if (message.epoch() != settings.epoch()) {
             return null;
         }
-        if (!votes) {
+        if (!voting) {
             if (message.kind() == DutyMessage.Kind.TERMS) {
-                terms(nowUs, from, message.term());
+                onTerms(nowUs, from, message.term());
             }
             return null;
         }
         return switch (message.kind()) {
-            case REQUEST -> message.term() < 1 ? null : request(nowUs, message);
-            case RECALL -> message.answer(DutyMessage.Kind.TERMS, greatest(), 0);
+            case REQUEST -> message.term() < 1 ? null : onRequest(nowUs, message);
+            case RECALL -> message.reply(DutyMessage.Kind.TERMS, maxTerm(), 0);
             case RELEASE -> {
-                release(message);
+                onRelease(message);
                 yield null;
             }
             default -> null;
         };
     }
 
-    private DutyMessage request(long nowUs, DutyMessage asked) {
-        Lease lease = leases.get(asked.duty());
+    private DutyMessage onRequest(long nowUs, DutyMessage request) {
+        Lease lease = leases.get(request.duty());
         if (lease != null) {
             Promise promised = lease.promise;
             boolean renewal =
-                    promised.term() == asked.term() && promised.holder().equals(asked.holder());
+                    promised.term() == request.term() && promised.holder().equals(request.holder());
             if (renewal) {
                 if (lease.released) {
-                    return asked.answer(DutyMessage.Kind.REFUSAL, promised.term(), 0);
+                    return request.reply(DutyMessage.Kind.REFUSAL, promised.term(), 0);
                 }
                 lease.untilUs = Math.max(lease.untilUs, nowUs + settings.leaseUs());
-                return asked.answer(DutyMessage.Kind.GRANT, asked.term(), 0);
+                return request.reply(DutyMessage.Kind.GRANT, request.term(), 0);
             }
             boolean bound = !lease.released && nowUs < lease.untilUs;
-            if (bound || !isNewer(asked.term(), promised)) {
-                return asked.answer(
+            if (bound || !isNewer(request.term(), promised)) {
+                return request.reply(
                         DutyMessage.Kind.REFUSAL,
                         promised.term(),
                         bound ? lease.untilUs - nowUs : 0);
             }
         }
-        if (asked.term() <= floor) {
-            return asked.answer(DutyMessage.Kind.REFUSAL, floor, 0);
+        if (request.term() <= floorTerm) {
+            return request.reply(DutyMessage.Kind.REFUSAL, floorTerm, 0);
         }
-        Promise promise = new Promise(asked.duty(), asked.term(), asked.holder());
-        if (!keep(promise)) {
+        Promise promise = new Promise(request.duty(), request.term(), request.holder());
+        if (!persist(promise)) {
             return null;
         }
-        leases.put(asked.duty(), new Lease(promise, nowUs + settings.leaseUs()));
-        return asked.answer(DutyMessage.Kind.GRANT, asked.term(), 0);
+        leases.put(request.duty(), new Lease(promise, nowUs + settings.leaseUs()));
+        return request.reply(DutyMessage.Kind.GRANT, request.term(), 0);
     }
 
-    private void release(DutyMessage message) {
+    private void onRelease(DutyMessage message) {
         Lease lease = leases.get(message.duty());
         if (lease != null
                 && lease.promise.term() == message.term()
--- a/src/main/java/passhatch/lab/StoreBench.java
+++ b/src/main/java/passhatch/lab/StoreBench.java
@@ -88,7 +88,7 @@
     }
 
     private double plain() throws IOException, StoreException {
-        try (FolderDisk disk = FolderDisk.take(folder.resolve("plain"))) {
+        try (FolderDisk disk = FolderDisk.open(folder.resolve("plain"))) {
             disk.create("file");
             long beganNs = System.nanoTime();
             for (int i = 0; i < PLAIN_ROUNDS; i++) {
@@ -103,7 +103,7 @@
         try (GroupCommit group =
                 new GroupCommit(
                         RecordLog.open(
-                                FolderDisk.take(folder.resolve("store")), "bench", e -> {}))) {
+                                FolderDisk.open(folder.resolve("store")), "bench", e -> {}))) {
             long beganNs = System.nanoTime();
             List<Thread> writers = new ArrayList<>();
             for (int t = 0; t < threads; t++) {
@@ -131,14 +131,14 @@
         Histogram us = new Histogram(TimeUnit.MINUTES.toMicros(1), 3);
         for (int i = 0; i < OPENINGS; i++) {
             long beganNs = System.nanoTime();
-            RecordLog.open(FolderDisk.take(folder.resolve("store")), "bench", e -> {}).close();
+            RecordLog.open(FolderDisk.open(folder.resolve("store")), "bench", e -> {}).close();
             us.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - beganNs));
         }
         return us;
     }
 
     private long storeBytes() throws IOException {
-        try (FolderDisk disk = FolderDisk.take(folder.resolve("store"))) {
+        try (FolderDisk disk = FolderDisk.open(folder.resolve("store"))) {
             long sum = 0;
             for (String name : disk.list()) {
                 sum += disk.size(name);
--- a/src/main/java/passhatch/lab/distribution/Fleet.java
+++ b/src/main/java/passhatch/lab/distribution/Fleet.java
@@ -148,7 +148,7 @@
     public List<DiskRecord> diskOf(Node node) {
         List<DiskRecord> records = new ArrayList<>();
         if (node.role() == Role.REPLICA) {
-            records.add(new DiskRecord.Founded(EPOCH));
+            records.add(new DiskRecord.Initialized(EPOCH));
             records.add(new DiskRecord.Promised(EPOCH, FIRST_TERM));
         }
         records.add(new DiskRecord.Reset(EPOCH, entries.size(), FIRST_TERM, 0));
--- a/src/main/java/passhatch/lab/distribution/LeaseStandIn.java
+++ b/src/main/java/passhatch/lab/distribution/LeaseStandIn.java
@@ -52,13 +52,13 @@
     public void grantBesides(Node replica) {
         long granted = ++term;
         simulation.observer().granted(replica);
-        replica.run(p -> p.granted(simulation.nowUs(), granted));
+        replica.run(p -> p.leaseGranted(simulation.nowUs(), granted));
     }
 
     private void steppedDown(Node node, long ofTerm) {
         if (node == holder && ofTerm == term) {
             holder = null;
-            node.run(p -> p.lost());
+            node.run(p -> p.leaseLost());
         }
     }
 
@@ -85,7 +85,7 @@
 
     private void takeAway() {
         if (!holder.isPaused()) {
-            holder.run(p -> p.lost());
+            holder.run(p -> p.leaseLost());
         }
         holder = null;
     }
--- a/src/main/java/passhatch/lab/distribution/Node.java
+++ b/src/main/java/passhatch/lab/distribution/Node.java
@@ -175,7 +175,7 @@
             simulation.at(pausedUntilUs, () -> arrive(from, message));
             return;
         }
-        run(p -> p.hear(simulation.nowUs(), from, message));
+        run(p -> p.onMessage(simulation.nowUs(), from, message));
     }
 
     private void scheduleTimer() {
@@ -237,7 +237,7 @@
     }
 
     @Override
-    public void inForce(long epoch, long version) {
+    public void versionApplied(long epoch, long version) {
         simulation.observer().inForce(this, epoch, version);
     }
 
--- a/src/main/java/passhatch/lab/duty/DutySim.java
+++ b/src/main/java/passhatch/lab/duty/DutySim.java
@@ -109,7 +109,7 @@
         /** Asks the others what it has forgotten, as long as it does not vote. */
         void recall() {
             Voter then = voter;
-            if (!then.votes()) {
+            if (!then.isVoting()) {
                 settings.voters().stream()
                         .filter(v -> voters.get(v) != this)
                         .forEach(v -> send(name, v, then.recall()));
@@ -140,7 +140,7 @@
 
         /** Starts with a disk that has nothing; only while all others remember. */
         void startWithoutDisk() {
-            if (voters.values().stream().allMatch(v -> v.voter.votes())) {
+            if (voters.values().stream().allMatch(v -> v.voter.isVoting())) {
                 disk.clear();
                 start();
             }
@@ -172,7 +172,7 @@
                             name() + ":" + life,
                             new SplittableRandom(seeds.stream(name() + life).nextLong()),
                             this);
-            candidate.want(host.localUs());
+            candidate.campaign(host.localUs());
             plan();
         }
 
@@ -200,7 +200,7 @@
 
         void hear(String from, DutyMessage message) {
             if (candidate != null) {
-                candidate.hear(host.localUs(), from, message);
+                candidate.onMessage(host.localUs(), from, message);
                 plan();
             }
         }
@@ -281,7 +281,7 @@
                 .forEach(
                         v -> {
                             v.start();
-                            v.voter.found();
+                            v.voter.initialize();
                         });
         candidates.values().forEach(CandidateNode::start);
         for (int i = random.nextInt(2 * shape.faults() + 1); i > 0; i--) {
@@ -381,7 +381,8 @@
             VoterNode node = voters.get(to);
             node.host.run(
                     () -> {
-                        DutyMessage answer = node.voter.hear(node.host.localUs(), from, message);
+                        DutyMessage answer =
+                                node.voter.onMessage(node.host.localUs(), from, message);
                         if (answer != null) {
                             send(to, from, answer);
                         }
@@ -430,7 +431,7 @@
                     if (holder.candidate != null) {
                         holder.candidate.giveUp(
                                 holder.host.localUs(), "c" + random.nextInt(shape.candidates()));
-                        holder.candidate.want(holder.host.localUs());
+                        holder.candidate.campaign(holder.host.localUs());
                         holder.plan();
                     }
                 });
--- a/src/main/java/passhatch/lab/duty/DutyWorld.java
+++ b/src/main/java/passhatch/lab/duty/DutyWorld.java
@@ -77,7 +77,7 @@
         this.bounds = bounds;
         for (int i = 0; i < VOTERS; i++) {
             startVoter(i);
-            voters[i].found();
+            voters[i].initialize();
         }
         for (int i = 0; i < CANDIDATES; i++) {
             startCandidate(i);
@@ -134,7 +134,7 @@
                             @Override
                             public void lost(long term) {}
                         });
-        candidates[candidate].want(nowUs);
+        candidates[candidate].campaign(nowUs);
     }
 
     private String holder(int candidate) {
@@ -183,10 +183,11 @@
 
     private void deliver(Sent sent) {
         if (!sent.toVoter()) {
-            candidates[sent.to()].hear(nowUs, NAMES.get(sent.from()), sent.message());
+            candidates[sent.to()].onMessage(nowUs, NAMES.get(sent.from()), sent.message());
             return;
         }
-        DutyMessage answer = voters[sent.to()].hear(nowUs, HOSTS.get(sent.from()), sent.message());
+        DutyMessage answer =
+                voters[sent.to()].onMessage(nowUs, HOSTS.get(sent.from()), sent.message());
         if (answer != null) {
             underWay.add(new Sent(sent.to(), sent.from(), false, answer));
         }
@@ -255,9 +256,9 @@
                                     ? "-"
                                     : Math.max(-1, c.wakeAtUs() - nowUs))
                     .append('/')
-                    .append(c.leftUs(nowUs))
+                    .append(c.remainingUs(nowUs))
                     .append('/')
-                    .append(Math.max(-2 * LEASE_US, c.askedUs() - nowUs))
+                    .append(Math.max(-2 * LEASE_US, c.requestedUs() - nowUs))
                     .append('/')
                     .append(lives[i]);
         }
@@ -272,7 +273,7 @@
     private String answered(int voter, int[] order) {
         StringBuilder text = new StringBuilder();
         for (int i : order) {
-            text.append(candidates[i].answerOf(NAMES.get(voter)));
+            text.append(candidates[i].replyOf(NAMES.get(voter)));
         }
         return text.toString();
     }
--- a/src/main/java/passhatch/store/Disk.java
+++ b/src/main/java/passhatch/store/Disk.java
@@ -20,9 +20,9 @@
     /**
      * All of a file.
      *
-     * @param most bytes that it may have; a larger one is an error and is not read
+     * @param maxBytes bytes that it may have; a larger one is an error and is not read
      */
-    byte[] read(String name, int most) throws IOException;
+    byte[] read(String name, int maxBytes) throws IOException;
 
     /** Makes an empty file; its name stays for sure once {@link #forceFolder} has returned. */
     void create(String name) throws IOException;
--- a/src/main/java/passhatch/store/Entry.java
+++ b/src/main/java/passhatch/store/Entry.java
@@ -6,12 +6,12 @@
  * A record as its user sees it.
  *
  * @param kind what it is, from 1 to 32,767; the store does not care
- * @param bytes its content, at most {@link Format#MOST_RECORD} bytes
+ * @param bytes its content, at most {@link Format#MAX_RECORD_BYTES} bytes
  */
 public record Entry(int kind, byte[] bytes) {
 
     /** The greatest kind. */
-    public static final int MOST_KIND = Short.MAX_VALUE;
+    public static final int MAX_KIND = Short.MAX_VALUE;
 
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/passhatch/store/FolderDisk.java
+++ b/src/main/java/passhatch/store/FolderDisk.java
@@ -16,11 +16,11 @@
 /** A folder of the file system, held by a lock for as long as this object is open. */
 public final class FolderDisk implements Disk {
 
-    private static final String LOCK = "lock";
+    private static final String LOCK_NAME = "lock";
 
     private final Path folder;
     private final FileChannel lockFile;
-    private final Map<String, FileChannel> open = new HashMap<>();
+    private final Map<String, FileChannel> openFiles = new HashMap<>();
 
     private FolderDisk(Path folder, FileChannel lockFile) {
         this.folder = folder;
@@ -32,19 +32,21 @@
      *
      * @throws StoreException.InUse where another process, or another object in this one, has it
      */
-    public static FolderDisk take(Path folder) throws IOException, StoreException.InUse {
+    public static FolderDisk open(Path folder) throws IOException, StoreException.InUse {
         Files.createDirectories(folder);
-        FileChannel file =
+        FileChannel channel =
                 FileChannel.open(
-                        folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                        folder.resolve(LOCK_NAME),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
         try {
-            if (file.tryLock() != null) {
-                return new FolderDisk(folder, file);
+            if (channel.tryLock() != null) {
+                return new FolderDisk(folder, channel);
             }
-        } catch (OverlappingFileLockException heldHere) {
+        } catch (OverlappingFileLockException lockedHere) {
             // Told below, like one that another process holds.
         }
-        file.close();
+        channel.close();
         throw new StoreException.InUse(folder.toString());
     }
 
@@ -53,7 +55,7 @@
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(Files::isRegularFile)
                     .map(f -> f.getFileName().toString())
-                    .filter(n -> !n.equals(LOCK))
+                    .filter(n -> !n.equals(LOCK_NAME))
                     .toList();
         }
     }
@@ -64,11 +66,11 @@
     }
 
     @Override
-    public byte[] read(String name, int most) throws IOException {
+    public byte[] read(String name, int maxBytes) throws IOException {
         long size = size(name);
-        if (size > most) {
+        if (size > maxBytes) {
             throw new IOException(
-                    name + " has " + size + " bytes, and at most " + most + " are read");
+                    name + " has " + size + " bytes, and at most " + maxBytes + " are read");
         }
         return Files.readAllBytes(folder.resolve(name));
     }
@@ -79,20 +81,20 @@
     }
 
     private FileChannel channel(String name) throws IOException {
-        FileChannel channel = open.get(name);
+        FileChannel channel = openFiles.get(name);
         if (channel == null) {
             channel =
                     FileChannel.open(
                             folder.resolve(name),
                             StandardOpenOption.WRITE,
                             StandardOpenOption.APPEND);
-            open.put(name, channel);
+            openFiles.put(name, channel);
         }
         return channel;
     }
 
     private void closeFile(String name) throws IOException {
-        FileChannel channel = open.remove(name);
+        FileChannel channel = openFiles.remove(name);
         if (channel != null) {
             channel.close();
         }
@@ -142,10 +144,10 @@
 
     @Override
     public void close() throws IOException {
-        for (FileChannel channel : open.values()) {
+        for (FileChannel channel : openFiles.values()) {
             channel.close();
         }
-        open.clear();
+        openFiles.clear();
         // Closing the file gives up its lock, also where both are closed already.
         lockFile.close();
     }
--- a/src/main/java/passhatch/store/Format.java
+++ b/src/main/java/passhatch/store/Format.java
@@ -12,16 +12,16 @@
     static final int VERSION = 1;
 
     /** The most bytes of a record's content. */
-    static final int MOST_RECORD = 1 << 16;
+    static final int MAX_RECORD_BYTES = 1 << 16;
 
     /** Of a segment: it is ended before a record that would make it larger. */
-    static final int MOST_SEGMENT = 1 << 22;
+    static final int MAX_SEGMENT_BYTES = 1 << 22;
 
     /** Of the snapshot and the segments after it. */
-    static final long MOST_ALL = 1L << 26;
+    static final long MAX_TOTAL_BYTES = 1L << 26;
 
     /** Of an owner's name in UTF-8. */
-    static final int MOST_OWNER = 64;
+    static final int MAX_OWNER_BYTES = 64;
 
     /** The kind of a mark; users' kinds are above it. */
     static final int MARK = 0;
@@ -30,13 +30,13 @@
     private static final int SNAPSHOT_MAGIC = 0x4c57_534e;
 
     /** Magic, version, owner's length and bytes, epoch, first record, CRC. */
-    static final int HEAD_BYTES = 4 + 2 + 2 + MOST_OWNER + 8 + 8 + 4;
+    static final int HEADER_BYTES = 4 + 2 + 2 + MAX_OWNER_BYTES + 8 + 8 + 4;
 
     /** Length, sequence, kind, CRC. */
-    static final int RECORD_HEAD = 4 + 8 + 2 + 4;
+    static final int RECORD_HEADER_BYTES = 4 + 8 + 2 + 4;
 
-    private static final String SEGMENT = "segment-";
-    private static final String SNAPSHOT = "snapshot-";
+    private static final String SEGMENT_PREFIX = "segment-";
+    private static final String SNAPSHOT_PREFIX = "snapshot-";
 
     private Format() {}
 
@@ -44,99 +44,102 @@
      * What a segment or snapshot begins with.
      *
      * @param epoch of the process that wrote it
-     * @param first record of a segment, or the one that a snapshot is up to
+     * @param sequence record of a segment, or the one that a snapshot is up to
      */
-    record Head(boolean snapshot, int version, String owner, long epoch, long first) {}
+    record Header(boolean snapshot, int version, String owner, long epoch, long sequence) {}
 
     /** A record that was read, and where the next begins. */
-    record Read(long sequence, int kind, byte[] bytes, int next) {}
+    record StoredRecord(long sequence, int kind, byte[] bytes, int next) {}
 
-    static String segment(long first) {
-        return SEGMENT + String.format(Locale.ROOT, "%016x", first);
+    static String segmentName(long first) {
+        return SEGMENT_PREFIX + String.format(Locale.ROOT, "%016x", first);
     }
 
-    static String snapshot(long upTo) {
-        return SNAPSHOT + String.format(Locale.ROOT, "%016x", upTo);
+    static String snapshotName(long upTo) {
+        return SNAPSHOT_PREFIX + String.format(Locale.ROOT, "%016x", upTo);
     }
 
     /** The number in a file's name, or -1 where it is no such file. */
-    static long number(String name, boolean ofSnapshot) {
-        String prefix = ofSnapshot ? SNAPSHOT : SEGMENT;
+    static long fileNumber(String name, boolean ofSnapshot) {
+        String prefix = ofSnapshot ? SNAPSHOT_PREFIX : SEGMENT_PREFIX;
         String digits = name.startsWith(prefix) ? name.substring(prefix.length()) : "";
         return digits.matches("[0-7][0-9a-f]{15}") ? Long.parseLong(digits, 16) : -1;
     }
 
-    static ByteBuffer head(Head head) {
-        ByteBuffer out = ByteBuffer.allocate(HEAD_BYTES);
+    static ByteBuffer encodeHeader(Header head) {
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES);
         byte[] owner = head.owner().getBytes(StandardCharsets.UTF_8);
         out.putInt(head.snapshot() ? SNAPSHOT_MAGIC : SEGMENT_MAGIC)
                 .putShort((short) head.version())
                 .putShort((short) owner.length)
-                .put(Arrays.copyOf(owner, MOST_OWNER))
+                .put(Arrays.copyOf(owner, MAX_OWNER_BYTES))
                 .putLong(head.epoch())
-                .putLong(head.first());
+                .putLong(head.sequence());
         return out.putInt(crc(out.array(), 0, out.position())).flip();
     }
 
     /** The head of a file, or null where there is none that checks. */
-    static Head readHead(byte[] file) {
-        if (file.length < HEAD_BYTES) {
+    static Header decodeHeader(byte[] file) {
+        if (file.length < HEADER_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(file);
         int magic = in.getInt();
         int version = in.getShort();
         int ownerBytes = in.getShort();
-        if (in.getInt(HEAD_BYTES - 4) != crc(file, 0, HEAD_BYTES - 4)
+        if (in.getInt(HEADER_BYTES - 4) != crc(file, 0, HEADER_BYTES - 4)
                 || ownerBytes < 0
-                || ownerBytes > MOST_OWNER
+                || ownerBytes > MAX_OWNER_BYTES
                 || magic != SEGMENT_MAGIC && magic != SNAPSHOT_MAGIC) {
             return null;
         }
         String owner = new String(file, in.position(), ownerBytes, StandardCharsets.UTF_8);
-        in.position(in.position() + MOST_OWNER);
-        return new Head(magic == SNAPSHOT_MAGIC, version, owner, in.getLong(), in.getLong());
+        in.position(in.position() + MAX_OWNER_BYTES);
+        return new Header(magic == SNAPSHOT_MAGIC, version, owner, in.getLong(), in.getLong());
     }
 
-    static int size(byte[] content) {
-        return RECORD_HEAD + content.length;
+    static int recordSize(byte[] content) {
+        return RECORD_HEADER_BYTES + content.length;
     }
 
-    static void put(ByteBuffer out, long sequence, int kind, byte[] content) {
-        int at = out.position();
+    static void putRecord(ByteBuffer out, long sequence, int kind, byte[] content) {
+        int start = out.position();
         out.putInt(content.length).putLong(sequence).putShort((short) kind);
         CRC32C crc = new CRC32C();
-        crc.update(out.array(), at, out.position() - at);
+        crc.update(out.array(), start, out.position() - start);
         crc.update(content);
         out.putInt((int) crc.getValue()).put(content);
     }
 
     /** The record at a place, or null where there is none that checks. */
-    static Read read(byte[] file, int at) {
-        if (at < 0 || file.length - at < RECORD_HEAD) {
+    static StoredRecord readRecord(byte[] file, int offset) {
+        if (offset < 0 || file.length - offset < RECORD_HEADER_BYTES) {
             return null;
         }
-        ByteBuffer in = ByteBuffer.wrap(file, at, file.length - at);
+        ByteBuffer in = ByteBuffer.wrap(file, offset, file.length - offset);
         int length = in.getInt();
         long sequence = in.getLong();
         int kind = in.getShort();
         if (length < 0
-                || length > MOST_RECORD
-                || length > file.length - at - RECORD_HEAD
+                || length > MAX_RECORD_BYTES
+                || length > file.length - offset - RECORD_HEADER_BYTES
                 || sequence < 0
                 || kind < 0) {
             return null;
         }
         CRC32C crc = new CRC32C();
-        crc.update(file, at, RECORD_HEAD - 4);
-        crc.update(file, at + RECORD_HEAD, length);
+        crc.update(file, offset, RECORD_HEADER_BYTES - 4);
+        crc.update(file, offset + RECORD_HEADER_BYTES, length);
         return in.getInt() != (int) crc.getValue()
                 ? null
-                : new Read(
+                : new StoredRecord(
                         sequence,
                         kind,
-                        Arrays.copyOfRange(file, at + RECORD_HEAD, at + RECORD_HEAD + length),
-                        at + RECORD_HEAD + length);
+                        Arrays.copyOfRange(
+                                file,
+                                offset + RECORD_HEADER_BYTES,
+                                offset + RECORD_HEADER_BYTES + length),
+                        offset + RECORD_HEADER_BYTES + length);
     }
 
     private static int crc(byte[] bytes, int from, int length) {
--- a/src/main/java/passhatch/store/GroupCommit.java
+++ b/src/main/java/passhatch/store/GroupCommit.java
@@ -13,16 +13,16 @@
 public final class GroupCommit implements AutoCloseable {
 
     /** Records that wait for the disk; who brings more waits as well. */
-    private static final int MOST_WAITING = 4096;
+    private static final int MAX_QUEUED_RECORDS = 4096;
 
     /** Bytes of one group, so that it always fits a segment. */
-    private static final int MOST_BYTES = 1 << 20;
+    private static final int MAX_GROUP_BYTES = 1 << 20;
 
     /** One record that waits; a null entry asks the thread to end. */
-    private record Waiting(Entry entry, CompletableFuture<Long> done) {}
+    private record PendingRecord(Entry entry, CompletableFuture<Long> result) {}
 
     private final RecordLog log;
-    private final BlockingQueue<Waiting> queue = new ArrayBlockingQueue<>(MOST_WAITING);
+    private final BlockingQueue<PendingRecord> queue = new ArrayBlockingQueue<>(MAX_QUEUED_RECORDS);
     private final Thread thread;
 
     /** Takes a log over; nobody else may use it from now on. */
@@ -40,53 +40,53 @@
      */
     public CompletableFuture<Long> submit(Entry entry) throws InterruptedException {
         CompletableFuture<Long> done = new CompletableFuture<>();
-        queue.put(new Waiting(entry, done));
+        queue.put(new PendingRecord(entry, done));
         return done;
     }
 
     private void run() {
-        List<Waiting> group = new ArrayList<>();
-        boolean over = false;
+        List<PendingRecord> group = new ArrayList<>();
+        boolean stopped = false;
         try {
-            while (!over) {
+            while (!stopped) {
                 group.clear();
                 group.add(queue.take());
                 long bytes = bytes(group.get(0));
-                while (bytes < MOST_BYTES && queue.peek() != null) {
-                    Waiting next = queue.poll();
+                while (bytes < MAX_GROUP_BYTES && queue.peek() != null) {
+                    PendingRecord next = queue.poll();
                     bytes += bytes(next);
                     group.add(next);
                 }
-                over = group.removeIf(w -> w.entry() == null);
+                stopped = group.removeIf(w -> w.entry() == null);
                 write(group);
             }
-        } catch (InterruptedException stop) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static long bytes(Waiting waiting) {
-        return waiting.entry() == null ? 0 : Format.size(waiting.entry().bytes());
+    private static long bytes(PendingRecord waiting) {
+        return waiting.entry() == null ? 0 : Format.recordSize(waiting.entry().bytes());
     }
 
-    private void write(List<Waiting> group) {
+    private void write(List<PendingRecord> group) {
         if (group.isEmpty()) {
             return;
         }
         try {
-            long last = log.append(group.stream().map(Waiting::entry).toList());
+            long last = log.append(group.stream().map(PendingRecord::entry).toList());
             for (int i = 0; i < group.size(); i++) {
-                group.get(i).done().complete(last - group.size() + 1 + i);
+                group.get(i).result().complete(last - group.size() + 1 + i);
             }
-        } catch (StoreException.TooLarge one) {
+        } catch (StoreException.TooLarge tooLarge) {
             if (group.size() == 1) {
-                group.get(0).done().completeExceptionally(one);
+                group.get(0).result().completeExceptionally(tooLarge);
             } else {
                 // One that is too large must not take the others with it.
                 group.forEach(w -> write(List.of(w)));
             }
         } catch (StoreException | RuntimeException failed) {
-            group.forEach(w -> w.done().completeExceptionally(failed));
+            group.forEach(w -> w.result().completeExceptionally(failed));
         }
     }
 
@@ -97,9 +97,9 @@
     @Override
     public void close() throws StoreException {
         try {
-            queue.put(new Waiting(null, null));
+            queue.put(new PendingRecord(null, null));
             thread.join();
-        } catch (InterruptedException stop) {
+        } catch (InterruptedException interrupted) {
             thread.interrupt();
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/passhatch/store/Inspection.java
+++ b/src/main/java/passhatch/store/Inspection.java
@@ -11,41 +11,46 @@
  */
 public final class Inspection {
 
-    private static final int GROUP = 64;
+    private static final int BATCH_RECORDS = 64;
 
     /**
      * What was found in a folder.
      *
      * @param records that are good
      * @param epoch the greatest that was found
-     * @param notes of ends that were never acknowledged, which is no damage
+     * @param warnings of ends that were never acknowledged, which is no damage
      * @param damage of what may have been acknowledged; empty where all is good
      */
     public record Report(
-            long records, long last, long epoch, List<String> notes, List<String> damage) {}
+            long records,
+            long lastSequence,
+            long epoch,
+            List<String> warnings,
+            List<String> damage) {}
 
     private Inspection() {}
 
     /** Reads all that can be read, past any damage, and changes nothing. */
-    public static Report inspect(Disk disk, Consumer<Entry> heard) throws StoreException {
+    public static Report inspect(Disk disk, Consumer<Entry> consumer) throws StoreException {
         long[] records = {0};
         try {
-            Reader.Found found =
+            Reader.Contents contents =
                     new Reader(
                                     disk,
                                     null,
                                     true,
                                     entry -> {
                                         records[0]++;
-                                        heard.accept(entry);
+                                        consumer.accept(entry);
                                     })
                             .read();
-            List<String> notes = new ArrayList<>();
+            List<String> warnings = new ArrayList<>();
             List<String> damage = new ArrayList<>();
-            for (Reader.Fault fault : found.faults()) {
-                (fault.acknowledged() ? damage : notes).add(fault.text());
+            for (Reader.Fault fault : contents.faults()) {
+                (fault.acknowledged() ? damage : warnings).add(fault.text());
             }
-            return new Report(records[0], found.last(), found.epoch(), notes, damage);
+            return new Report(
+                    records[0], contents.lastSequence(), contents.epoch(), warnings, damage);
         } catch (IOException failed) {
             throw new StoreException.Failed(
                     "the store cannot be read: " + failed.getMessage(), failed);
@@ -58,7 +63,7 @@
      * @return what was found in the damaged one
      */
     public static Report salvage(Disk from, Disk to, String owner) throws StoreException {
-        List<Entry> group = new ArrayList<>();
+        List<Entry> batch = new ArrayList<>();
         StoreException[] failed = {null};
         try (RecordLog log =
                 RecordLog.open(
@@ -72,12 +77,12 @@
                     inspect(
                             from,
                             entry -> {
-                                group.add(entry);
-                                if (group.size() == GROUP) {
-                                    failed[0] = write(log, group, failed[0]);
+                                batch.add(entry);
+                                if (batch.size() == BATCH_RECORDS) {
+                                    failed[0] = write(log, batch, failed[0]);
                                 }
                             });
-            failed[0] = write(log, group, failed[0]);
+            failed[0] = write(log, batch, failed[0]);
             if (failed[0] != null) {
                 throw failed[0];
             }
@@ -85,13 +90,14 @@
         }
     }
 
-    private static StoreException write(RecordLog log, List<Entry> group, StoreException before) {
-        if (before != null || group.isEmpty()) {
-            return before;
+    private static StoreException write(
+            RecordLog log, List<Entry> batch, StoreException earlierFailure) {
+        if (earlierFailure != null || batch.isEmpty()) {
+            return earlierFailure;
         }
         try {
-            log.append(group);
-            group.clear();
+            log.append(batch);
+            batch.clear();
             return null;
         } catch (StoreException failed) {
             return failed;
--- a/src/main/java/passhatch/store/Reader.java
+++ b/src/main/java/passhatch/store/Reader.java
@@ -5,8 +5,8 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.function.Consumer;
-import passhatch.store.Format.Head;
-import passhatch.store.Format.Read;
+import passhatch.store.Format.Header;
+import passhatch.store.Format.StoredRecord;
 
 /**
  * Reads all that a folder holds and tells what is good, what was never acknowledged, and what is
@@ -18,33 +18,33 @@
      * What is wrong with one place; {@code acknowledged} where it may have been promised to
      * somebody.
      */
-    record Fault(String file, long at, String what, boolean acknowledged) {
+    record Fault(String file, long offset, String description, boolean acknowledged) {
         String text() {
-            return file + ", byte " + at + ": " + what;
+            return file + ", byte " + offset + ": " + description;
         }
     }
 
     /**
      * What was found.
      *
-     * @param last sequence number of the last good record; 0 where there is none
+     * @param lastSequence sequence number of the last good record; 0 where there is none
      * @param epoch the greatest of all heads; 0 where there is none
      * @param bytes of the snapshot and the segments after it
      * @param snapshot name of the one that counts, or null
      * @param segments names of those that count, in their order
-     * @param cutAt size that the last segment is to be cut down to; -1 where it ends well
-     * @param droppable names of files that do not count any more, or never did
+     * @param truncateAt size that the last segment is to be cut down to; -1 where it ends well
+     * @param obsolete names of files that do not count any more, or never did
      * @param faults in the order they were found; where one is of what was acknowledged, the rest
      *     is not read
      */
-    record Found(
-            long last,
+    record Contents(
+            long lastSequence,
             long epoch,
             long bytes,
             String snapshot,
             List<String> segments,
-            long cutAt,
-            List<String> droppable,
+            long truncateAt,
+            List<String> obsolete,
             List<Fault> faults) {}
 
     private final Disk disk;
@@ -52,11 +52,11 @@
     private final boolean salvage;
     private final Consumer<Entry> replay;
     private final List<Fault> faults = new ArrayList<>();
-    private final List<String> droppable = new ArrayList<>();
-    private long last;
+    private final List<String> obsolete = new ArrayList<>();
+    private long lastSequence;
     private long epoch;
     private long bytes;
-    private long cutAt = -1;
+    private long truncateAt = -1;
     private boolean stopped;
 
     /**
@@ -73,49 +73,51 @@
         this.replay = replay;
     }
 
-    Found read() throws IOException, StoreException {
+    Contents read() throws IOException, StoreException {
         List<String> names = disk.list();
         List<String> snapshots = sorted(names, true);
         List<String> segments = sorted(names, false);
-        names.stream().filter(n -> n.endsWith(".new")).forEach(droppable::add);
+        names.stream().filter(n -> n.endsWith(".new")).forEach(obsolete::add);
         String snapshot = null;
         if (!snapshots.isEmpty()) {
             snapshot = snapshots.get(snapshots.size() - 1);
-            droppable.addAll(snapshots.subList(0, snapshots.size() - 1));
+            obsolete.addAll(snapshots.subList(0, snapshots.size() - 1));
             readSnapshot(snapshot);
         }
-        while (segments.size() > 1 && Format.number(segments.get(1), false) <= last + 1) {
-            headOf(segments.get(0), disk.read(segments.get(0), Format.MOST_SEGMENT));
-            droppable.add(segments.remove(0));
+        while (segments.size() > 1
+                && Format.fileNumber(segments.get(1), false) <= lastSequence + 1) {
+            readHeader(segments.get(0), disk.read(segments.get(0), Format.MAX_SEGMENT_BYTES));
+            obsolete.add(segments.remove(0));
         }
         if (snapshot != null && segments.isEmpty()) {
-            fault(snapshot, 0, "the segment after it is missing", true);
+            addFault(snapshot, 0, "the segment after it is missing", true);
         }
-        List<String> counted = new ArrayList<>();
+        List<String> current = new ArrayList<>();
         for (int i = 0; i < segments.size() && !stopped; i++) {
             if (readSegment(segments.get(i), i == segments.size() - 1)) {
-                counted.add(segments.get(i));
+                current.add(segments.get(i));
             }
         }
-        return new Found(last, epoch, bytes, snapshot, counted, cutAt, droppable, faults);
+        return new Contents(
+                lastSequence, epoch, bytes, snapshot, current, truncateAt, obsolete, faults);
     }
 
     private static List<String> sorted(List<String> names, boolean ofSnapshot) {
         return new ArrayList<>(
                 names.stream()
-                        .filter(n -> Format.number(n, ofSnapshot) >= 0)
-                        .sorted(Comparator.comparingLong(n -> Format.number(n, ofSnapshot)))
+                        .filter(n -> Format.fileNumber(n, ofSnapshot) >= 0)
+                        .sorted(Comparator.comparingLong(n -> Format.fileNumber(n, ofSnapshot)))
                         .toList());
     }
 
-    private void fault(String file, long at, String what, boolean acknowledged) {
-        faults.add(new Fault(file, at, what, acknowledged));
+    private void addFault(String file, long offset, String description, boolean acknowledged) {
+        faults.add(new Fault(file, offset, description, acknowledged));
         stopped |= acknowledged && !salvage;
     }
 
     /** The head of a file, with its epoch taken note of; null where it does not check. */
-    private Head headOf(String file, byte[] content) throws StoreException {
-        Head head = Format.readHead(content);
+    private Header readHeader(String file, byte[] content) throws StoreException {
+        Header head = Format.decodeHeader(content);
         if (head == null) {
             return null;
         }
@@ -137,112 +139,114 @@
     }
 
     private void readSnapshot(String file) throws IOException, StoreException {
-        byte[] content = disk.read(file, (int) Format.MOST_ALL);
+        byte[] content = disk.read(file, (int) Format.MAX_TOTAL_BYTES);
         bytes += content.length;
-        Head head = headOf(file, content);
-        if (head == null || !head.snapshot() || head.first() != Format.number(file, true)) {
-            fault(file, 0, "its head does not check", true);
+        Header head = readHeader(file, content);
+        if (head == null || !head.snapshot() || head.sequence() != Format.fileNumber(file, true)) {
+            addFault(file, 0, "its head does not check", true);
             return;
         }
-        int at = Format.HEAD_BYTES;
+        int offset = Format.HEADER_BYTES;
         long count = 0;
         List<Entry> entries = new ArrayList<>();
-        for (Read r = Format.read(content, at); r != null; r = Format.read(content, at)) {
-            at = r.next();
-            if (r.kind() == Format.MARK) {
-                if (r.sequence() == count && at == content.length) {
+        for (StoredRecord record = Format.readRecord(content, offset);
+                record != null;
+                record = Format.readRecord(content, offset)) {
+            offset = record.next();
+            if (record.kind() == Format.MARK) {
+                if (record.sequence() == count && offset == content.length) {
                     entries.forEach(replay);
-                    last = head.first();
+                    lastSequence = head.sequence();
                     return;
                 }
                 break;
             }
-            if (r.sequence() != count) {
+            if (record.sequence() != count) {
                 break;
             }
             count++;
-            entries.add(new Entry(r.kind(), r.bytes()));
+            entries.add(new Entry(record.kind(), record.bytes()));
         }
-        fault(file, at, "a record of the snapshot does not check", true);
+        addFault(file, offset, "a record of the snapshot does not check", true);
         if (salvage) {
             entries.forEach(replay);
-            last = head.first();
+            lastSequence = head.sequence();
         }
     }
 
     /** Reads a segment; false where it holds nothing and never counted. */
     private boolean readSegment(String file, boolean isLast) throws IOException, StoreException {
-        byte[] content = disk.read(file, Format.MOST_SEGMENT);
-        Head head = headOf(file, content);
-        if (head == null || head.snapshot() || head.first() != Format.number(file, false)) {
-            if (isLast && content.length <= Format.HEAD_BYTES && head == null) {
-                fault(file, 0, "its head was not whole: it was begun and never used", false);
-                droppable.add(file);
+        byte[] content = disk.read(file, Format.MAX_SEGMENT_BYTES);
+        Header head = readHeader(file, content);
+        if (head == null || head.snapshot() || head.sequence() != Format.fileNumber(file, false)) {
+            if (isLast && content.length <= Format.HEADER_BYTES && head == null) {
+                addFault(file, 0, "its head was not whole: it was begun and never used", false);
+                obsolete.add(file);
                 return false;
             }
-            fault(file, 0, "its head does not check", true);
+            addFault(file, 0, "its head does not check", true);
             if (!salvage) {
                 return true;
             }
-        } else if (head.first() > last + 1) {
-            fault(
+        } else if (head.sequence() > lastSequence + 1) {
+            addFault(
                     file,
                     0,
                     "records "
-                            + (last + 1)
+                            + (lastSequence + 1)
                             + " to "
-                            + (head.first() - 1)
+                            + (head.sequence() - 1)
                             + " before it are missing",
                     true);
             if (!salvage) {
                 return true;
             }
-            last = head.first() - 1;
+            lastSequence = head.sequence() - 1;
         }
         bytes += content.length;
-        readRecords(file, content, isLast, head == null ? last + 1 : head.first());
+        readRecords(file, content, isLast, head == null ? lastSequence + 1 : head.sequence());
         return true;
     }
 
     private void readRecords(String file, byte[] content, boolean isLast, long first) {
         long expected = first;
-        int at = Format.HEAD_BYTES;
-        while (at < content.length) {
-            Read r = Format.read(content, at);
-            boolean good =
-                    r != null
-                            && (r.kind() == Format.MARK
-                                    ? r.sequence() < expected
-                                    : r.sequence() == expected);
-            if (!good) {
-                Read next = vouched(content, at, expected);
+        int offset = Format.HEADER_BYTES;
+        while (offset < content.length) {
+            StoredRecord record = Format.readRecord(content, offset);
+            boolean valid =
+                    record != null
+                            && (record.kind() == Format.MARK
+                                    ? record.sequence() < expected
+                                    : record.sequence() == expected);
+            if (!valid) {
+                StoredRecord next = findMark(content, offset, expected);
                 if (isLast && next == null) {
-                    fault(
+                    addFault(
                             file,
-                            at,
+                            offset,
                             "the last records were not whole and never acknowledged",
                             false);
-                    cutAt = at;
+                    truncateAt = offset;
                     return;
                 }
-                fault(file, at, "record " + expected + " does not check", true);
+                addFault(file, offset, "record " + expected + " does not check", true);
                 if (!salvage) {
                     return;
                 }
-                r = nextGood(content, at, expected);
-                if (r == null) {
+                record = findNextValid(content, offset, expected);
+                if (record == null) {
                     return;
                 }
-                expected = r.kind() == Format.MARK ? r.sequence() + 1 : r.sequence();
+                expected = record.kind() == Format.MARK ? record.sequence() + 1 : record.sequence();
             }
-            if (r.kind() != Format.MARK) {
-                if (expected > last) {
-                    replay.accept(new Entry(r.kind(), r.bytes()));
-                    last = expected;
+            if (record.kind() != Format.MARK) {
+                if (expected > lastSequence) {
+                    replay.accept(new Entry(record.kind(), record.bytes()));
+                    lastSequence = expected;
                 }
                 expected++;
             }
-            at = r.next();
+            offset = record.next();
         }
     }
 
@@ -250,30 +254,30 @@
      * A mark at a place or behind it that says that the record there was forced; null where there
      * is none.
      */
-    private static Read vouched(byte[] content, int from, long expected) {
-        for (int at = from; at <= content.length - Format.RECORD_HEAD; at++) {
+    private static StoredRecord findMark(byte[] content, int from, long expected) {
+        for (int offset = from; offset <= content.length - Format.RECORD_HEADER_BYTES; offset++) {
             // A mark is empty: all else is passed over without a sum over what it would hold.
             boolean empty =
-                    content[at] == 0
-                            && content[at + 1] == 0
-                            && content[at + 2] == 0
-                            && content[at + 3] == 0;
-            Read r = empty ? Format.read(content, at) : null;
-            if (r != null && r.kind() == Format.MARK && r.sequence() >= expected) {
-                return r;
+                    content[offset] == 0
+                            && content[offset + 1] == 0
+                            && content[offset + 2] == 0
+                            && content[offset + 3] == 0;
+            StoredRecord record = empty ? Format.readRecord(content, offset) : null;
+            if (record != null && record.kind() == Format.MARK && record.sequence() >= expected) {
+                return record;
             }
         }
         return null;
     }
 
     /** The next thing behind damage that checks and is no older than what is expected. */
-    private static Read nextGood(byte[] content, int from, long expected) {
-        for (int at = from; at <= content.length - Format.RECORD_HEAD; at++) {
-            Read r = Format.read(content, at);
-            if (r != null
-                    && r.sequence() >= expected
-                    && r.sequence() - expected <= Format.MOST_SEGMENT) {
-                return r;
+    private static StoredRecord findNextValid(byte[] content, int from, long expected) {
+        for (int offset = from; offset <= content.length - Format.RECORD_HEADER_BYTES; offset++) {
+            StoredRecord record = Format.readRecord(content, offset);
+            if (record != null
+                    && record.sequence() >= expected
+                    && record.sequence() - expected <= Format.MAX_SEGMENT_BYTES) {
+                return record;
             }
         }
         return null;
--- a/src/main/java/passhatch/store/RecordLog.java
+++ b/src/main/java/passhatch/store/RecordLog.java
@@ -18,32 +18,33 @@
 public final class RecordLog implements AutoCloseable {
 
     /** So many bytes after the snapshot are worth a new one. */
-    private static final long WORTH_A_SNAPSHOT = 1L << 20;
+    private static final long SNAPSHOT_THRESHOLD_BYTES = 1L << 20;
 
     /** A segment without records: its head and the first mark. */
-    private static final int EMPTY_SEGMENT = Format.HEAD_BYTES + Format.RECORD_HEAD;
+    private static final int EMPTY_SEGMENT_BYTES = Format.HEADER_BYTES + Format.RECORD_HEADER_BYTES;
 
     /** What the files of a damaged store are called once it was set aside. */
-    private static final String ASIDE = "damaged-";
+    private static final String DAMAGED_PREFIX = "damaged-";
 
     private final Disk disk;
     private final String owner;
     private final long epoch;
-    private final List<String> notes;
-    private final List<String> old = new ArrayList<>();
-    private long last;
+    private final List<String> warnings;
+    private final List<String> obsolete = new ArrayList<>();
+    private long lastSequence;
     private String segment;
     private long segmentBytes;
     private long logBytes;
-    private long allBytes;
-    private StoreException.Failed broken;
+    private long totalBytes;
+    private StoreException.Failed failure;
 
-    private RecordLog(Disk disk, String owner, long epoch, long last, List<String> notes) {
+    private RecordLog(
+            Disk disk, String owner, long epoch, long lastSequence, List<String> warnings) {
         this.disk = disk;
         this.owner = owner;
         this.epoch = epoch;
-        this.last = last;
-        this.notes = notes;
+        this.lastSequence = lastSequence;
+        this.warnings = warnings;
     }
 
     /**
@@ -60,19 +61,21 @@
     public static RecordLog open(Disk disk, String owner, Consumer<Entry> replay)
             throws StoreException {
         try {
-            Reader.Found found = new Reader(disk, owner, false, replay).read();
-            List<String> notes = new ArrayList<>();
-            for (Reader.Fault fault : found.faults()) {
+            Reader.Contents contents = new Reader(disk, owner, false, replay).read();
+            List<String> warnings = new ArrayList<>();
+            for (Reader.Fault fault : contents.faults()) {
                 if (fault.acknowledged()) {
                     throw new StoreException.Damaged(fault.text());
                 }
-                notes.add(fault.text());
+                warnings.add(fault.text());
             }
-            if (found.epoch() == Long.MAX_VALUE || found.last() == Long.MAX_VALUE) {
+            if (contents.epoch() == Long.MAX_VALUE || contents.lastSequence() == Long.MAX_VALUE) {
                 throw new StoreException.Damaged("there are no numbers left for " + owner);
             }
-            RecordLog log = new RecordLog(disk, owner, found.epoch() + 1, found.last(), notes);
-            log.begin(found);
+            RecordLog log =
+                    new RecordLog(
+                            disk, owner, contents.epoch() + 1, contents.lastSequence(), warnings);
+            log.prepareForWriting(contents);
             return log;
         } catch (IOException failed) {
             throw new StoreException.Failed(
@@ -91,12 +94,12 @@
         } catch (StoreException.Damaged damaged) {
             try {
                 for (String name : disk.list()) {
-                    if (name.startsWith(ASIDE)) {
+                    if (name.startsWith(DAMAGED_PREFIX)) {
                         disk.delete(name);
                     }
                 }
                 for (String name : disk.list()) {
-                    disk.rename(name, ASIDE + name);
+                    disk.rename(name, DAMAGED_PREFIX + name);
                 }
                 disk.forceFolder();
             } catch (IOException failed) {
@@ -104,69 +107,70 @@
                         "the store cannot be set aside: " + failed.getMessage(), failed);
             }
             RecordLog log = open(disk, owner, replay);
-            log.notes.add("it was damaged and is set aside: " + damaged.getMessage());
+            log.warnings.add("it was damaged and is set aside: " + damaged.getMessage());
             return log;
         }
     }
 
-    private void begin(Reader.Found found) throws IOException {
-        if (!found.segments().isEmpty()) {
-            String tail = found.segments().get(found.segments().size() - 1);
-            if (found.cutAt() >= 0) {
-                disk.truncate(tail, found.cutAt());
+    private void prepareForWriting(Reader.Contents contents) throws IOException {
+        if (!contents.segments().isEmpty()) {
+            String tail = contents.segments().get(contents.segments().size() - 1);
+            if (contents.truncateAt() >= 0) {
+                disk.truncate(tail, contents.truncateAt());
             }
             // Its last mark may not be there for sure yet, and no torn end may stand before another
             // segment.
             disk.force(tail);
         }
-        allBytes = found.bytes();
-        logBytes = found.bytes();
-        for (String name : found.droppable()) {
+        totalBytes = contents.bytes();
+        logBytes = contents.bytes();
+        for (String name : contents.obsolete()) {
             disk.delete(name);
         }
-        old.addAll(found.segments());
-        if (found.snapshot() != null) {
-            old.add(found.snapshot());
+        obsolete.addAll(contents.segments());
+        if (contents.snapshot() != null) {
+            obsolete.add(contents.snapshot());
         }
-        String reused = Format.segment(last + 1);
-        if (old.remove(reused)) {
+        String reused = Format.segmentName(lastSequence + 1);
+        if (obsolete.remove(reused)) {
             // The one before this holds no record: its number is needed, and its epoch is below the
             // new one.
-            disk.replace(reused, firstBytes());
+            disk.replace(reused, segmentHeader());
             disk.append(reused, mark());
             segment = reused;
-            segmentBytes = EMPTY_SEGMENT;
+            segmentBytes = EMPTY_SEGMENT_BYTES;
         } else {
             roll();
         }
     }
 
-    private ByteBuffer firstBytes() {
-        return Format.head(new Format.Head(false, Format.VERSION, owner, epoch, last + 1));
+    private ByteBuffer segmentHeader() {
+        return Format.encodeHeader(
+                new Format.Header(false, Format.VERSION, owner, epoch, lastSequence + 1));
     }
 
     /** Begins a segment; all that is in the one before has been forced. */
     private void roll() throws IOException {
         if (segment != null) {
             disk.force(segment);
-            old.add(segment);
+            obsolete.add(segment);
         }
-        String next = Format.segment(last + 1);
+        String next = Format.segmentName(lastSequence + 1);
         disk.create(next);
-        disk.append(next, firstBytes());
+        disk.append(next, segmentHeader());
         disk.force(next);
         disk.forceFolder();
         disk.append(next, mark());
         segment = next;
-        segmentBytes = EMPTY_SEGMENT;
-        allBytes += segmentBytes;
+        segmentBytes = EMPTY_SEGMENT_BYTES;
+        totalBytes += segmentBytes;
         logBytes += segmentBytes;
     }
 
     /** Says that all records so far have been forced. */
     private ByteBuffer mark() {
-        ByteBuffer out = ByteBuffer.allocate(Format.RECORD_HEAD);
-        Format.put(out, last, Format.MARK, new byte[0]);
+        ByteBuffer out = ByteBuffer.allocate(Format.RECORD_HEADER_BYTES);
+        Format.putRecord(out, lastSequence, Format.MARK, new byte[0]);
         return out.flip();
     }
 
@@ -176,18 +180,18 @@
     }
 
     /** What recovery did, a line each; empty where the store had ended well. */
-    public List<String> notes() {
-        return List.copyOf(notes);
+    public List<String> warnings() {
+        return List.copyOf(warnings);
     }
 
     /** The number of the last record. */
-    public long last() {
-        return last;
+    public long lastSequence() {
+        return lastSequence;
     }
 
     /** Whether so much was written since the snapshot that a new one is worth its cost. */
-    public boolean wantsSnapshot() {
-        return logBytes > WORTH_A_SNAPSHOT;
+    public boolean isSnapshotDue() {
+        return logBytes > SNAPSHOT_THRESHOLD_BYTES;
     }
 
     /**
@@ -200,42 +204,42 @@
      *     shows once the store was opened again
      */
     public long append(List<Entry> entries) throws StoreException {
-        check();
-        long size = Format.RECORD_HEAD;
+        requireUsable();
+        long size = Format.RECORD_HEADER_BYTES;
         for (Entry e : entries) {
             size += checkedSize(e);
         }
-        if (allBytes + size > Format.MOST_ALL) {
+        if (totalBytes + size > Format.MAX_TOTAL_BYTES) {
             throw new StoreException.TooLarge(
-                    "the store would hold over " + Format.MOST_ALL + " bytes");
+                    "the store would hold over " + Format.MAX_TOTAL_BYTES + " bytes");
         }
-        if (size > Format.MOST_SEGMENT - EMPTY_SEGMENT) {
+        if (size > Format.MAX_SEGMENT_BYTES - EMPTY_SEGMENT_BYTES) {
             throw new StoreException.TooLarge(
                     entries.size()
                             + " records at a time are over "
-                            + Format.MOST_SEGMENT
+                            + Format.MAX_SEGMENT_BYTES
                             + " bytes");
         }
         try {
-            if (segmentBytes + size > Format.MOST_SEGMENT) {
+            if (segmentBytes + size > Format.MAX_SEGMENT_BYTES) {
                 roll();
             }
-            ByteBuffer out = ByteBuffer.allocate((int) size - Format.RECORD_HEAD);
-            long sequence = last;
+            ByteBuffer out = ByteBuffer.allocate((int) size - Format.RECORD_HEADER_BYTES);
+            long sequence = lastSequence;
             for (Entry e : entries) {
-                Format.put(out, ++sequence, e.kind(), e.bytes());
+                Format.putRecord(out, ++sequence, e.kind(), e.bytes());
             }
             disk.append(segment, out.flip());
             disk.force(segment);
-            last = sequence;
+            lastSequence = sequence;
             disk.append(segment, mark());
         } catch (IOException failed) {
             throw fail(failed);
         }
         segmentBytes += size;
         logBytes += size;
-        allBytes += size;
-        return last;
+        totalBytes += size;
+        return lastSequence;
     }
 
     /**
@@ -244,12 +248,12 @@
      * @param state the records that it comes down to
      */
     public void snapshot(List<Entry> state) throws StoreException {
-        check();
-        long size = Format.HEAD_BYTES + Format.RECORD_HEAD;
+        requireUsable();
+        long size = Format.HEADER_BYTES + Format.RECORD_HEADER_BYTES;
         for (Entry e : state) {
             size += checkedSize(e);
         }
-        if (size > Format.MOST_ALL / 2) {
+        if (size > Format.MAX_TOTAL_BYTES / 2) {
             throw new StoreException.TooLarge(
                     "a snapshot of "
                             + size
@@ -257,25 +261,27 @@
                             + "hold is allowed");
         }
         ByteBuffer out = ByteBuffer.allocate((int) size);
-        out.put(Format.head(new Format.Head(true, Format.VERSION, owner, epoch, last)));
+        out.put(
+                Format.encodeHeader(
+                        new Format.Header(true, Format.VERSION, owner, epoch, lastSequence)));
         long count = 0;
         for (Entry e : state) {
-            Format.put(out, count++, e.kind(), e.bytes());
+            Format.putRecord(out, count++, e.kind(), e.bytes());
         }
-        Format.put(out, count, Format.MARK, new byte[0]);
+        Format.putRecord(out, count, Format.MARK, new byte[0]);
         try {
-            String name = Format.snapshot(last);
+            String name = Format.snapshotName(lastSequence);
             disk.replace(name, out.flip());
-            if (segmentBytes > EMPTY_SEGMENT) {
+            if (segmentBytes > EMPTY_SEGMENT_BYTES) {
                 roll();
             } // else it goes on behind the new snapshot: nothing was written since it began
-            old.remove(name);
-            for (String before : old) {
-                disk.delete(before);
+            obsolete.remove(name);
+            for (String file : obsolete) {
+                disk.delete(file);
             }
-            old.clear();
-            old.add(name);
-            allBytes = size + segmentBytes;
+            obsolete.clear();
+            obsolete.add(name);
+            totalBytes = size + segmentBytes;
             logBytes = segmentBytes;
         } catch (IOException failed) {
             throw fail(failed);
@@ -284,35 +290,35 @@
 
     /** Bytes that a record takes, if it is one that may be written. */
     private static int checkedSize(Entry e) throws StoreException.TooLarge {
-        if (e.bytes().length > Format.MOST_RECORD) {
+        if (e.bytes().length > Format.MAX_RECORD_BYTES) {
             throw new StoreException.TooLarge(
                     "a record of "
                             + e.bytes().length
                             + " bytes; at most "
-                            + Format.MOST_RECORD
+                            + Format.MAX_RECORD_BYTES
                             + " are allowed");
         }
-        if (e.kind() <= Format.MARK || e.kind() > Entry.MOST_KIND) {
+        if (e.kind() <= Format.MARK || e.kind() > Entry.MAX_KIND) {
             throw new IllegalArgumentException(
-                    "kind " + e.kind() + " is not from 1 to " + Entry.MOST_KIND);
+                    "kind " + e.kind() + " is not from 1 to " + Entry.MAX_KIND);
         }
-        return Format.size(e.bytes());
+        return Format.recordSize(e.bytes());
     }
 
-    private void check() throws StoreException {
-        if (broken != null) {
-            throw new StoreException.Failed(broken.getMessage(), broken.getCause());
+    private void requireUsable() throws StoreException {
+        if (failure != null) {
+            throw new StoreException.Failed(failure.getMessage(), failure.getCause());
         }
     }
 
-    private StoreException.Failed fail(IOException failed) {
-        broken =
+    private StoreException.Failed fail(IOException cause) {
+        failure =
                 new StoreException.Failed(
                         "the disk failed, so nothing is acknowledged until the store is opened "
                                 + "again: "
-                                + failed.getMessage(),
-                        failed);
-        return broken;
+                                + cause.getMessage(),
+                        cause);
+        return failure;
     }
 
     /** Gives up the disk; what is not acknowledged by now may or may not be there. */
--- a/src/test/java/passhatch/agent/ChangesStoreTest.java
+++ b/src/test/java/passhatch/agent/ChangesStoreTest.java
@@ -67,11 +67,11 @@
          */
         void runSteps(List<LogEntry> all, UniformRandomProvider random) throws StoreException {
             if (role == Role.REPLICA) {
-                participant.found();
+                participant.initialize();
             }
             for (int step = 0; step < STEPS; step++) {
                 long now = step * 300_000L;
-                participant.hear(now, LEADER, nextMessage(all, random));
+                participant.onMessage(now, LEADER, nextMessage(all, random));
                 participant.timer(now);
                 if (random.nextInt(8) == 0) {
                     store.snapshot(participant.snapshot());
--- a/src/test/java/passhatch/cli/StoreCommandTest.java
+++ b/src/test/java/passhatch/cli/StoreCommandTest.java
@@ -36,7 +36,7 @@
     @Test
     void verifiesDumpsAndSalvages() throws Exception {
         Path store = folder.resolve("store");
-        try (RecordLog log = RecordLog.open(FolderDisk.take(store), "me", e -> {})) {
+        try (RecordLog log = RecordLog.open(FolderDisk.open(store), "me", e -> {})) {
             log.append(List.of(new Entry(7, new byte[] {1, 2, 3}), new Entry(8, new byte[] {4})));
             assertEquals(1, run("store", "verify", store.toString()));
             assertTrue(err.contains("in use by another process"), err);
--- a/src/test/java/passhatch/distribution/DiskRecordCodecTest.java
+++ b/src/test/java/passhatch/distribution/DiskRecordCodecTest.java
@@ -34,7 +34,7 @@
     private DiskRecord record() {
         return switch (random.nextInt(7)) {
             case 0 -> new DiskRecord.Promised(number(), number());
-            case 1 -> new DiskRecord.Founded(number());
+            case 1 -> new DiskRecord.Initialized(number());
             case 2 -> new DiskRecord.Appended(number(), entry());
             case 3 -> new DiskRecord.Committed(number(), number());
             case 4 -> new DiskRecord.Applied(number(), number(), number(), entries());
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void everyRecordIsReadAsItWasWritten() throws IOException {
+    void everyRecordDecodesToItself() throws IOException {
         for (int i = 0; i < RECORDS; i++) {
             DiskRecord record = record();
             byte[] bytes = DiskRecordCodec.encode(record);
@@ -56,8 +56,8 @@
 
     /** The second byte is the version of the format. */
     @Test
-    void aNewerFormatIsRefused() {
-        byte[] bytes = DiskRecordCodec.encode(new DiskRecord.Founded(1));
+    void newerFormatIsRejected() {
+        byte[] bytes = DiskRecordCodec.encode(new DiskRecord.Initialized(1));
         bytes[1]++;
         IOException refused = assertThrows(IOException.class, () -> DiskRecordCodec.decode(bytes));
         assertEquals("a record of format 2, of a newer program", refused.getMessage());
--- a/src/test/java/passhatch/distribution/MessageCodecTest.java
+++ b/src/test/java/passhatch/distribution/MessageCodecTest.java
@@ -33,7 +33,7 @@
     private final RandomGenerator random = new SplittableRandom(1);
 
     @Test
-    void everyMessageFitsAndIsReadAsItWasWritten() {
+    void everyMessageFitsIntoADatagramAndDecodesToItself() {
         for (int round = 0; round < ROUNDS; round++) {
             Message message = message(round % 11);
             byte[] datagram = MessageCodec.encode(FLEET, message);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void whatWasChangedOnTheWayIsNotRead() {
+    void corruptedDatagramsAreRejected() {
         for (int round = 0; round < ROUNDS; round++) {
             byte[] datagram = MessageCodec.encode(FLEET, message(round % 11));
             datagram[random.nextInt(datagram.length)] ^= (byte) (1 << random.nextInt(8));
@@ -53,7 +53,7 @@
 
     /** A sender that seals what is no message must do no harm either. */
     @Test
-    void aSealedDatagramOfAnyContentIsReadOrRefused() {
+    void framedRandomContentIsDecodedOrRejected() {
         int refused = 0;
         for (int round = 0; round < ROUNDS; round++) {
             byte[] datagram = MessageCodec.encode(FLEET, message(round % 11));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void anotherFleetsDatagramIsRefused() {
+    void datagramOfAnotherFleetIsRejected() {
         byte[] datagram = MessageCodec.encode("other", new Ack(1, 1));
         assertEquals(DropReason.FLEET, MessageCodec.decode(FLEET, datagram).fault());
     }
@@ -78,42 +78,71 @@
         long epoch = number(Integer.MAX_VALUE);
         long age = number(Integer.MAX_VALUE);
         return switch (kind) {
-            case 0 -> new Prepare(epoch, large());
-            case 1 -> new Prepared(epoch, large(), large(), large(), large(), large());
-            case 2 -> new LogRequest(epoch, large(), large());
+            case 0 -> new Prepare(epoch, randomVersion());
+            case 1 ->
+                    new Prepared(
+                            epoch,
+                            randomVersion(),
+                            randomVersion(),
+                            randomVersion(),
+                            randomVersion(),
+                            randomVersion());
+            case 2 -> new LogRequest(epoch, randomVersion(), randomVersion());
             case 3 -> {
-                long previous = large();
+                long previous = randomVersion();
                 yield new LogPart(
-                        epoch, large(), previous, large(), large(), consecutive(previous));
+                        epoch,
+                        randomVersion(),
+                        previous,
+                        randomVersion(),
+                        randomVersion(),
+                        consecutiveEntries(previous));
             }
             case 4 -> {
-                long previous = large();
+                long previous = randomVersion();
                 yield new Append(
-                        epoch, large(), large(), age, previous, large(), consecutive(previous));
+                        epoch,
+                        randomVersion(),
+                        randomVersion(),
+                        age,
+                        previous,
+                        randomVersion(),
+                        consecutiveEntries(previous));
             }
             case 5 ->
                     new Appended(
-                            epoch, large(), random.nextBoolean(), large(), random.nextBoolean());
-            case 6 -> new Behind(epoch, large());
+                            epoch,
+                            randomVersion(),
+                            random.nextBoolean(),
+                            randomVersion(),
+                            random.nextBoolean());
+            case 6 -> new Behind(epoch, randomVersion());
             case 7 ->
                     new Poll(
                             epoch,
-                            large(),
+                            randomVersion(),
                             random.nextBoolean() ? key() : null,
                             ServiceFilter.of(List.of("a", "b" + random.nextInt())),
                             "n".repeat(1 + random.nextInt(Names.MAX_NAME_LENGTH)));
-            case 8 -> new Ack(epoch, large());
-            case 9 -> new Delta(epoch, large(), large(), large(), age, consecutive(large()));
+            case 8 -> new Ack(epoch, randomVersion());
+            case 9 ->
+                    new Delta(
+                            epoch,
+                            randomVersion(),
+                            randomVersion(),
+                            randomVersion(),
+                            age,
+                            consecutiveEntries(randomVersion()));
             default ->
                     new SnapshotPart(
                             epoch,
-                            large(),
-                            large(),
+                            randomVersion(),
+                            randomVersion(),
                             age,
                             random.nextInt(),
                             random.nextBoolean(),
                             random.nextBoolean(),
-                            consecutive(large()));
+                            consecutiveEntries(randomVersion()));
         };
     }
 
@@ -122,7 +151,7 @@
     }
 
     /** Room for entries after it stays below the greatest version. */
-    private long large() {
+    private long randomVersion() {
         return number(Long.MAX_VALUE - 100);
     }
 
@@ -137,10 +166,10 @@
         return random.nextInt(4) == 0 ? null : character.repeat(random.nextInt(most + 1));
     }
 
-    private List<LogEntry> consecutive(long previous) {
+    private List<LogEntry> consecutiveEntries(long previous) {
         List<LogEntry> all = new ArrayList<>();
         for (int i = 1; i <= 12; i++) {
-            long term = 1 + large();
+            long term = 1 + randomVersion();
             all.add(
                     random.nextInt(6) == 0
                             ? LogEntry.noOperation(previous + i, term)
--- a/src/test/java/passhatch/lab/distribution/ScriptedRun.java
+++ b/src/test/java/passhatch/lab/distribution/ScriptedRun.java
@@ -28,7 +28,7 @@
         simulation = new Simulation(1, network, Simulation.Fidelity.FULL, checker);
         fleet.addTo(simulation);
         checker.preload(Fleet.EPOCH, fleet.entries());
-        simulation.setOnStepDown((node, ofTerm) -> node.run(p -> p.lost()));
+        simulation.setOnStepDown((node, ofTerm) -> node.run(p -> p.leaseLost()));
     }
 
     Fleet fleet() {
@@ -69,7 +69,7 @@
     void grant(int index) {
         long granted = ++term;
         checker.granted(replica(index));
-        replica(index).run(p -> p.granted(simulation.nowUs(), granted));
+        replica(index).run(p -> p.leaseGranted(simulation.nowUs(), granted));
     }
 
     void lead(int index) {
--- a/src/test/java/passhatch/lab/duty/DutyCheckerTest.java
+++ b/src/test/java/passhatch/lab/duty/DutyCheckerTest.java
@@ -50,10 +50,10 @@
                                             Predicate<Promise> disk) {
                                         return new Voter(s, nowUs, promises, disk) {
                                             @Override
-                                            protected boolean keep(Promise promise) {
+                                            protected boolean persist(Promise promise) {
                                                 // As if the crash took what was not forced.
                                                 return !promise.duty().isEmpty()
-                                                        || super.keep(promise);
+                                                        || super.persist(promise);
                                             }
                                         };
                                     }
@@ -162,7 +162,7 @@
                                             DutyActions a) {
                                         return new Candidate(s, duty, holder, 0, r, a) {
                                             @Override
-                                            protected long countedFromUs(long asked, long nowUs) {
+                                            protected long leaseStartUs(long asked, long nowUs) {
                                                 return nowUs;
                                             }
                                         };
--- a/src/test/java/passhatch/store/CrashTest.java
+++ b/src/test/java/passhatch/store/CrashTest.java
@@ -22,7 +22,7 @@
 class CrashTest {
 
     private static final String OWNER = "owner";
-    private static final int SURVIVORS = 12;
+    private static final int DISK_STATES_PER_FAULT = 12;
     private static final long CAPACITY = 1L << 28;
 
     /**
@@ -45,7 +45,8 @@
      * The state is all numbers so far, as one record each, so that a snapshot shows what it stands
      * for.
      */
-    private static void work(FaultyDisk disk, Model model, int operations) throws StoreException {
+    private static void runWorkload(FaultyDisk disk, Model model, int operations)
+            throws StoreException {
         UniformRandomProvider random = new Seeds(11).stream("work");
         RecordLog log = RecordLog.open(disk, OWNER, e -> {});
         model.epoch = log.epoch();
@@ -69,7 +70,8 @@
         }
     }
 
-    private static void check(FaultyDisk left, Model model, String when) throws StoreException {
+    private static void checkRecovered(FaultyDisk left, Model model, String when)
+            throws StoreException {
         List<Entry> found = new ArrayList<>();
         RecordLog log = RecordLog.open(left, OWNER, found::add);
         assertTrue(
@@ -89,10 +91,10 @@
     /**
      * How many runs of the workload lost something; with the process stopped at each call in turn.
      */
-    private static int crashEverywhere(Fault fault, boolean forgetful, int operations)
-            throws StoreException {
+    private static int countLossesWithFaultAtEveryCall(
+            Fault fault, boolean forgetful, int operations) throws StoreException {
         FaultyDisk whole = new FaultyDisk(CAPACITY);
-        work(whole, new Model(), operations);
+        runWorkload(whole, new Model(), operations);
         assertTrue(whole.calls() > 3L * operations, "the workload is too small");
         int broken = 0;
         for (long k = 0; k < whole.calls(); k++) {
@@ -101,14 +103,14 @@
             disk.faultAt(k, fault);
             Model model = new Model();
             try {
-                work(disk, model, operations);
+                runWorkload(disk, model, operations);
             } catch (FaultyDisk.Stopped | StoreException.Failed stopped) {
                 // From here on only what is on the disk counts.
             }
             UniformRandomProvider random = new Seeds(k).stream("survivors");
-            for (int s = 0; s < SURVIVORS; s++) {
+            for (int s = 0; s < DISK_STATES_PER_FAULT; s++) {
                 try {
-                    check(
+                    checkRecovered(
                             disk.afterPowerLoss(random),
                             model,
                             fault + " at call " + k + ", survivor " + s);
@@ -125,22 +127,22 @@
 
     @ParameterizedTest
     @EnumSource(value = Fault.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
-    void whatWasAcknowledgedIsThereAfterAnyStopOrError(Fault fault) throws StoreException {
-        crashEverywhere(fault, false, 300);
+    void acknowledgedRecordsSurviveAnyStopOrError(Fault fault) throws StoreException {
+        countLossesWithFaultAtEveryCall(fault, false, 300);
     }
 
     /** A disk that only says it has forced must show: else the test above would prove nothing. */
     @Test
-    void aForceLeftOutIsSeen() throws StoreException {
-        assertTrue(crashEverywhere(Fault.STOP_AFTER, true, 30) > 0);
+    void omittedForceIsDetected() throws StoreException {
+        assertTrue(countLossesWithFaultAtEveryCall(Fault.STOP_AFTER, true, 30) > 0);
     }
 
     /** After an error nothing is acknowledged until the store was opened again; then it goes on. */
     @Test
-    void aFullDiskFailsAndLosesNothing() throws StoreException {
+    void fullDiskFailsWithoutLoss() throws StoreException {
         FaultyDisk disk = new FaultyDisk(20_000);
         Model model = new Model();
-        assertThrows(StoreException.Failed.class, () -> work(disk, model, 2_000));
+        assertThrows(StoreException.Failed.class, () -> runWorkload(disk, model, 2_000));
         assertTrue(model.acknowledged > 100);
         List<Entry> found = new ArrayList<>();
         Inspection.inspect(disk.afterPowerLoss(new Seeds(1).stream("full")), found::add);
@@ -152,11 +154,11 @@
      * passed over.
      */
     @Test
-    void aFlippedBitIsNeverBelieved() throws Exception {
+    void flippedBitIsNeverAccepted() throws Exception {
         FaultyDisk disk = new FaultyDisk(CAPACITY);
         Model model = new Model();
-        work(disk, model, 60);
-        int told = 0;
+        runWorkload(disk, model, 60);
+        int reported = 0;
         for (String name : disk.list()) {
             int size = disk.read(name, Integer.MAX_VALUE).length;
             for (int at = 0; at < size; at++) {
@@ -171,11 +173,11 @@
                                 found,
                                 name + ", byte " + at + ", bit " + bit);
                     } catch (StoreException.Damaged damaged) {
-                        told++;
+                        reported++;
                     }
                 }
             }
         }
-        assertTrue(told > 1_000, told + " were told");
+        assertTrue(reported > 1_000, reported + " were told");
     }
 }
