--- a/src/test/java/passhatch/store/StoreTest.java
+++ b/src/test/java/passhatch/store/StoreTest.java
@@ -33,7 +33,7 @@
         return new Entry(3, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static List<Entry> contents(Disk disk) throws StoreException {
+    private static List<Entry> readEntries(Disk disk) throws StoreException {
         List<Entry> found = new ArrayList<>();
         RecordLog.open(disk, "me", found::add);
         return found;
@@ -46,10 +46,10 @@
     }
 
     @Test
-    void aRealFolderKeepsRecordsSnapshotsAndEpochs() throws Exception {
+    void realFolderKeepsRecordsSnapshotsAndEpochs() throws Exception {
         for (int i = 1; i <= 3; i++) {
             List<Entry> found = new ArrayList<>();
-            try (RecordLog log = RecordLog.open(FolderDisk.take(folder), "me", found::add)) {
+            try (RecordLog log = RecordLog.open(FolderDisk.open(folder), "me", found::add)) {
                 assertEquals(i, log.epoch());
                 assertEquals(i == 1 ? 0 : 2, found.size());
                 log.append(List.of(entry("a" + i), entry("b" + i)));
@@ -57,8 +57,8 @@
                 log.append(List.of(entry("c" + i)));
             }
         }
-        try (FolderDisk disk = FolderDisk.take(folder)) {
-            assertEquals(List.of(entry("s3"), entry("c3")), contents(disk));
+        try (FolderDisk disk = FolderDisk.open(folder)) {
+            assertEquals(List.of(entry("s3"), entry("c3")), readEntries(disk));
             assertEquals(
                     3,
                     disk.list().size(),
@@ -67,31 +67,34 @@
     }
 
     @Test
-    void oneProcessHasAFolderAtATime() throws Exception {
-        try (FolderDisk held = FolderDisk.take(folder)) {
-            StoreException told =
-                    assertThrows(StoreException.InUse.class, () -> FolderDisk.take(folder));
-            assertTrue(told.getMessage().contains("in use by another process"), told.getMessage());
+    void folderIsLockedForOneProcess() throws Exception {
+        try (FolderDisk held = FolderDisk.open(folder)) {
+            StoreException thrown =
+                    assertThrows(StoreException.InUse.class, () -> FolderDisk.open(folder));
+            assertTrue(
+                    thrown.getMessage().contains("in use by another process"), thrown.getMessage());
             assertEquals(List.of(), held.list());
         }
-        FolderDisk.take(folder).close();
+        FolderDisk.open(folder).close();
     }
 
     @Test
-    void anotherOwnersFolderAndANewerOneAreLeftAlone() throws Exception {
+    void foldersOfOtherOwnersAndNewerFormatsAreLeftUnchanged() throws Exception {
         FaultyDisk disk = new FaultyDisk(CAPACITY);
         RecordLog.open(disk, "you", e -> {}).append(List.of(entry("x")));
         List<String> before = disk.list();
-        StoreException told = assertThrows(StoreException.Foreign.class, () -> contents(disk));
-        assertTrue(told.getMessage().contains("belongs to 'you', not to 'me'"), told.getMessage());
+        StoreException thrown = assertThrows(StoreException.Foreign.class, () -> readEntries(disk));
+        assertTrue(
+                thrown.getMessage().contains("belongs to 'you', not to 'me'"), thrown.getMessage());
         assertThrows(
                 StoreException.Foreign.class, () -> RecordLog.openOrSetAside(disk, "me", e -> {}));
         assertEquals(before, disk.list());
         FaultyDisk newer = new FaultyDisk(CAPACITY);
-        ByteBuffer head = Format.head(new Format.Head(false, Format.VERSION + 1, "me", 1, 1));
-        newer.overwrite(Format.segment(1), head.array());
-        told = assertThrows(StoreException.Foreign.class, () -> contents(newer));
-        assertTrue(told.getMessage().contains("format version 2"), told.getMessage());
+        ByteBuffer head =
+                Format.encodeHeader(new Format.Header(false, Format.VERSION + 1, "me", 1, 1));
+        newer.overwrite(Format.segmentName(1), head.array());
+        thrown = assertThrows(StoreException.Foreign.class, () -> readEntries(newer));
+        assertTrue(thrown.getMessage().contains("format version 2"), thrown.getMessage());
     }
 
     /**
@@ -99,86 +102,89 @@
      * the rest.
      */
     @Test
-    void damageInTheMiddleIsToldAndSalvaged() throws Exception {
-        try (RecordLog log = RecordLog.open(FolderDisk.take(folder), "me", e -> {})) {
+    void damageInTheMiddleIsReportedAndSalvaged() throws Exception {
+        try (RecordLog log = RecordLog.open(FolderDisk.open(folder), "me", e -> {})) {
             for (int i = 0; i < 10; i++) {
                 log.append(List.of(entry("record " + i)));
             }
         }
-        Path segment = folder.resolve(Format.segment(1));
-        flip(segment, Format.HEAD_BYTES + 150);
-        try (FolderDisk disk = FolderDisk.take(folder)) {
-            StoreException told = assertThrows(StoreException.Damaged.class, () -> contents(disk));
+        Path segment = folder.resolve(Format.segmentName(1));
+        flip(segment, Format.HEADER_BYTES + 150);
+        try (FolderDisk disk = FolderDisk.open(folder)) {
+            StoreException thrown =
+                    assertThrows(StoreException.Damaged.class, () -> readEntries(disk));
             assertTrue(
-                    told.getMessage()
+                    thrown.getMessage()
                             .matches("segment-0{15}1, byte \\d+: record \\d+ does not check"),
-                    told.getMessage());
+                    thrown.getMessage());
             List<Entry> saved = new ArrayList<>();
             Inspection.Report report = Inspection.inspect(disk, saved::add);
             assertEquals(9, report.records());
             assertEquals(1, report.damage().size());
-            try (FolderDisk to = FolderDisk.take(folder.resolve("to"))) {
+            try (FolderDisk to = FolderDisk.open(folder.resolve("to"))) {
                 Inspection.salvage(disk, to, "me");
             }
-            try (FolderDisk to = FolderDisk.take(folder.resolve("to"))) {
-                assertEquals(saved, contents(to));
+            try (FolderDisk to = FolderDisk.open(folder.resolve("to"))) {
+                assertEquals(saved, readEntries(to));
             }
-            RecordLog help =
+            RecordLog rebuilt =
                     RecordLog.openOrSetAside(
                             disk,
                             "me",
                             e -> {
                                 throw new AssertionError("nothing of it is believed");
                             });
-            assertTrue(help.notes().toString().contains("set aside"), help.notes().toString());
-            help.append(List.of(entry("new")));
-            assertEquals(List.of(entry("new")), contents(disk));
+            assertTrue(
+                    rebuilt.warnings().toString().contains("set aside"),
+                    rebuilt.warnings().toString());
+            rebuilt.append(List.of(entry("new")));
+            assertEquals(List.of(entry("new")), readEntries(disk));
         }
     }
 
     @Test
-    void aMissingSegmentIsDamage() throws Exception {
+    void missingSegmentIsReportedAsDamage() throws Exception {
         FaultyDisk disk = new FaultyDisk(CAPACITY);
         for (int i = 0; i < 3; i++) {
             RecordLog.open(disk, "me", e -> {}).append(List.of(entry("x")));
         }
-        disk.delete(Format.segment(2));
-        StoreException told = assertThrows(StoreException.Damaged.class, () -> contents(disk));
+        disk.delete(Format.segmentName(2));
+        StoreException thrown = assertThrows(StoreException.Damaged.class, () -> readEntries(disk));
         assertTrue(
-                told.getMessage().contains("records 2 to 2 before it are missing"),
-                told.getMessage());
+                thrown.getMessage().contains("records 2 to 2 before it are missing"),
+                thrown.getMessage());
     }
 
     @Test
-    void whatIsTooLargeIsRefusedAndTheRestGoesOn() throws Exception {
+    void tooLargeRecordsAreRejectedAndOthersAreWritten() throws Exception {
         FaultyDisk disk = new FaultyDisk(CAPACITY);
         RecordLog log = RecordLog.open(disk, "me", e -> {});
-        Entry large = new Entry(1, new byte[Format.MOST_RECORD + 1]);
+        Entry large = new Entry(1, new byte[Format.MAX_RECORD_BYTES + 1]);
         assertThrows(StoreException.TooLarge.class, () -> log.append(List.of(entry("a"), large)));
         assertThrows(StoreException.TooLarge.class, () -> log.snapshot(List.of(large)));
         // Its number is a mark's: a snapshot with one in it would not be read again.
         Entry mark = new Entry(Format.MARK, new byte[0]);
         assertThrows(IllegalArgumentException.class, () -> log.append(List.of(mark)));
         assertThrows(IllegalArgumentException.class, () -> log.snapshot(List.of(mark)));
-        Entry most = new Entry(1, new byte[Format.MOST_RECORD]);
-        long fits = Format.MOST_ALL / Format.size(most.bytes());
+        Entry largest = new Entry(1, new byte[Format.MAX_RECORD_BYTES]);
+        long fits = Format.MAX_TOTAL_BYTES / Format.recordSize(largest.bytes());
         StoreException full =
                 assertThrows(
                         StoreException.TooLarge.class,
                         () -> {
                             for (long i = 0; i <= fits; i++) {
-                                log.append(List.of(most));
+                                log.append(List.of(largest));
                             }
                         });
         assertTrue(full.getMessage().contains("would hold over"), full.getMessage());
-        assertTrue(log.wantsSnapshot());
+        assertTrue(log.isSnapshotDue());
         log.snapshot(List.of(entry("s")));
         log.append(List.of(entry("b")));
-        assertEquals(List.of(entry("s"), entry("b")), contents(disk));
+        assertEquals(List.of(entry("s"), entry("b")), readEntries(disk));
     }
 
     @Test
-    void manyThreadsShareALogAndEachIsToldOfItsOwn() throws Exception {
+    void threadsShareALogAndEachGetsItsOwnResult() throws Exception {
         FaultyDisk disk = new FaultyDisk(CAPACITY);
         try (GroupCommit group = new GroupCommit(RecordLog.open(disk, "me", e -> {}))) {
             List<CompletableFuture<Long>> all =
@@ -192,7 +198,7 @@
                                                             ? new Entry(
                                                                     1,
                                                                     new byte
-                                                                            [Format.MOST_RECORD
+                                                                            [Format.MAX_RECORD_BYTES
                                                                                     + 1])
                                                             : entry("r" + i));
                                         } catch (InterruptedException stop) {
@@ -213,7 +219,7 @@
             }
             assertEquals(499, good);
         }
-        assertEquals(499, contents(disk).size());
+        assertEquals(499, readEntries(disk).size());
     }
 
     /**
@@ -221,7 +227,7 @@
      * at random, good files with pieces overwritten, cut, doubled and moved.
      */
     @Test
-    void noInputBreaksReading() throws Exception {
+    void mutatedInputNeverBreaksReading() throws Exception {
         UniformRandomProvider random = new Seeds(4).stream("fuzz");
         FaultyDisk good = new FaultyDisk(CAPACITY);
         RecordLog log = RecordLog.open(good, "me", e -> {});
