--- a/src/main/java/passhatch/distribution/CommittedView.java
+++ b/src/main/java/passhatch/distribution/CommittedView.java
@@ -1,12 +1,12 @@
 package passhatch.distribution;
 
-/** What a source needs of the state that it serves. */
+/** The view of the committed state that a source serves. */
 interface CommittedView {
 
     long epoch();
 
     ConfigState state();
 
-    /** How long ago the state was known to be current, in microseconds. */
+    /** Returns the time since the state was known to be current, in microseconds. */
     long ageUs(long nowUs);
 }
--- a/src/main/java/passhatch/distribution/ConfigKey.java
+++ b/src/main/java/passhatch/distribution/ConfigKey.java
@@ -4,15 +4,15 @@
 import java.util.regex.Pattern;
 
 /**
- * Form of keys and values: {@code service/NAME/SETTING} for one service, {@code fleet/SETTING} for
- * all of them. Their bounds let any entry fit into one datagram.
+ * Format of keys and values: {@code service/NAME/SETTING} for one service, {@code fleet/SETTING}
+ * for all of them. Their size limits let any entry fit into one datagram.
  */
 public final class ConfigKey {
 
-    /** Longest key, in characters, all of them ASCII. */
+    /** Maximum length of a key in characters, all of them ASCII. */
     public static final int MAX_KEY_LENGTH = 60;
 
-    /** Longest value, in bytes of UTF-8. */
+    /** Maximum length of a value in bytes of UTF-8. */
     public static final int MAX_VALUE_BYTES = 96;
 
     private static final String SERVICE_PREFIX = "service/";
@@ -21,25 +21,25 @@
 
     private ConfigKey() {}
 
-    /** Whether a text has the form of a key. */
+    /** Returns whether a text has the format of a key. */
     public static boolean isKey(String text) {
         return text.length() <= MAX_KEY_LENGTH && KEY_PATTERN.matcher(text).matches();
     }
 
-    /** Whether a value is short enough. */
+    /** Returns whether a value is within the size limit. */
     public static boolean isValue(String text) {
         return text.length() <= MAX_VALUE_BYTES
                 && text.getBytes(StandardCharsets.UTF_8).length <= MAX_VALUE_BYTES;
     }
 
-    /** The service whose setting a key is; null for one of the whole fleet. */
+    /** Returns the service that a key belongs to; null for a key of the whole fleet. */
     public static String serviceOf(String key) {
         return key.startsWith(SERVICE_PREFIX)
                 ? key.substring(SERVICE_PREFIX.length(), key.lastIndexOf('/'))
                 : null;
     }
 
-    /** The last part of a key. */
+    /** Returns the last part of a key, which names the setting. */
     public static String settingOf(String key) {
         return key.substring(key.lastIndexOf('/') + 1);
     }
--- a/src/main/java/passhatch/distribution/ConfigState.java
+++ b/src/main/java/passhatch/distribution/ConfigState.java
@@ -8,8 +8,8 @@
 
 /**
  * The newest committed entry of each key, up to a version. Deleted keys are kept as tombstones, so
- * that a delta can tell of them; when there are too many, the oldest are dropped, and the floor
- * below which a follower needs the whole state rises.
+ * that a delta can include the deletion. When there are too many, the oldest are dropped, and the
+ * floor rises: a follower below the floor needs the whole state.
  */
 final class ConfigState {
 
@@ -29,7 +29,7 @@
         return version;
     }
 
-    /** Term of the log entry at {@link #version}. */
+    /** Returns the term of the log entry at {@link #version}. */
     long term() {
         return term;
     }
@@ -38,7 +38,7 @@
         return floor;
     }
 
-    /** Begins an empty state that stands at a version. */
+    /** Clears the state and sets its version, term and floor. */
     void reset(long newVersion, long newTerm, long newFloor) {
         byKey.clear();
         byVersion.clear();
@@ -48,7 +48,9 @@
         floor = newFloor;
     }
 
-    /** Takes one entry, whatever the version is; an older one of its key never replaces a newer. */
+    /**
+     * Adds one entry, whatever the state's version is, unless a newer entry of its key is present.
+     */
     void put(LogEntry entry) {
         if (entry.isNoOperation()) {
             return;
@@ -78,31 +80,32 @@
         }
     }
 
-    /** Stands at a version from now on. */
+    /** Sets the version that the state has reached. */
     void advance(long newVersion, long newTerm) {
         version = newVersion;
         term = newTerm;
     }
 
     /**
-     * The newest entries after a version up to that at which the state stands, oldest first. A
-     * snapshot that was received while changes were made may have brought some entries beyond it.
+     * Returns the newest entry of each key changed after a version, up to the state's version,
+     * oldest first. Entries beyond the state's version, which a snapshot received during changes
+     * may contain, are left out.
      */
     Collection<LogEntry> after(long from) {
         return from >= version ? List.of() : byVersion.subMap(from, false, version, true).values();
     }
 
-    /** Entries beyond a version, oldest first. */
+    /** Returns the entries beyond a version, oldest first. */
     Collection<LogEntry> beyond(long from) {
         return byVersion.tailMap(from, false).values();
     }
 
-    /** Entries in the order of keys, after one. */
+    /** Returns the entries after a key, in key order. */
     NavigableMap<String, LogEntry> afterKey(String key) {
         return byKey.tailMap(key, false);
     }
 
-    /** Entries by key, tombstones too. */
+    /** Returns the entries by key, including tombstones. */
     NavigableMap<String, LogEntry> entries() {
         return Collections.unmodifiableNavigableMap(byKey);
     }
--- a/src/main/java/passhatch/distribution/DatagramBudget.java
+++ b/src/main/java/passhatch/distribution/DatagramBudget.java
@@ -4,13 +4,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How many entries one datagram holds beside its other fields, whatever their values are. */
+/**
+ * Computes how many entries fit into one datagram beside its other fields, whatever their values
+ * are.
+ */
 final class DatagramBudget {
 
-    /** Room for the entries of a message that names no key beside them. */
+    /** Maximum size of the entries in a message that has no key beside them. */
     static final int MAX_ENTRIES_BYTES = 182;
 
-    /** Bytes of an entry beside its key and value: array, two numbers, two lengths. */
+    /** Size of an entry beside its key and value: array, two numbers, two lengths. */
     private static final int ENTRY_OVERHEAD_BYTES = 23;
 
     private DatagramBudget() {}
@@ -21,7 +24,7 @@
         return ENTRY_OVERHEAD_BYTES + entry.key().length() + value;
     }
 
-    /** The first entries, as many as fit. */
+    /** Returns the longest prefix of the entries that fits. */
     static List<LogEntry> fitting(Iterable<LogEntry> entries) {
         return fitting(entries, MAX_ENTRIES_BYTES);
     }
--- a/src/main/java/passhatch/distribution/DiskRecord.java
+++ b/src/main/java/passhatch/distribution/DiskRecord.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What is written to disk, in order. Replaying all records gives the state before a crash. */
+/** A record on disk. Replaying all records in order restores the state before a crash. */
 public sealed interface DiskRecord {
 
     /** A replica accepts no leader of a lower term. */
@@ -11,24 +11,24 @@
     /** An operator, or a raised epoch, has let this replica count towards majorities. */
     record Initialized(long epoch) implements DiskRecord {}
 
-    /** A replica has this entry, and none after it of what it had before. */
+    /** A replica has stored this entry and removed all entries at or after its version. */
     record Appended(long epoch, LogEntry entry) implements DiskRecord {}
 
     /** All entries up to this version are committed. */
     record Committed(long epoch, long version) implements DiskRecord {}
 
-    /** Committed changes are in force up to a version. */
+    /** A follower has applied the committed changes up to a version. */
     record Applied(long epoch, long upto, long uptoTerm, List<LogEntry> entries)
             implements DiskRecord {}
 
     /**
-     * The committed state begins anew at this version; the {@link Content} that follows completes
+     * The committed state starts again at this version; the {@link Content} that follows completes
      * it.
      *
-     * @param floor followers below it cannot be served by a delta
+     * @param floor version below which followers cannot be served by a delta
      */
     record Reset(long epoch, long version, long versionTerm, long floor) implements DiskRecord {}
 
-    /** Part of a state that a {@link Reset} began. */
+    /** Part of the state that a {@link Reset} begins. */
     record Content(List<LogEntry> entries) implements DiskRecord {}
 }
--- a/src/main/java/passhatch/distribution/DiskRecordCodec.java
+++ b/src/main/java/passhatch/distribution/DiskRecordCodec.java
@@ -17,9 +17,8 @@
 import passhatch.fleet.CborReader;
 
 /**
- * Disk records as bytes: a CBOR array that begins with the version of the format and the kind of
- * the record. A later version of the program may add fields at an array's end; they are passed
- * over.
+ * Encodes disk records as a CBOR array that begins with the format version and the kind of the
+ * record. Later versions of the program may add fields at the end of an array; they are ignored.
  */
 public final class DiskRecordCodec {
 
@@ -27,7 +26,7 @@
     private static final long MAX_NUMBER = Long.MAX_VALUE - 1;
     private static final CBORFactory CBOR = new CBORFactory();
 
-    /** What a record is, in the order of their numbers on disk. */
+    /** Kinds of records, in the order of their numbers on disk; FOUNDED is {@link Initialized}. */
     private enum Kind {
         PROMISED,
         FOUNDED,
@@ -40,7 +39,7 @@
 
     private DiskRecordCodec() {}
 
-    /** A record as bytes. */
+    /** Encodes a record. */
     public static byte[] encode(DiskRecord record) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
@@ -55,23 +54,29 @@
     }
 
     private static void write(CBORGenerator cbor, DiskRecord record) throws IOException {
-        if (record instanceof Promised of) {
-            writeNumbers(cbor, Kind.PROMISED, of.epoch(), of.term());
-        } else if (record instanceof Initialized of) {
-            writeNumbers(cbor, Kind.FOUNDED, of.epoch());
-        } else if (record instanceof Appended of) {
-            writeNumbers(cbor, Kind.APPENDED, of.epoch());
-            entries(cbor, List.of(of.entry()));
-        } else if (record instanceof Committed of) {
-            writeNumbers(cbor, Kind.COMMITTED, of.epoch(), of.version());
-        } else if (record instanceof Applied of) {
-            writeNumbers(cbor, Kind.APPLIED, of.epoch(), of.upto(), of.uptoTerm());
-            entries(cbor, of.entries());
-        } else if (record instanceof Reset of) {
-            writeNumbers(cbor, Kind.RESET, of.epoch(), of.version(), of.versionTerm(), of.floor());
-        } else if (record instanceof Content of) {
+        if (record instanceof Promised promised) {
+            writeNumbers(cbor, Kind.PROMISED, promised.epoch(), promised.term());
+        } else if (record instanceof Initialized initialization) {
+            writeNumbers(cbor, Kind.FOUNDED, initialization.epoch());
+        } else if (record instanceof Appended appended) {
+            writeNumbers(cbor, Kind.APPENDED, appended.epoch());
+            entries(cbor, List.of(appended.entry()));
+        } else if (record instanceof Committed committed) {
+            writeNumbers(cbor, Kind.COMMITTED, committed.epoch(), committed.version());
+        } else if (record instanceof Applied applied) {
+            writeNumbers(cbor, Kind.APPLIED, applied.epoch(), applied.upto(), applied.uptoTerm());
+            entries(cbor, applied.entries());
+        } else if (record instanceof Reset reset) {
+            writeNumbers(
+                    cbor,
+                    Kind.RESET,
+                    reset.epoch(),
+                    reset.version(),
+                    reset.versionTerm(),
+                    reset.floor());
+        } else if (record instanceof Content content) {
             writeNumbers(cbor, Kind.CONTENT);
-            entries(cbor, of.entries());
+            entries(cbor, content.entries());
         }
     }
 
@@ -97,9 +102,9 @@
     }
 
     /**
-     * A record from its bytes.
+     * Decodes a record.
      *
-     * @throws IOException where they are none, or of a newer format
+     * @throws IOException if the bytes are not a record, or are of a newer format
      */
     public static DiskRecord decode(byte[] bytes) throws IOException {
         try (JsonParser parser = CBOR.createParser(bytes)) {
--- a/src/main/java/passhatch/distribution/DistributionActions.java
+++ b/src/main/java/passhatch/distribution/DistributionActions.java
@@ -2,25 +2,25 @@
 
 import java.util.List;
 
-/** What a participant asks of whoever drives it. */
+/** Actions that a participant requests from its host. */
 public interface DistributionActions {
 
-    /** Sends a datagram; it may get lost. */
+    /** Sends a datagram, which may get lost. */
     void send(String peer, Message message);
 
     /**
      * Writes records and forces them to disk.
      *
-     * @return false where they may not be there; nothing more is trusted of that disk then
+     * @return false if they may not be on disk; the participant does not trust that disk afterwards
      */
     boolean force(List<DiskRecord> records);
 
-    /** The state in force here has reached a newer version. */
+    /** Reports that the applied state has reached a newer version. */
     default void versionApplied(long epoch, long version) {}
 
-    /** A change submitted at this leader is committed. */
+    /** Reports that a change submitted at this leader is committed. */
     default void committed(long version) {}
 
-    /** This leader can lead no longer in this term and gives its lease up. */
+    /** Reports that this leader cannot lead in this term any more and releases its lease. */
     default void stepDown(long term, String reason) {}
 }
--- a/src/main/java/passhatch/distribution/DistributionSettings.java
+++ b/src/main/java/passhatch/distribution/DistributionSettings.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * What a participant is told at its start.
+ * Settings of a participant.
  *
  * @param name of this participant, for operators
- * @param role what it does
- * @param epoch of the log, 1 or more; raised when the log is founded anew
- * @param self its own address as the other replicas name it; used of replicas only
+ * @param role of this participant
+ * @param epoch of the log, 1 or more; raised when a new log is initialized
+ * @param self its own address as the other replicas name it; used only for replicas
  * @param replicas addresses of all replicas; an odd number
  * @param sources addresses to follow, the preferred first; empty for a replica
- * @param services whose keys a subscriber wants; ignored for other roles
+ * @param services whose keys a subscriber keeps; ignored for other roles
  */
 public record DistributionSettings(
         String name,
@@ -23,17 +23,17 @@
         List<String> sources,
         Collection<String> services) {
 
-    /** What a participant does. */
+    /** Role of a participant. */
     public enum Role {
-        /** Keeps the log, may lead, and serves followers. */
+        /** Keeps the log, can lead, and serves followers. */
         REPLICA,
-        /** Follows a replica with all keys and serves the followers of its zone. */
+        /** Follows a replica for all keys and serves the followers of its zone. */
         RELAY,
-        /** Follows with the keys of some services. */
+        /** Follows a source for the keys of some services. */
         SUBSCRIBER
     }
 
-    /** Settings with their lists copied. */
+    /** Copies the collections. */
     public DistributionSettings {
         replicas = List.copyOf(replicas);
         sources = List.copyOf(sources);
--- a/src/main/java/passhatch/distribution/Follower.java
+++ b/src/main/java/passhatch/distribution/Follower.java
@@ -13,14 +13,14 @@
 
 /**
  * Keeps a copy of the committed state, or of the keys of some services, as new as the best of its
- * sources. Only versions above its own are taken, so that duplicates, reordering and sources that
- * are behind cannot put an older value over a newer one.
+ * sources. It applies only versions above its own, so that duplicates, reordering and sources that
+ * are behind cannot replace a newer value by an older one.
  */
 final class Follower implements CommittedView {
 
     private static final int MAX_TOMBSTONES = 4_096;
 
-    /** Twice what a source sends without being confirmed. */
+    /** Twice the number of unconfirmed datagrams that a source sends. */
     private static final int MAX_EARLY_DELTAS = 32;
 
     private final String name;
@@ -32,7 +32,7 @@
     private final ConfigState state = new ConfigState(MAX_TOMBSTONES);
     private long epoch;
 
-    /** Deltas that do not follow yet, by what they follow on. */
+    /** Deltas received too early to apply, by the version that they follow. */
     private final TreeMap<Long, Delta> earlyDeltas = new TreeMap<>();
 
     private IncomingSnapshot snapshot;
@@ -40,31 +40,31 @@
     private long pollAtUs;
     private long lastPollUs;
 
-    /** When the current source answered last, or was turned to. */
+    /** When the current source last replied, or was chosen. */
     private long lastReplyUs;
 
-    /** What the current source said of its own state. */
+    /** The age of its state that the current source last reported. */
     private long sourceAgeUs;
 
-    /** The newest moment at which the state here is known to have been the newest one. */
+    /** The latest time at which the state here is known to have been current. */
     private long currentAsOfUs = Long.MIN_VALUE / 2;
 
     private boolean sourceBehind;
 
-    /** Sources left one after the other as each was stale. */
+    /** Number of consecutive switches because a source was stale. */
     private int staleSwitches;
 
-    /** Until then a stale source is as good as any. */
+    /** Until this time the follower does not leave a source for being stale. */
     private long staleRetryAtUs;
 
     private long returnAtUs = Long.MAX_VALUE;
     private boolean diskFailed;
 
     /**
-     * A follower that starts.
+     * Creates a follower from what its disk holds.
      *
-     * @param wanted which keys it keeps; all of them pass the filter
-     * @param records what its disk has; it serves them until it hears of newer ones
+     * @param wanted the keys that it keeps; all of them pass the filter
+     * @param records contents of its disk, used until newer changes are received
      */
     Follower(
             String name,
@@ -87,15 +87,15 @@
     }
 
     private void replay(DiskRecord record) {
-        if (record instanceof DiskRecord.Reset of) {
-            epoch = of.epoch();
-            state.reset(of.version(), of.versionTerm(), of.floor());
-        } else if (record instanceof DiskRecord.Content of) {
-            of.entries().forEach(state::put);
-        } else if (record instanceof DiskRecord.Applied of) {
-            epoch = of.epoch();
-            of.entries().forEach(state::put);
-            state.advance(of.upto(), of.uptoTerm());
+        if (record instanceof DiskRecord.Reset reset) {
+            epoch = reset.epoch();
+            state.reset(reset.version(), reset.versionTerm(), reset.floor());
+        } else if (record instanceof DiskRecord.Content content) {
+            content.entries().forEach(state::put);
+        } else if (record instanceof DiskRecord.Applied applied) {
+            epoch = applied.epoch();
+            applied.entries().forEach(state::put);
+            state.advance(applied.upto(), applied.uptoTerm());
         }
     }
 
@@ -145,7 +145,8 @@
         boolean silent = nowUs - lastReplyUs > Timing.SOURCE_TIMEOUT_US;
         boolean stale = sourceAgeUs > Timing.MAX_SOURCE_AGE_US || sourceBehind;
         if (stale && nowUs >= staleRetryAtUs && ++staleSwitches >= sources.size()) {
-            // None is better, as when there is no leader: no use in going round for the time being.
+            // All sources are stale, for example because there is no leader: stop switching for a
+            // while.
             staleSwitches = 0;
             staleRetryAtUs = nowUs + randomReturnDelayUs();
             switchSource(nowUs, 0);
@@ -239,7 +240,7 @@
         earlyDeltas.put(delta.after(), delta);
     }
 
-    /** Applies what has come before its turn, as far as it follows now. */
+    /** Applies the early deltas that follow the current version now. */
     private void applyEarlyDeltas() {
         for (Map.Entry<Long, Delta> next = earlyDeltas.pollFirstEntry();
                 next != null;
@@ -293,7 +294,7 @@
     private void install(IncomingSnapshot complete) {
         snapshot = null;
         if (complete.epoch() == epoch) {
-            // What an earlier snapshot brought beyond its version may be newer than this one.
+            // An earlier snapshot may have brought entries newer than this snapshot's version.
             complete.entries().addAll(state.beyond(complete.version()));
         }
         List<DiskRecord> records = new ArrayList<>();
@@ -314,7 +315,10 @@
         actions.versionApplied(epoch, state.version());
     }
 
-    /** A copy may be lost with its disk; what is in force does not wait for a disk that fails. */
+    /**
+     * Writes records to disk. Changes are applied even if the disk fails, because the copy here may
+     * be lost.
+     */
     private void force(List<DiskRecord> records) {
         if (!diskFailed) {
             diskFailed = !actions.force(records);
--- a/src/main/java/passhatch/distribution/IncomingSnapshot.java
+++ b/src/main/java/passhatch/distribution/IncomingSnapshot.java
@@ -8,12 +8,12 @@
 import passhatch.distribution.Message.SnapshotPart;
 
 /**
- * A whole state that is being received from one source. Parts that come before their turn are kept,
- * so that reordering within a burst costs nothing and a lost part only itself.
+ * A whole state that is being received from one source. Parts received out of order are kept, so
+ * that reordering within a burst costs nothing and a lost part costs only itself.
  */
 final class IncomingSnapshot {
 
-    /** Parts kept before their turn, at most: two bursts. */
+    /** Maximum number of parts kept out of order: two bursts. */
     private static final int MAX_EARLY_PARTS = 64;
 
     private final String source;
@@ -40,7 +40,9 @@
         return epoch;
     }
 
-    /** All changes up to this one are in the snapshot; some entries may be newer. */
+    /**
+     * Returns the version up to which all changes are in the snapshot; some entries may be newer.
+     */
     long version() {
         return version;
     }
@@ -53,7 +55,7 @@
         return entries;
     }
 
-    /** The last key received without a gap before it; empty at the start. */
+    /** Returns the last key received without a gap before it; empty at the start. */
     String cursor() {
         return cursor;
     }
@@ -62,16 +64,16 @@
         return complete;
     }
 
-    /** Whether a part can belong to this snapshot. */
+    /** Returns whether a part can belong to this snapshot. */
     boolean accepts(String from, SnapshotPart part) {
         return source.equals(from) && part.epoch() == epoch && part.version() >= version;
     }
 
     /**
-     * Takes a part, and those that waited for it.
+     * Adds a part, and the early parts that follow it.
      *
-     * @param wanted which keys are kept
-     * @return whether the last part of a burst is in its place now, so that the next can be had
+     * @param wanted the keys that are kept
+     * @return whether the last part of a burst was added, so that the next burst can be requested
      */
     boolean addPart(SnapshotPart part, Predicate<String> wanted) {
         if (earlyParts.size() >= MAX_EARLY_PARTS) {
--- a/src/main/java/passhatch/distribution/InvalidChangeException.java
+++ b/src/main/java/passhatch/distribution/InvalidChangeException.java
@@ -1,6 +1,9 @@
 package passhatch.distribution;
 
-/** A change that is refused before anybody has it; the message says why, in one line. */
+/**
+ * Thrown when a change is rejected before any replica has it; the message gives the reason in one
+ * line.
+ */
 public final class InvalidChangeException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/passhatch/distribution/Leader.java
+++ b/src/main/java/passhatch/distribution/Leader.java
@@ -13,19 +13,19 @@
 import passhatch.distribution.Message.Prepared;
 
 /**
- * The process that appends to the log, for one term. It first has a majority of replicas refuse
- * lower terms and takes over the most complete of their logs; every committed entry is in that one.
- * An entry is committed once a majority has it and an entry of this term.
+ * The leader of one term, which appends to the log. It first makes a majority of replicas reject
+ * lower terms and adopts the most complete of their logs, which contains every committed entry. An
+ * entry is committed once a majority has it and an entry of this term.
  */
 final class Leader {
 
-    /** Entries sent to a replica without being confirmed, at most. */
+    /** Maximum number of unconfirmed entries sent to a replica. */
     private static final int MAX_UNCONFIRMED_ENTRIES = 64;
 
-    /** Requests for a log without an answer before another replica's is looked for. */
+    /** Unanswered requests for a log after which the leader starts again with all replicas. */
     private static final int MAX_LOG_REQUEST_RETRIES = 5;
 
-    /** Uncommitted entries at most; above it changes are refused. */
+    /** Maximum number of uncommitted entries; further changes are rejected. */
     private static final int MAX_UNCOMMITTED_ENTRIES = 1_024;
 
     private enum Phase {
@@ -43,7 +43,7 @@
         private long confirmedUs = Long.MIN_VALUE / 2;
         private boolean voting;
 
-        /** Whether it is not known yet up to where its log is the leader's. */
+        /** Whether the last entry that matches the leader's log is still unknown. */
         private boolean probing = true;
     }
 
@@ -87,7 +87,7 @@
         return phase == Phase.LEADING;
     }
 
-    /** Whether it has stepped down or lost its lease. */
+    /** Returns whether the leader has stepped down or lost its lease. */
     boolean isStopped() {
         return phase == Phase.STOPPED;
     }
@@ -125,22 +125,24 @@
             stepDown("this replica has promised term " + replica.promisedTerm());
             return;
         }
-        if (message instanceof Prepared of && of.term() == term) {
-            onPrepared(nowUs, from, of);
-        } else if (message instanceof LogPart of && of.term() == term) {
-            onLogPart(nowUs, from, of);
-        } else if (message instanceof Behind of && of.term() == term && phase == Phase.ADOPTING) {
-            stepDown("its log lacks entries that others no longer keep");
-        } else if (message instanceof Appended of) {
-            onAppended(nowUs, from, of);
+        if (message instanceof Prepared reply && reply.term() == term) {
+            onPrepared(nowUs, from, reply);
+        } else if (message instanceof LogPart part && part.term() == term) {
+            onLogPart(nowUs, from, part);
+        } else if (message instanceof Behind behind
+                && behind.term() == term
+                && phase == Phase.ADOPTING) {
+            stepDown("its log lacks entries that other replicas no longer retain");
+        } else if (message instanceof Appended reply) {
+            onAppended(nowUs, from, reply);
         }
     }
 
-    private void onPrepared(long nowUs, String from, Prepared of) {
-        if (of.promisedTerm() > term) {
-            stepDown("a replica has promised term " + of.promisedTerm());
+    private void onPrepared(long nowUs, String from, Prepared reply) {
+        if (reply.promisedTerm() > term) {
+            stepDown("a replica has promised term " + reply.promisedTerm());
         } else if (phase == Phase.PREPARING) {
-            preparedReplies.put(from, of);
+            preparedReplies.put(from, reply);
             if (preparedReplies.size() + 1 >= settings.majority()) {
                 adoptMostComplete(nowUs);
             }
@@ -151,13 +153,13 @@
         long bestTerm = replica.log().lastTerm();
         long bestVersion = replica.log().lastVersion();
         for (Map.Entry<String, Prepared> other : preparedReplies.entrySet()) {
-            Prepared of = other.getValue();
+            Prepared reply = other.getValue();
             boolean moreComplete =
-                    of.lastTerm() > bestTerm
-                            || of.lastTerm() == bestTerm && of.lastVersion() > bestVersion;
+                    reply.lastTerm() > bestTerm
+                            || reply.lastTerm() == bestTerm && reply.lastVersion() > bestVersion;
             if (moreComplete) {
-                bestTerm = of.lastTerm();
-                bestVersion = of.lastVersion();
+                bestTerm = reply.lastTerm();
+                bestVersion = reply.lastVersion();
                 adoptedFrom = other.getKey();
             }
         }
@@ -171,13 +173,16 @@
         }
     }
 
-    /** Requests again what did not come; where nothing comes at all, asks all replicas anew. */
+    /**
+     * Repeats an unanswered log request; after too many without a reply, asks all replicas again.
+     */
     private void retryAdoption(long nowUs) {
         if (++logRequestRetries <= MAX_LOG_REQUEST_RETRIES) {
             requestLog(nowUs);
             return;
         }
-        // None has accepted an entry of another leader since, and this one has appended none.
+        // This is safe: no replica has accepted entries of another leader since, and this leader
+        // has appended none.
         phase = Phase.PREPARING;
         adoptedFrom = null;
         preparedReplies.clear();
@@ -198,7 +203,7 @@
             return;
         }
         if (!replica.storeEntries(part.entries())) {
-            stepDown("the disk of this replica fails");
+            stepDown("a write to the disk of this replica failed");
             return;
         }
         adoptedVersion = part.previousVersion() + part.entries().size();
@@ -235,19 +240,19 @@
         if (replica.storeEntries(List.of(entry))) {
             return true;
         }
-        stepDown("the disk of this replica fails");
+        stepDown("a write to the disk of this replica failed");
         return false;
     }
 
     /**
-     * Appends a change. It is made once {@link DistributionActions#committed} has told its version;
-     * if this leader loses its lease first, it may or may not have been made.
+     * Appends a change. The change is made once {@link DistributionActions#committed} reports its
+     * version. If this leader loses its lease first, the change may or may not be made.
      *
      * @param value null to delete the key
-     * @param ifVersion version of the key's newest entry that the change is meant for; negative for
-     *     any, 0 for a key that does not exist
+     * @param ifVersion expected version of the key's newest entry; negative for any, 0 for a key
+     *     that does not exist
      * @return the change's version
-     * @throws InvalidChangeException where the change cannot be made
+     * @throws InvalidChangeException if the change cannot be made
      */
     long submit(long nowUs, String key, String value, long ifVersion)
             throws InvalidChangeException {
@@ -256,7 +261,8 @@
             throw new InvalidChangeException("this replica does not lead yet; try again");
         }
         if (replica.log().lastVersion() - replica.state().version() >= MAX_UNCOMMITTED_ENTRIES) {
-            throw new InvalidChangeException("too many changes wait for a majority; try again");
+            throw new InvalidChangeException(
+                    "too many changes are waiting for a majority; try again");
         }
         long newest = versionOf(key);
         if (ifVersion >= 0 && ifVersion != newest) {
@@ -265,7 +271,7 @@
         }
         long version = replica.log().lastVersion() + 1;
         if (!append(new LogEntry(version, term, key, value))) {
-            throw new InvalidChangeException("this replica leads no longer; ask another one");
+            throw new InvalidChangeException("this replica no longer leads; ask another one");
         }
         peers.forEach((name, peer) -> replicate(nowUs, name, peer, false));
         commit(nowUs);
@@ -297,13 +303,17 @@
                 });
     }
 
-    /** Sends what a replica lacks, as far as the window goes; at least one message if so wished. */
+    /**
+     * Sends the entries that a replica lacks, within the limit of unconfirmed entries; with {@code
+     * always} at least one message.
+     */
     private void replicate(long nowUs, String name, Peer peer, boolean always) {
         ReplicatedLog log = replica.log();
         if (peer.nextVersion <= log.baseVersion()) {
             if (always) {
                 actions.send(name, new Behind(settings.epoch(), term));
-                // Refused until the replica has fetched the state; its answer says that it has.
+                // The replica rejects this append until it has fetched the state; its reply then
+                // reports that it has.
                 peer.probing = true;
                 peer.nextVersion = log.baseVersion() + 1;
                 send(nowUs, name, peer, List.of());
@@ -339,40 +349,41 @@
                         List.copyOf(entries)));
     }
 
-    private void onAppended(long nowUs, String from, Appended of) {
-        if (of.term() > term) {
-            stepDown("a replica has promised term " + of.term());
+    private void onAppended(long nowUs, String from, Appended reply) {
+        if (reply.term() > term) {
+            stepDown("a replica has promised term " + reply.term());
             return;
         }
         Peer peer = peers.get(from);
-        if (phase != Phase.LEADING || of.term() < term || peer == null) {
+        if (phase != Phase.LEADING || reply.term() < term || peer == null) {
             return;
         }
         peer.confirmedUs = nowUs;
-        peer.voting = of.voting();
+        peer.voting = reply.voting();
         updateConfirmation();
-        if (of.accepted()) {
+        if (reply.accepted()) {
             peer.probing = false;
-            peer.matchingVersion = Math.max(peer.matchingVersion, of.version());
+            peer.matchingVersion = Math.max(peer.matchingVersion, reply.version());
             peer.nextVersion = Math.max(peer.nextVersion, peer.matchingVersion + 1);
             commit(nowUs);
             if (phase == Phase.LEADING) {
                 replicate(nowUs, from, peer, false);
             }
         } else {
-            onAppendRejected(nowUs, from, peer, of.version());
+            onAppendRejected(nowUs, from, peer, reply.version());
         }
     }
 
     private void onAppendRejected(long nowUs, String from, Peer peer, long version) {
         if (!peer.voting) {
-            // It has lost its disk, and with it what it had confirmed.
+            // The replica has lost its disk, and with it the entries that it had confirmed.
             peer.matchingVersion = Math.min(peer.matchingVersion, version);
         }
         if (version + 1 < peer.nextVersion && version >= peer.matchingVersion) {
             peer.probing = true;
             peer.nextVersion = version + 1;
-            // What is no longer kept waits for the next heartbeat: the answer would be the same.
+            // If the entries are no longer retained, wait for the next heartbeat: the reply would
+            // be the same.
             replicate(nowUs, from, peer, peer.nextVersion > replica.log().baseVersion());
         }
     }
@@ -408,11 +419,11 @@
         for (long version = before + 1; version <= onMajority; version++) {
             actions.committed(version);
         }
-        // At once, so that the other replicas' followers need not wait for a heartbeat.
+        // Sent immediately, so that followers of the other replicas need not wait for a heartbeat.
         peers.forEach((name, peer) -> replicate(nowUs, name, peer, true));
     }
 
-    /** The lease is over. */
+    /** Stops the leader because its lease has ended. */
     void leaseLost() {
         phase = Phase.STOPPED;
     }
--- a/src/main/java/passhatch/distribution/LogEntry.java
+++ b/src/main/java/passhatch/distribution/LogEntry.java
@@ -5,7 +5,8 @@
  *
  * @param version position in the log, from 1
  * @param term of the leader that appended it, from 1
- * @param key what is set; empty for an entry that sets nothing, with which a leader begins its term
+ * @param key the key that is set; empty for the no-operation entry with which a leader begins its
+ *     term
  * @param value the new value; null deletes the key
  */
 public record LogEntry(long version, long term, String key, String value) {
--- a/src/main/java/passhatch/distribution/Message.java
+++ b/src/main/java/passhatch/distribution/Message.java
@@ -3,21 +3,23 @@
 import java.util.List;
 
 /**
- * What replicas, relays and subscribers say to each other. Each message has the epoch of the log:
- * an operator raises it when a log is founded anew, and versions count within an epoch only.
+ * Messages between replicas, relays and subscribers. Each carries the epoch of the log. An operator
+ * raises the epoch when a new log is initialized, and versions are comparable only within one
+ * epoch.
  */
 public sealed interface Message {
 
     /** Epoch of the log, 1 or more. */
     long epoch();
 
-    /** Leader to replica: accept no leader of a lower term, and tell the end of your log. */
+    /** Leader to replica: accept no leader of a lower term, and report the end of the log. */
     record Prepare(long epoch, long term) implements Message {}
 
     /**
      * Replica to leader: the end of its log.
      *
-     * @param promisedTerm the lowest term that it still accepts; above {@code term} it has refused
+     * @param promisedTerm the lowest term that the replica still accepts; above {@code term} it has
+     *     rejected the request
      */
     record Prepared(
             long epoch,
@@ -28,10 +30,12 @@
             long committed)
             implements Message {}
 
-    /** New leader to the replica with the most complete log: what comes after a version? */
+    /**
+     * New leader to the replica with the most complete log: requests the entries after a version.
+     */
     record LogRequest(long epoch, long term, long after) implements Message {}
 
-    /** The answer, as much as fits. */
+    /** Reply to a {@link LogRequest}, with as many entries as fit into a datagram. */
     record LogPart(
             long epoch,
             long term,
@@ -41,17 +45,18 @@
             List<LogEntry> entries)
             implements Message {
 
-        /** A part whose entries follow each other. */
+        /** Checks that the versions of the entries are consecutive. */
         public LogPart {
             requireConsecutive(previousVersion, entries);
         }
     }
 
     /**
-     * Leader to replica: entries to append after one that both have, none as a heartbeat.
+     * Leader to replica: entries to append after an entry that both have. Without entries it is a
+     * heartbeat.
      *
      * @param committed the newest version known to be on a majority
-     * @param ageUs how long ago a majority confirmed this leader, in microseconds
+     * @param ageUs time since a majority last confirmed this leader, in microseconds
      */
     record Append(
             long epoch,
@@ -63,57 +68,62 @@
             List<LogEntry> entries)
             implements Message {
 
-        /** A message whose entries follow each other. */
+        /** Checks that the versions of the entries are consecutive. */
         public Append {
             requireConsecutive(previousVersion, entries);
         }
     }
 
     /**
-     * Replica to leader.
+     * Replica to leader: the reply to an {@link Append}.
      *
-     * @param term of the leader; where it was refused for its term, the promised one
-     * @param accepted whether the logs are the same up to {@code version}
-     * @param version of its last entry that is the leader's; where refused, where to try again
-     * @param voting whether it counts towards a majority: not where it lost its disk
+     * @param term of the leader; if the append was rejected because of its term, the promised term
+     * @param accepted whether the logs are identical up to {@code version}
+     * @param version of the replica's last entry that matches the leader's log; if rejected, the
+     *     version after which the leader should retry
+     * @param voting whether the replica counts towards a majority; false if it lost its disk
      */
     record Appended(long epoch, long term, boolean accepted, long version, boolean voting)
             implements Message {}
 
-    /** Leader to a replica that lacks entries no longer kept: fetch the committed state instead. */
+    /**
+     * Leader to a replica whose missing entries are no longer retained: fetch the committed state
+     * instead.
+     */
     record Behind(long epoch, long term) implements Message {}
 
     /**
-     * Follower to source, periodically: what it has. It asks for what is newer.
+     * Follower to source, sent periodically: reports what the follower has and requests what is
+     * newer.
      *
-     * @param cursor the last key of a snapshot under way; null where there is none
-     * @param filter of the keys that it subscribes to
+     * @param cursor the last key received of a snapshot in progress; null if there is none
+     * @param filter of the keys that the follower subscribes to
      * @param name of the follower, for operators
      */
     record Poll(long epoch, long version, String cursor, ServiceFilter filter, String name)
             implements Message {}
 
-    /** Follower to source: in force here up to this version. */
+    /** Follower to source: all changes up to this version are applied. */
     record Ack(long epoch, long version) implements Message {}
 
     /**
-     * Source to follower: all that has changed after one version up to another and that it
-     * subscribes to. A change that a newer one of the same key replaced is left out.
+     * Source to follower: all changes after one version up to another that the follower subscribes
+     * to. A change that a newer one of the same key replaced is left out.
      *
      * @param uptoTerm term of the log entry at {@code upto}
-     * @param ageUs how long ago the source knew its state to be current, in microseconds
+     * @param ageUs time since the source knew its state to be current, in microseconds
      */
     record Delta(
             long epoch, long after, long upto, long uptoTerm, long ageUs, List<LogEntry> entries)
             implements Message {}
 
     /**
-     * Source to follower that a delta cannot serve: part of the whole state, in the order of keys.
+     * Source to follower that cannot be served by a delta: part of the whole state, in key order.
      *
-     * @param version that the source had when it sent this
-     * @param afterKeyHash of the key that this part follows on, by {@link #keyHash}
-     * @param last whether the state is whole with it
-     * @param more whether the next part is sent without being asked for
+     * @param version of the source when it sent this part
+     * @param afterKeyHash {@link #keyHash} of the key that precedes this part
+     * @param last whether this part completes the state
+     * @param more whether the source sends the next part without a further poll
      */
     record SnapshotPart(
             long epoch,
@@ -135,7 +145,9 @@
         }
     }
 
-    /** A key in the place that a whole one would not fit into; 0 for the empty key. */
+    /**
+     * Returns a hash that stands for a key where a whole key would not fit; 0 for the empty key.
+     */
     static int keyHash(String key) {
         return key.hashCode();
     }
--- a/src/main/java/passhatch/distribution/MessageCodec.java
+++ b/src/main/java/passhatch/distribution/MessageCodec.java
@@ -24,19 +24,19 @@
 import passhatch.fleet.Names;
 
 /**
- * Messages on changes as datagrams, beside those of membership and duties: a frame, and in it a
- * CBOR array. A later version of the program may add fields at an array's end; they are passed
- * over.
+ * Encodes messages on changes as datagrams, beside those of membership and duties: a frame that
+ * contains a CBOR array. Later versions of the program may add fields at the end of an array; they
+ * are ignored.
  */
 public final class MessageCodec {
 
-    /** The format's byte. */
+    /** Format byte, the first of a datagram. */
     public static final byte FORMAT = 3;
 
     private static final CBORFactory CBOR = new CBORFactory();
     private static final long MAX_VERSION = Long.MAX_VALUE - 1;
 
-    /** What a datagram is, in the order of their numbers on the wire. */
+    /** Kinds of datagrams, in the order of their numbers on the wire. */
     private enum Kind {
         PREPARE,
         PREPARED,
@@ -51,12 +51,12 @@
         SNAPSHOT_PART
     }
 
-    /** A message, or why there is none. */
+    /** A decoded message, or the reason why the datagram is dropped. */
     public record Read(Message message, DropReason fault) {}
 
     private MessageCodec() {}
 
-    /** As a datagram within a fleet. */
+    /** Encodes a message as a datagram within a fleet. */
     public static byte[] encode(String fleet, Message message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MAX_BYTES);
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
@@ -71,34 +71,38 @@
     }
 
     private static void write(CBORGenerator cbor, Message message) throws IOException {
-        if (message instanceof Prepare of) {
-            writeKindAndEpoch(cbor, Kind.PREPARE, of.epoch());
-            writeNumbers(cbor, of.term());
-        } else if (message instanceof Prepared of) {
-            writeKindAndEpoch(cbor, Kind.PREPARED, of.epoch());
-            writeNumbers(cbor, of.term(), of.promisedTerm());
-            writeNumbers(cbor, of.lastVersion(), of.lastTerm(), of.committed());
-        } else if (message instanceof LogRequest of) {
-            writeKindAndEpoch(cbor, Kind.LOG_REQUEST, of.epoch());
-            writeNumbers(cbor, of.term(), of.after());
-        } else if (message instanceof LogPart of) {
-            writeKindAndEpoch(cbor, Kind.LOG_PART, of.epoch());
+        if (message instanceof Prepare prepare) {
+            writeKindAndEpoch(cbor, Kind.PREPARE, prepare.epoch());
+            writeNumbers(cbor, prepare.term());
+        } else if (message instanceof Prepared prepared) {
+            writeKindAndEpoch(cbor, Kind.PREPARED, prepared.epoch());
+            writeNumbers(cbor, prepared.term(), prepared.promisedTerm());
+            writeNumbers(cbor, prepared.lastVersion(), prepared.lastTerm(), prepared.committed());
+        } else if (message instanceof LogRequest request) {
+            writeKindAndEpoch(cbor, Kind.LOG_REQUEST, request.epoch());
+            writeNumbers(cbor, request.term(), request.after());
+        } else if (message instanceof LogPart part) {
+            writeKindAndEpoch(cbor, Kind.LOG_PART, part.epoch());
             writeNumbers(
-                    cbor, of.term(), of.previousVersion(), of.previousTerm(), of.lastVersion());
-            entries(cbor, of.entries());
-        } else if (message instanceof Append of) {
-            writeKindAndEpoch(cbor, Kind.APPEND, of.epoch());
-            writeNumbers(cbor, of.term(), of.committed(), age(of.ageUs()));
-            writeNumbers(cbor, of.previousVersion(), of.previousTerm());
-            entries(cbor, of.entries());
-        } else if (message instanceof Appended of) {
-            writeKindAndEpoch(cbor, Kind.APPENDED, of.epoch());
-            writeNumbers(cbor, of.term(), of.version());
-            cbor.writeBoolean(of.accepted());
-            cbor.writeBoolean(of.voting());
-        } else if (message instanceof Behind of) {
-            writeKindAndEpoch(cbor, Kind.BEHIND, of.epoch());
-            writeNumbers(cbor, of.term());
+                    cbor,
+                    part.term(),
+                    part.previousVersion(),
+                    part.previousTerm(),
+                    part.lastVersion());
+            entries(cbor, part.entries());
+        } else if (message instanceof Append append) {
+            writeKindAndEpoch(cbor, Kind.APPEND, append.epoch());
+            writeNumbers(cbor, append.term(), append.committed(), age(append.ageUs()));
+            writeNumbers(cbor, append.previousVersion(), append.previousTerm());
+            entries(cbor, append.entries());
+        } else if (message instanceof Appended appended) {
+            writeKindAndEpoch(cbor, Kind.APPENDED, appended.epoch());
+            writeNumbers(cbor, appended.term(), appended.version());
+            cbor.writeBoolean(appended.accepted());
+            cbor.writeBoolean(appended.voting());
+        } else if (message instanceof Behind behind) {
+            writeKindAndEpoch(cbor, Kind.BEHIND, behind.epoch());
+            writeNumbers(cbor, behind.term());
         } else {
             writeFollowerMessage(cbor, message);
         }
@@ -106,25 +110,30 @@
 
     private static void writeFollowerMessage(CBORGenerator cbor, Message message)
             throws IOException {
-        if (message instanceof Poll of) {
-            writeKindAndEpoch(cbor, Kind.POLL, of.epoch());
-            writeNumbers(cbor, of.version());
-            cbor.writeString(of.cursor());
-            cbor.writeBinary(of.filter().encode());
-            cbor.writeString(of.name());
-        } else if (message instanceof Ack of) {
-            writeKindAndEpoch(cbor, Kind.ACK, of.epoch());
-            writeNumbers(cbor, of.version());
-        } else if (message instanceof Delta of) {
-            writeKindAndEpoch(cbor, Kind.DELTA, of.epoch());
-            writeNumbers(cbor, of.after(), of.upto(), of.uptoTerm(), age(of.ageUs()));
-            entries(cbor, of.entries());
-        } else if (message instanceof SnapshotPart of) {
-            writeKindAndEpoch(cbor, Kind.SNAPSHOT_PART, of.epoch());
-            writeNumbers(cbor, of.version(), of.versionTerm(), age(of.ageUs()), of.afterKeyHash());
-            cbor.writeBoolean(of.last());
-            cbor.writeBoolean(of.more());
-            entries(cbor, of.entries());
+        if (message instanceof Poll poll) {
+            writeKindAndEpoch(cbor, Kind.POLL, poll.epoch());
+            writeNumbers(cbor, poll.version());
+            cbor.writeString(poll.cursor());
+            cbor.writeBinary(poll.filter().encode());
+            cbor.writeString(poll.name());
+        } else if (message instanceof Ack ack) {
+            writeKindAndEpoch(cbor, Kind.ACK, ack.epoch());
+            writeNumbers(cbor, ack.version());
+        } else if (message instanceof Delta delta) {
+            writeKindAndEpoch(cbor, Kind.DELTA, delta.epoch());
+            writeNumbers(cbor, delta.after(), delta.upto(), delta.uptoTerm(), age(delta.ageUs()));
+            entries(cbor, delta.entries());
+        } else if (message instanceof SnapshotPart part) {
+            writeKindAndEpoch(cbor, Kind.SNAPSHOT_PART, part.epoch());
+            writeNumbers(
+                    cbor,
+                    part.version(),
+                    part.versionTerm(),
+                    age(part.ageUs()),
+                    part.afterKeyHash());
+            cbor.writeBoolean(part.last());
+            cbor.writeBoolean(part.more());
+            entries(cbor, part.entries());
         }
     }
 
@@ -156,7 +165,7 @@
         cbor.writeEndArray();
     }
 
-    /** Reads a datagram; whatever it is, the answer is a message within its bounds or a fault. */
+    /** Decodes any datagram to a message whose fields are within their bounds, or to a fault. */
     public static Read decode(String fleet, byte[] bytes) {
         DropReason fault = Frame.dropReason(FORMAT, bytes);
         if (fault != null) {
--- a/src/main/java/passhatch/distribution/Participant.java
+++ b/src/main/java/passhatch/distribution/Participant.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One process's part in the distribution of changes. For one thread; the clock passed in must not
+ * One process's part in the distribution of changes. Not thread-safe; the clock passed in must not
  * go back.
  */
 public final class Participant {
@@ -19,7 +19,10 @@
     private final Source source;
     private final CommittedView view;
 
-    /** Of a replica that lacks entries which the leader no longer keeps; null otherwise. */
+    /**
+     * Fetches the committed state for a replica that lacks entries which the leader no longer
+     * retains; null otherwise.
+     */
     private Follower catchUp;
 
     private final RandomGenerator random;
@@ -28,10 +31,10 @@
     private long pushedVersion;
 
     /**
-     * A participant that starts.
+     * Creates a participant from what its disk holds.
      *
-     * @param records what its disk has, in the order written
-     * @throws IllegalArgumentException where the disk has a higher epoch than the settings
+     * @param records contents of its disk, in the order written
+     * @throws IllegalArgumentException if the disk has a higher epoch than the settings
      */
     public Participant(
             DistributionSettings settings,
@@ -71,7 +74,7 @@
                 actions);
     }
 
-    /** When {@link #timer} has to be called. */
+    /** Returns the time at which {@link #timer} has to be called, in microseconds. */
     public long wakeAtUs() {
         long at = follower == null ? flushAtUs : follower.wakeAtUs();
         at = leader == null ? at : Math.min(at, leader.wakeAtUs());
@@ -79,7 +82,7 @@
         return catchUp == null ? at : Math.min(at, catchUp.wakeAtUs());
     }
 
-    /** Does what is due. */
+    /** Performs all actions that are due. */
     public void timer(long nowUs) {
         if (follower != null) {
             follower.timer(nowUs);
@@ -100,7 +103,7 @@
         pushIfAdvanced(nowUs);
     }
 
-    /** A message that arrived. */
+    /** Handles a received message. */
     public void onMessage(long nowUs, String from, Message message) {
         if (message instanceof Message.Poll || message instanceof Message.Ack) {
             if (source != null) {
@@ -128,7 +131,7 @@
     }
 
     private void onReplicaMessage(long nowUs, String from, Message message) {
-        if (message instanceof Message.Append of && isWithinLog(of)) {
+        if (message instanceof Message.Append append && isWithinLog(append)) {
             catchUp = null;
         }
         replica.onMessage(nowUs, from, message);
@@ -148,7 +151,7 @@
         if (catchUp != null && catchUp.source().equals(leaderAddress)) {
             return;
         }
-        // What it writes is written again, as the replica's own, when it is installed.
+        // Its writes are skipped: the replica writes the state itself when it installs it.
         DistributionActions actionsWithoutDisk =
                 new DistributionActions() {
                     @Override
@@ -180,13 +183,13 @@
         }
     }
 
-    /** This replica has the lease, with its fencing token as the term. */
+    /** Starts a leader: this replica holds the lease, and the lease's fencing token is the term. */
     public void leaseGranted(long nowUs, long term) {
         leader = new Leader(settings, term, replica, nowUs, actions);
         pushIfAdvanced(nowUs);
     }
 
-    /** It has the lease no more. */
+    /** Stops the leader after this replica has lost the lease. */
     public void leaseLost() {
         if (leader != null) {
             leader.leaseLost();
@@ -194,7 +197,11 @@
         }
     }
 
-    /** Lets a replica with an empty disk count towards majorities, when a log is founded. */
+    /**
+     * Lets a replica with an empty disk count towards majorities, when a log is initialized.
+     *
+     * @return false if it counts already, the disk fails, or this process is no replica
+     */
     public boolean initialize() {
         return replica != null && replica.initialize();
     }
@@ -203,10 +210,11 @@
      * Submits a change to this leader.
      *
      * @param value null to delete the key
-     * @param ifVersion version of the key that the change is meant for; negative for any, 0 for a
-     *     key that does not exist
-     * @return its version, with which {@link DistributionActions#committed} tells that it is made
-     * @throws InvalidChangeException where it is not valid, or this process does not lead
+     * @param ifVersion expected version of the key; negative for any, 0 for a key that does not
+     *     exist
+     * @return its version, which {@link DistributionActions#committed} reports once the change is
+     *     made
+     * @throws InvalidChangeException if the change is not valid, or this process does not lead
      */
     public long submit(long nowUs, String key, String value, long ifVersion)
             throws InvalidChangeException {
@@ -218,38 +226,38 @@
         return version;
     }
 
-    /** Whether it leads and takes changes. */
+    /** Returns whether this process leads and accepts changes. */
     public boolean isLeading() {
         return leader != null && leader.isLeading();
     }
 
-    /** Whether this replica counts towards majorities; false for other roles. */
+    /** Returns whether this replica counts towards majorities; false for other roles. */
     public boolean isInitialized() {
         return replica != null && replica.isInitialized();
     }
 
-    /** The source that is followed just now; null where there is none. */
+    /** Returns the address of the source currently followed; null if there is none. */
     public String source() {
         Follower following = follower == null ? catchUp : follower;
         return following == null ? null : following.source();
     }
 
-    /** The epoch of the state in force here; 0 where there is none yet. */
+    /** Returns the epoch of the applied state; 0 if there is none yet. */
     public long epoch() {
         return view.epoch();
     }
 
-    /** The version in force here. */
+    /** Returns the applied version. */
     public long version() {
         return view.state().version();
     }
 
-    /** How long ago the state was known to be current, in microseconds. */
+    /** Returns the time since the state was known to be current, in microseconds. */
     public long ageUs(long nowUs) {
         return view.ageUs(nowUs);
     }
 
-    /** The values in force here, by key. */
+    /** Returns the applied values by key. */
     public Map<String, String> values() {
         Map<String, String> values = new TreeMap<>();
         view.state()
@@ -263,23 +271,25 @@
         return values;
     }
 
-    /** The version of the newest entry of a key; 0 where there is none. */
+    /** Returns the version of the newest entry of a key; 0 if there is none. */
     public long versionOf(String key) {
         LogEntry entry = view.state().entries().get(key);
         return entry == null ? 0 : entry.version();
     }
 
-    /** Names of those that follow this process, with the version that each has confirmed. */
+    /**
+     * Returns the names of the followers of this process, with the version that each has confirmed.
+     */
     public Map<String, Long> confirmedVersions() {
         return source == null ? Map.of() : source.confirmedVersions();
     }
 
-    /** Whether a write to its disk has failed; a replica confirms nothing more then. */
+    /** Returns whether a write to disk has failed; a replica confirms nothing after that. */
     public boolean diskFailed() {
         return replica == null ? follower.diskFailed() : replica.diskFailed();
     }
 
-    /** All that its disk needs to have, in place of what was written so far. */
+    /** Returns the records that replace everything written to disk so far. */
     public List<DiskRecord> snapshot() {
         return replica == null ? follower.snapshot() : replica.snapshot();
     }
--- a/src/main/java/passhatch/distribution/Replica.java
+++ b/src/main/java/passhatch/distribution/Replica.java
@@ -11,14 +11,14 @@
 import passhatch.distribution.Message.Prepared;
 
 /**
- * One replica of the log. Entries are appended as in Raft (Ongaro and Ousterhout, 2014): after an
- * entry that leader and replica both have, and on disk before they are confirmed. The leader is not
- * voted for here: it holds a lease, and its term, the lease's fencing token, is what replicas go
- * by.
+ * One replica of the log. Entries are appended as in Raft (Ongaro and Ousterhout, 2014): only after
+ * an entry that leader and replica both have, and they are on disk before they are confirmed.
+ * Unlike in Raft, replicas do not elect the leader: it holds a lease, and replicas order leaders by
+ * their term, which is the fencing token of the lease.
  */
 final class Replica implements CommittedView {
 
-    /** Committed entries kept so that a replica that was away can catch up by the log. */
+    /** Committed entries retained so that a replica that was away can catch up from the log. */
     private static final int RETAINED_ENTRIES = 1_024;
 
     private static final int MAX_TOMBSTONES = 4_096;
@@ -40,8 +40,8 @@
         long epochOnDisk = 0;
         for (DiskRecord record : records) {
             replay(record);
-            if (record instanceof DiskRecord.Initialized of) {
-                epochOnDisk = of.epoch();
+            if (record instanceof DiskRecord.Initialized initialization) {
+                epochOnDisk = initialization.epoch();
             }
         }
         if (epochOnDisk > epoch) {
@@ -51,28 +51,29 @@
         initialized = epochOnDisk == epoch;
         committedOnDisk = state.version();
         if (epochOnDisk > 0 && !initialized) {
-            // It has its disk, so it has forgotten nothing; the new epoch counts it as well.
+            // The disk is intact, so no promise is lost; the replica counts in the new epoch as
+            // well.
             initialize();
         }
     }
 
     private void replay(DiskRecord record) {
-        if (record instanceof DiskRecord.Promised of) {
-            promisedTerm = Math.max(promisedTerm, of.term());
-        } else if (record instanceof DiskRecord.Appended of) {
-            log.truncateAfter(of.entry().version() - 1);
-            log.append(of.entry());
-        } else if (record instanceof DiskRecord.Committed of) {
-            applyUpTo(of.version());
-        } else if (record instanceof DiskRecord.Reset of) {
-            state.reset(of.version(), of.versionTerm(), of.floor());
-            log.reset(of.version(), of.versionTerm());
-        } else if (record instanceof DiskRecord.Content of) {
-            of.entries().forEach(state::put);
+        if (record instanceof DiskRecord.Promised promise) {
+            promisedTerm = Math.max(promisedTerm, promise.term());
+        } else if (record instanceof DiskRecord.Appended appended) {
+            log.truncateAfter(appended.entry().version() - 1);
+            log.append(appended.entry());
+        } else if (record instanceof DiskRecord.Committed committed) {
+            applyUpTo(committed.version());
+        } else if (record instanceof DiskRecord.Reset reset) {
+            state.reset(reset.version(), reset.versionTerm(), reset.floor());
+            log.reset(reset.version(), reset.versionTerm());
+        } else if (record instanceof DiskRecord.Content content) {
+            content.entries().forEach(state::put);
         }
     }
 
-    /** All that a disk needs to have of this replica, in place of what was written so far. */
+    /** Returns the records that replace everything written to disk so far. */
     List<DiskRecord> snapshot() {
         List<DiskRecord> records = new ArrayList<>();
         if (initialized) {
@@ -86,10 +87,10 @@
     }
 
     /**
-     * Lets this replica count towards majorities though its disk knows of none: an operator says so
-     * once, when the log is founded.
+     * Lets this replica count towards majorities although its disk holds no initialization record.
+     * An operator requests this once, when the log is initialized.
      *
-     * @return false where it counts already or the disk fails
+     * @return false if it counts already or the disk fails
      */
     boolean initialize() {
         if (initialized || !force(List.of(new DiskRecord.Initialized(epoch)))) {
@@ -130,7 +131,7 @@
         return nowUs - leaderConfirmedUs + reportedAgeUs;
     }
 
-    /** A majority has confirmed the leader that runs in this process. */
+    /** Records that a majority confirmed the leader that runs in this process. */
     void leaderConfirmed(long atUs) {
         leaderConfirmedUs = atUs;
         reportedAgeUs = 0;
@@ -161,7 +162,7 @@
                         state.version()));
     }
 
-    /** Accepts no lower term from now on; false where the disk does not have that. */
+    /** Promises to accept no lower term; returns false if the promise cannot be written to disk. */
     boolean promise(long term) {
         if (term < promisedTerm || !force(List.of(new DiskRecord.Promised(epoch, term)))) {
             return false;
@@ -218,16 +219,19 @@
         actions.send(from, new Appended(epoch, append.term(), true, matching, initialized));
     }
 
-    /** Whether the logs agree up to an entry. What is committed is the same everywhere. */
+    /**
+     * Returns whether the logs agree up to an entry. Committed entries are the same on all
+     * replicas.
+     */
     private boolean matchesLog(long version, long term) {
         return version <= state.version()
                 || version <= log.lastVersion() && log.termAt(version) == term;
     }
 
     /**
-     * Takes entries of a leader, over those of its own that differ.
+     * Stores the entries of a leader and replaces own entries that differ.
      *
-     * @return false where the disk does not have them
+     * @return false if they cannot be written to disk
      */
     boolean storeEntries(List<LogEntry> entries) {
         List<LogEntry> missing = new ArrayList<>();
@@ -254,7 +258,7 @@
         return true;
     }
 
-    /** Entries up to a version are on a majority. */
+    /** Applies the entries up to a version, which are on a majority. */
     void commit(long version) {
         if (version <= state.version()) {
             return;
@@ -274,7 +278,10 @@
         }
     }
 
-    /** Has the committed version on disk, so that a restart serves it without a leader. */
+    /**
+     * Writes the committed version to disk, so that a restarted replica can serve it without a
+     * leader.
+     */
     void flush() {
         if (committedOnDisk < state.version()
                 && force(List.of(new DiskRecord.Committed(epoch, state.version())))) {
@@ -283,9 +290,10 @@
     }
 
     /**
-     * Takes the committed state of another replica, as this one lacks entries no longer kept. Where
-     * its log has the entry at that version, all before are the same, and what follows them may
-     * have been confirmed to a leader: they stay. A log with another entry there cannot go on.
+     * Installs the committed state of another replica when this one lacks entries that are no
+     * longer retained. If the own log has the same entry at that version, everything before it is
+     * identical; the entries after it may have been confirmed to a leader and are kept. A log with
+     * another entry there is replaced.
      */
     void install(ConfigState other) {
         if (other.version() <= state.version()) {
@@ -310,7 +318,7 @@
         actions.versionApplied(epoch, other.version());
     }
 
-    /** After one failed write nothing more is trusted of the disk until a restart. */
+    /** Writes records to disk. After one failed write the disk is not trusted until a restart. */
     private boolean force(List<DiskRecord> records) {
         if (!diskFailed) {
             diskFailed = !actions.force(records);
--- a/src/main/java/passhatch/distribution/ReplicatedLog.java
+++ b/src/main/java/passhatch/distribution/ReplicatedLog.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The entries after a base version, consecutive. Older ones are in the committed state only. */
+/**
+ * The consecutive entries after a base version. Older entries are kept only in the committed state.
+ */
 final class ReplicatedLog {
 
     private final List<LogEntry> entries = new ArrayList<>();
@@ -29,7 +31,7 @@
     }
 
     /**
-     * Term of the entry at a version.
+     * Returns the term of the entry at a version.
      *
      * @param version from {@link #baseVersion} to {@link #lastVersion}
      */
@@ -38,7 +40,7 @@
     }
 
     /**
-     * An entry.
+     * Returns the entry at a version.
      *
      * @param version above {@link #baseVersion}, up to {@link #lastVersion}
      */
@@ -46,7 +48,7 @@
         return entries.get((int) (version - baseVersion - 1));
     }
 
-    /** The entries after a version that is at least {@link #baseVersion}. */
+    /** Returns the entries after a version that is at least {@link #baseVersion}. */
     List<LogEntry> after(long version) {
         return entries.subList((int) (version - baseVersion), entries.size());
     }
@@ -62,7 +64,7 @@
         entries.subList((int) (version - baseVersion), entries.size()).clear();
     }
 
-    /** Drops entries up to a version. */
+    /** Drops the entries up to and including a version. */
     void trimTo(long version) {
         long term = termAt(version);
         entries.subList(0, (int) (version - baseVersion)).clear();
--- a/src/main/java/passhatch/distribution/ServiceFilter.java
+++ b/src/main/java/passhatch/distribution/ServiceFilter.java
@@ -7,12 +7,12 @@
 
 /**
  * A Bloom filter (Bloom, 1970) of the services whose keys a follower subscribes to. Its size does
- * not depend on their number or names; with 30 services about one key in seventy is told in vain,
- * which the follower drops.
+ * not depend on their number or names. With 30 services about one key in seventy is a false
+ * positive, which the follower drops.
  */
 public final class ServiceFilter {
 
-    /** Size of an encoded filter. */
+    /** Size of an encoded filter in bytes. */
     public static final int BYTES = 64;
 
     private static final int BITS = BYTES * Byte.SIZE;
@@ -24,14 +24,14 @@
         this.bits = bits;
     }
 
-    /** A filter that all keys pass. */
+    /** Returns a filter that all keys pass. */
     public static ServiceFilter all() {
         byte[] bits = new byte[BYTES];
         Arrays.fill(bits, (byte) 0xff);
         return new ServiceFilter(bits);
     }
 
-    /** A filter that the keys of these services pass, and those of the whole fleet. */
+    /** Returns a filter that the keys of these services pass, and those of the whole fleet. */
     public static ServiceFilter of(Collection<String> services) {
         ServiceFilter filter = new ServiceFilter(new byte[BYTES]);
         for (String service : services) {
@@ -43,7 +43,7 @@
     }
 
     /**
-     * An encoded filter.
+     * Decodes a filter.
      *
      * @param encoded {@link #BYTES} bytes
      */
@@ -54,12 +54,12 @@
         return new ServiceFilter(encoded.clone());
     }
 
-    /** As bytes, {@link #BYTES} of them. */
+    /** Encodes the filter as {@link #BYTES} bytes. */
     public byte[] encode() {
         return bits.clone();
     }
 
-    /** Whether a key may be one of those subscribed to; never false for one that is. */
+    /** Returns whether a key may be subscribed to; never false for one that is. */
     public boolean passes(String key) {
         String service = ConfigKey.serviceOf(key);
         if (service == null) {
--- a/src/main/java/passhatch/distribution/Setting.java
+++ b/src/main/java/passhatch/distribution/Setting.java
@@ -8,11 +8,11 @@
 public enum Setting {
     /** Time that a call may take, in milliseconds. */
     DEADLINE_MS(1, 600_000),
-    /** Attempts for a call, the first included. */
+    /** Attempts for a call, including the first. */
     MAX_ATTEMPTS(1, 3),
     /** Connections to one backend. */
     MAX_CONNECTIONS(1, 65_535),
-    /** Calls a second to the service from one proxy; 0 for no limit. */
+    /** Calls per second to the service from one proxy; 0 for no limit. */
     CALLS_PER_SECOND(0, 1_000_000),
     /** Whether calls are sent at all: 0 or 1. */
     ENABLED(0, 1);
@@ -25,16 +25,16 @@
         this.max = max;
     }
 
-    /** Its name as the last part of a key. */
+    /** Returns its name as the last part of a key. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
     /**
-     * Checks a change that is to be made.
+     * Checks a change before it is made.
      *
      * @param value null to delete the key
-     * @throws InvalidChangeException where key or value cannot be used
+     * @throws InvalidChangeException if the key or the value is not valid
      */
     public static void check(String key, String value) throws InvalidChangeException {
         if (!ConfigKey.isKey(key)) {
--- a/src/main/java/passhatch/distribution/Source.java
+++ b/src/main/java/passhatch/distribution/Source.java
@@ -12,19 +12,19 @@
 import passhatch.distribution.Message.Poll;
 import passhatch.distribution.Message.SnapshotPart;
 
-/** Serves a committed state to followers, and remembers what each of them has. */
+/** Serves a committed state to followers and keeps track of what each of them has. */
 final class Source {
 
-    /** Followers at most; a further one is not answered and tries its next source. */
+    /** Maximum number of followers; a further one gets no reply and tries its next source. */
     private static final int MAX_FOLLOWERS = 4_096;
 
-    /** Datagrams of deltas to one follower without being confirmed, at most. */
+    /** Maximum number of unconfirmed datagrams with deltas to one follower. */
     private static final int MAX_UNCONFIRMED_DATAGRAMS = 16;
 
-    /** Parts of a snapshot that answer one poll. */
+    /** Maximum number of snapshot parts sent in reply to one poll. */
     private static final int MAX_PARTS_PER_BURST = 32;
 
-    /** What is known of a follower. */
+    /** State of one follower. */
     private static final class FollowerState {
         private String name = "";
         private long confirmedVersion;
@@ -51,7 +51,7 @@
         return wakeAtUs;
     }
 
-    /** Polls that were not answered as there were too many followers. */
+    /** Returns the number of polls that got no reply because there were too many followers. */
     long rejectedPolls() {
         return rejectedPolls;
     }
@@ -85,7 +85,7 @@
         boolean sameEpoch = poll.epoch() == view.epoch();
         follower.inSnapshot = !sameEpoch || poll.version() < view.state().floor();
         if (poll.epoch() > view.epoch()) {
-            // This source is the one that is behind; an empty delta says so.
+            // The follower is ahead of this source; an empty delta reports that.
             follower.inSnapshot = false;
             follower.confirmedVersion = view.state().version();
             sendDelta(nowUs, from, follower.confirmedVersion, follower.confirmedVersion, List.of());
@@ -115,12 +115,14 @@
         }
     }
 
-    /** The state has reached a newer version. */
+    /** Pushes new changes to all followers, after the state has reached a newer version. */
     void onStateAdvanced(long nowUs) {
         followers.forEach((peer, follower) -> push(nowUs, peer, follower));
     }
 
-    /** Sends what a follower subscribes to and lacks; whether there was anything. */
+    /**
+     * Sends the changes that a follower subscribes to and lacks; returns whether there were any.
+     */
     private boolean push(long nowUs, String peer, FollowerState follower) {
         ConfigState state = view.state();
         if (follower.inSnapshot || follower.sentVersion < state.floor()) {
@@ -191,7 +193,7 @@
         } while (!entriesToSend.isEmpty());
     }
 
-    /** Sends again what was not confirmed in time, and forgets followers that are gone. */
+    /** Resends what was not confirmed in time, and removes followers that no longer poll. */
     void timer(long nowUs) {
         if (nowUs < wakeAtUs) {
             return;
@@ -213,7 +215,7 @@
         wakeAtUs = followers.isEmpty() ? Long.MAX_VALUE : nowUs + Timing.RETRY_DELAY_US;
     }
 
-    /** Names of the followers heard of lately, with the version that each has confirmed. */
+    /** Returns the names of the current followers, with the version that each has confirmed. */
     Map<String, Long> confirmedVersions() {
         Map<String, Long> versions = new TreeMap<>();
         followers.values().forEach(f -> versions.put(f.name, f.confirmedVersion));
--- a/src/main/java/passhatch/duty/Candidate.java
+++ b/src/main/java/passhatch/duty/Candidate.java
@@ -5,22 +5,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One process that wants one duty. It holds it once more than half of the voters have granted its
- * term, until a lease after it asked them, less what clocks may drift, and asks again well before
- * that. For one thread; the clock passed in must not go back, and runs on while the process is
- * held.
+ * One process that competes for one duty. It holds the duty once more than half of the voters have
+ * granted its term. The lease counts from its request to the voters and is shortened by the maximum
+ * clock drift; the candidate renews it well before it ends. Not thread-safe; the clock passed in
+ * must not go back, and must keep running while the process is stalled.
  */
 public class Candidate {
 
-    /** Askings in a lease: two may get lost. */
+    /** Requests per lease: two of them may get lost. */
     private static final int REQUESTS_PER_LEASE = 4;
 
-    /** The shortest wait after an asking that came to nothing, as a part of a lease. */
+    /** The minimum backoff after a failed request is the lease divided by this. */
     private static final int MIN_BACKOFF_DIVISOR = 32;
 
     /**
-     * Asked so often at once after another gave the duty up; its word may reach voters a little
-     * later.
+     * Maximum number of attempts in quick succession after another holder gave the duty up; its
+     * release may reach voters a little later.
      */
     private static final int MAX_ACQUIRE_ATTEMPTS = 20;
 
@@ -53,10 +53,11 @@
     private int acquireAttemptsLeft;
 
     /**
-     * A candidate that does not want the duty yet.
+     * Creates a candidate that does not compete for the duty yet.
      *
-     * @param holder its name and its life, unlike that of any other process or start
-     * @param rank 0 for those that should have the duty rather than others; each more waits longer
+     * @param holder name and incarnation of the process, different from those of any other process
+     *     or start
+     * @param rank 0 for processes that are preferred as holder; each higher rank waits longer
      */
     public Candidate(
             DutySettings settings,
@@ -74,49 +75,53 @@
         this.backoffUs = settings.leaseUs() / MIN_BACKOFF_DIVISOR;
     }
 
-    /** Votes that are needed. */
+    /** Returns the number of grants that are needed. */
     protected int majority() {
         return settings.voters().size() / 2 + 1;
     }
 
-    /** From when a lease is counted, of an asking that was answered now. */
+    /**
+     * Returns the time from which a lease counts, given the time of the request and of the reply.
+     */
     protected long leaseStartUs(long requestUs, long nowUs) {
         return requestUs;
     }
 
-    /** Wants the duty from now on. */
+    /** Starts to compete for the duty. */
     public void campaign(long nowUs) {
         if (phase == Phase.IDLE) {
             scheduleRequest(nowUs, 0);
         }
     }
 
-    /** When {@link #timer} has to be called; {@link Long#MAX_VALUE} for never. */
+    /**
+     * Returns the time at which {@link #timer} has to be called; {@link Long#MAX_VALUE} for never.
+     */
     public long wakeAtUs() {
         return wakeAtUs;
     }
 
-    /** Whether this process may act on the duty at this moment; to be asked at each act. */
+    /** Returns whether this process may act on the duty now; to be checked before each action. */
     public boolean mayAct(long nowUs) {
         return phase == Phase.HOLDING && nowUs < leaseUntilUs;
     }
 
-    /** The same for an act that was planned in a term. */
+    /** Returns whether this process may act on the duty now and still holds the given term. */
     public boolean mayActInTerm(long nowUs, long expectedTerm) {
         return mayAct(nowUs) && term == expectedTerm;
     }
 
-    /** The term that it holds; 0 where it holds none. */
+    /** Returns the term that it holds; 0 if it holds none. */
     public long term() {
         return phase == Phase.HOLDING ? term : 0;
     }
 
-    /** So long it may act without another answer, in microseconds. */
+    /** Returns how long it may act without another reply, in microseconds. */
     public long remainingUs(long nowUs) {
         return mayAct(nowUs) ? leaseUntilUs - nowUs : 0;
     }
 
-    /** Does what is due. */
+    /** Performs all actions that are due. */
     public void timer(long nowUs) {
         if (phase == Phase.HOLDING && nowUs >= leaseUntilUs) {
             loseLease(nowUs);
@@ -160,7 +165,9 @@
         return new DutyMessage(kind, settings.epoch(), duty, term, round, holder, 0);
     }
 
-    /** A voter's answer, or the word of another holder that it has given up. */
+    /**
+     * Handles a reply of a voter, or the notice of another holder that it has given the duty up.
+     */
     public void onMessage(long nowUs, String from, DutyMessage message) {
         if (message.epoch() != settings.epoch() || !message.duty().equals(duty)) {
             return;
@@ -210,7 +217,7 @@
         }
     }
 
-    /** Gives back what it got, so that others need not wait a lease for nobody. */
+    /** Releases what was granted, so that others need not wait for the end of an unused lease. */
     private void onRequestFailed(long nowUs) {
         sendToVoters(DutyMessage.Kind.RELEASE);
         if (acquireAttemptsLeft > 0) {
@@ -218,8 +225,8 @@
             phase = Phase.WAITING;
             wakeAtUs = nowUs + settings.leaseUs() / ACQUIRE_RETRY_DIVISOR;
         } else {
-            // Where another has it there is a time to come back; only a split vote asks for more
-            // patience.
+            // If another process holds the duty, the voters report when its lease ends; only a
+            // split vote needs a longer backoff.
             backoffUs =
                     votersBoundUs > 0
                             ? settings.leaseUs() / MIN_BACKOFF_DIVISOR
@@ -248,16 +255,16 @@
     }
 
     /**
-     * Gives the duty up, or the wish for it.
+     * Gives the duty up, or stops competing for it.
      *
-     * @param to another candidate that should have it, or null
+     * @param to another candidate that should acquire it, or null
      */
     public void giveUp(long nowUs, String to) {
         Phase before = phase;
         phase = Phase.IDLE;
         wakeAtUs = Long.MAX_VALUE;
         if (before == Phase.HOLDING) {
-            // It stops acting before anybody hears that it has.
+            // Stop acting before any other process learns that the duty is free.
             actions.lost(term);
         }
         if (before == Phase.HOLDING || before == Phase.ASKING) {
@@ -268,12 +275,12 @@
         }
     }
 
-    /** When it asked last. */
+    /** Returns the time of its last request. */
     public long requestedUs() {
         return requestedUs;
     }
 
-    /** How a voter has answered what was asked last; null where it has not. */
+    /** Returns the reply of a voter to the last request; null if there is none. */
     public DutyMessage.Kind replyOf(String voter) {
         return granted.contains(voter)
                 ? DutyMessage.Kind.GRANT
--- a/src/main/java/passhatch/duty/DutyActions.java
+++ b/src/main/java/passhatch/duty/DutyActions.java
@@ -1,14 +1,17 @@
 package passhatch.duty;
 
-/** What a candidate asks of whoever drives it. */
+/** Actions that a candidate requests from its host. */
 public interface DutyActions {
 
-    /** Sends to a voter, or to another candidate; it may get lost. */
+    /** Sends a message to a voter or another candidate; it may get lost. */
     void send(String to, DutyMessage message);
 
-    /** From now on, and as long as {@link Candidate#mayAct} says so, this process has the duty. */
+    /**
+     * Reports that this process holds the duty, for as long as {@link Candidate#mayAct} returns
+     * true.
+     */
     void granted(long term);
 
-    /** It has it no more. */
+    /** Reports that this process no longer holds the duty. */
     void lost(long term);
 }
--- a/src/main/java/passhatch/duty/DutyCodec.java
+++ b/src/main/java/passhatch/duty/DutyCodec.java
@@ -10,25 +10,28 @@
 import passhatch.fleet.Frame;
 import passhatch.fleet.Names;
 
-/** Messages on duties as datagrams, beside those of membership: a frame, and in it a CBOR array. */
+/**
+ * Encodes messages on duties as datagrams, beside those of membership: a frame that contains a CBOR
+ * array.
+ */
 public final class DutyCodec {
 
-    /** The format's byte. */
+    /** Format byte, the first of a datagram. */
     public static final byte FORMAT = 2;
 
-    /** Characters of a holder, which is a member's name, a colon and its life, at most. */
+    /** Maximum length of a holder: a member's name, a colon and its incarnation. */
     private static final int MAX_HOLDER_LENGTH = Names.MAX_NAME_LENGTH + 20;
 
     private static final int FIELDS = 9;
     private static final DutyMessage.Kind[] KINDS = DutyMessage.Kind.values();
     private static final CBORFactory CBOR = new CBORFactory();
 
-    /** A message and who sent it; or why there is none. */
+    /** A decoded message and its sender, or the reason why the datagram is dropped. */
     public record Read(String from, DutyMessage message, DropReason fault) {}
 
     private DutyCodec() {}
 
-    /** As a datagram from one member of a fleet. */
+    /** Encodes a message as a datagram from one member of a fleet. */
     public static byte[] encode(String fleet, String from, DutyMessage message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MAX_BYTES);
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
@@ -49,7 +52,7 @@
         return Frame.of(FORMAT, out.toByteArray());
     }
 
-    /** Reads a datagram; whatever it is, the answer is a message within its bounds or a fault. */
+    /** Decodes any datagram to a message whose fields are within their bounds, or to a fault. */
     public static Read decode(String fleet, byte[] bytes) {
         DropReason fault = Frame.dropReason(FORMAT, bytes);
         if (fault != null) {
--- a/src/main/java/passhatch/duty/DutyMessage.java
+++ b/src/main/java/passhatch/duty/DutyMessage.java
@@ -1,33 +1,37 @@
 package passhatch.duty;
 
 /**
- * What candidates and voters say to each other.
+ * A message between candidates and voters.
  *
- * @param epoch of the configuration that the sender has
- * @param term asked for, granted, or given back; of a refusal the greatest that the voter has
- *     promised
- * @param round of the asking that is meant; an answer repeats it
- * @param holder the candidate with its life, for whom this is
- * @param waitUs of a refusal: so long, in microseconds, the voter is bound to another holder
+ * @param epoch of the sender's configuration
+ * @param term requested, granted or released; in a refusal the maximum that the voter has promised
+ * @param round of the request; a reply repeats it
+ * @param holder the candidate and its incarnation that the message is about
+ * @param waitUs in a refusal, how long the voter is still bound to another holder, in microseconds
  */
 public record DutyMessage(
         Kind kind, long epoch, String duty, long term, int round, String holder, long waitUs) {
 
-    /** What is said. */
+    /** Kinds of messages. */
     public enum Kind {
-        /** Candidate to voter: wants the duty in this term, or to keep it. */
+        /** Candidate to voter: requests the duty in this term, or renews it. */
         REQUEST,
         /** Voter to candidate: granted. */
         GRANT,
         /** Voter to candidate: not granted. */
         REFUSAL,
-        /** Candidate to voter: does not act on this term, now or later. */
+        /** Candidate to voter: does not act in this term, now or later. */
         RELEASE,
-        /** Holder to another candidate: it has given up, and that one should ask at once. */
+        /**
+         * Holder to another candidate: the duty is given up, and the candidate should request it at
+         * once.
+         */
         TAKE,
-        /** Voter that has forgotten, to the others: which terms were granted? */
+        /** Voter without its promises to the others: requests the terms that were granted. */
         RECALL,
-        /** Voter to one that has forgotten: the greatest term that it has promised of any duty. */
+        /**
+         * Voter to a voter without its promises: the maximum term that it has promised of any duty.
+         */
         TERMS
     }
 
--- a/src/main/java/passhatch/duty/Fence.java
+++ b/src/main/java/passhatch/duty/Fence.java
@@ -5,9 +5,10 @@
 import java.util.function.BiPredicate;
 
 /**
- * What carries out holders' words: it keeps the highest token of each duty, on disk before it is
- * believed, and refuses a lower one. So nothing older is done after something newer, whatever
- * holders think of their leases.
+ * Checks the fencing tokens that come with the requests of holders. It keeps the highest token of
+ * each duty, writes it to disk before it accepts it, and rejects lower ones. So no request of an
+ * earlier holder is executed after one of a later holder, whatever holders assume about their
+ * leases.
  */
 public final class Fence {
 
@@ -15,17 +16,17 @@
     private final BiPredicate<String, Long> disk;
 
     /**
-     * A fence that starts.
+     * Creates a fence from what its disk holds.
      *
-     * @param highest the highest token of each duty that its disk has
-     * @param disk has a duty's token on disk for good when it returns true
+     * @param highest the highest token of each duty on its disk
+     * @param disk writes a duty's token and returns true once it is durable
      */
     public Fence(Map<String, Long> highest, BiPredicate<String, Long> disk) {
         this.highest = new HashMap<>(highest);
         this.disk = disk;
     }
 
-    /** Whether something may be carried out that comes with this token. */
+    /** Returns whether a request with this token may be executed. */
     public boolean admits(String duty, long token) {
         long known = highest.getOrDefault(duty, 0L);
         if (token < known || token < 1) {
--- a/src/main/java/passhatch/duty/Promise.java
+++ b/src/main/java/passhatch/duty/Promise.java
@@ -1,17 +1,17 @@
 package passhatch.duty;
 
 /**
- * What a voter must never forget: that it has granted a term of a duty, and to whom.
+ * A record that a voter must not lose: it has granted a term of a duty to a holder.
  *
- * @param term 1 or more; greater than any that the voter has granted of this duty before
+ * @param term 1 or more; above all terms that the voter has granted of this duty before
  */
 public record Promise(String duty, long term, String holder) {
 
     /**
-     * That a voter votes, which is itself on its disk: without it the voter may have forgotten
-     * promises.
+     * Returns the record which states that a voter votes. Without it on its disk the voter may have
+     * lost promises.
      *
-     * @param floor terms up to this may have been granted by the voter, of any duty; 0 or more
+     * @param floor the voter may have granted terms up to this, of any duty; 0 or more
      */
     public static Promise votingMarker(long floor) {
         return new Promise("", floor, "");
--- a/src/main/java/passhatch/duty/Voter.java
+++ b/src/main/java/passhatch/duty/Voter.java
@@ -6,14 +6,14 @@
 import java.util.function.Predicate;
 
 /**
- * One voter. It grants a term of a duty to one holder, after that is on disk, and then no other
- * term for the time of a lease on its own clock (leases after Gray, Cheriton, 1989; a majority of
- * them as in Paxos; tokens as in Chubby, Burrows, 2006). For one thread; the clock passed in must
+ * One voter. It grants a term of a duty to one holder once the grant is on disk, and then no other
+ * term for the length of a lease on its own clock (leases after Gray, Cheriton, 1989; a majority of
+ * them as in Paxos; tokens as in Chubby, Burrows, 2006). Not thread-safe; the clock passed in must
  * not go back.
  */
 public class Voter {
 
-    /** What is known of a duty beside the promise on disk. */
+    /** State of a duty, beside the promise on disk. */
     private static final class Lease {
         private final Promise promise;
         private long untilUs;
@@ -25,14 +25,14 @@
         }
     }
 
-    /** Stands where a message has to have a duty and a holder and means none. */
+    /** Fills the duty and the holder of a message that concerns neither. */
     private static final String PLACEHOLDER = "-";
 
     private final DutySettings settings;
     private final Predicate<Promise> disk;
     private final Map<String, Lease> leases = new HashMap<>();
 
-    /** What the others told of their terms, while it does not vote. */
+    /** The maximum terms that other voters have reported while this one does not vote. */
     private final Map<String, Long> reportedTerms = new HashMap<>();
 
     private boolean voting;
@@ -40,13 +40,13 @@
     private long votingFromUs = Long.MAX_VALUE;
 
     /**
-     * A voter that starts. Without {@link Promise#votingMarker} on its disk it has forgotten, or
-     * never voted: it says nothing until it was founded, or has heard from the others what may have
-     * been granted.
+     * Creates a voter from what its disk holds. Without a {@link Promise#votingMarker} on its disk
+     * it has lost its promises or never voted. It then grants nothing until it is initialized, or
+     * the other voters have reported which terms may have been granted.
      *
-     * @param promises the last of each duty that its disk has
-     * @param disk has a promise on disk for good when it returns true; false where it may not be
-     *     there
+     * @param promises the last promise of each duty on its disk
+     * @param disk writes a promise and returns true once it is durable; false if it may not be on
+     *     disk
      */
     public Voter(
             DutySettings settings,
@@ -66,28 +66,28 @@
     }
 
     /**
-     * Until when it is bound to the holder on its disk, as it does not know what it renewed before
-     * it ended.
+     * Returns until when the voter is bound to the holder on its disk, since renewals before a
+     * restart are not recorded.
      */
     protected long boundAfterStartUs(long nowUs) {
         return nowUs + settings.leaseUs();
     }
 
-    /** Whether a term may be granted to another holder than the one that was promised. */
+    /** Returns whether a term may be granted to a holder other than the promised one. */
     protected boolean isNewer(long term, Promise promised) {
         return term > promised.term();
     }
 
-    /** Writes a promise. */
+    /** Writes a promise to disk; returns false if it may not be there. */
     protected boolean persist(Promise promise) {
         return disk.test(promise);
     }
 
     /**
-     * Begins to vote without a memory. Only for voters that never voted: an operator says so, once,
-     * when the first set of voters is founded.
+     * Starts to vote without stored promises. Only for voters that never voted: an operator
+     * requests this once, when the first set of voters is initialized.
      *
-     * @return false where it votes already, or its disk fails
+     * @return false if it votes already, or its disk fails
      */
     public boolean initialize() {
         return !voting && startVoting(0);
@@ -102,21 +102,23 @@
         return true;
     }
 
-    /** Whether it votes. */
+    /** Returns whether it votes. */
     public boolean isVoting() {
         return voting;
     }
 
-    /** What to send to all other voters now and then as long as it does not vote. */
+    /**
+     * Returns the message to send to all other voters periodically while this one does not vote.
+     */
     public DutyMessage recall() {
         return new DutyMessage(
                 DutyMessage.Kind.RECALL, settings.epoch(), PLACEHOLDER, 1, 0, PLACEHOLDER, 0);
     }
 
     /**
-     * More than half of all voters, itself not counted, share one with every majority that it may
-     * have been part of: so it is told each term that was held. What it granted itself is over one
-     * lease later.
+     * Records the terms that another voter reports. More than half of all voters, not counting this
+     * one, overlap with every majority that this one may have been part of, so together they report
+     * each term that was held. Leases that this voter granted itself end one lease later.
      */
     private void onTerms(long nowUs, String from, long term) {
         if (voting || !settings.voters().contains(from)) {
@@ -138,7 +140,10 @@
                 leases.values().stream().mapToLong(l -> l.promise.term()).max().orElse(0));
     }
 
-    /** Answers a candidate or another voter; null where there is nothing to say. */
+    /**
+     * Handles a message of a candidate or another voter; returns the reply, or null if there is
+     * none.
+     */
     public DutyMessage onMessage(long nowUs, String from, DutyMessage message) {
         if (message.epoch() != settings.epoch()) {
             return null;
@@ -201,19 +206,19 @@
         }
     }
 
-    /** What is promised of a duty, or null. */
+    /** Returns the promise for a duty, or null. */
     public Promise promised(String duty) {
         Lease lease = leases.get(duty);
         return lease == null ? null : lease.promise;
     }
 
-    /** Whether the holder that was promised has given the duty back. */
+    /** Returns whether the promised holder has released the duty. */
     public boolean released(String duty) {
         Lease lease = leases.get(duty);
         return lease != null && lease.released;
     }
 
-    /** So long it is bound to that holder, in microseconds; 0 where it is free. */
+    /** Returns how long it is still bound to the holder, in microseconds; 0 if it is not. */
     public long boundForUs(long nowUs, String duty) {
         Lease lease = leases.get(duty);
         return lease == null || lease.released ? 0 : Math.max(0, lease.untilUs - nowUs);
--- a/src/main/java/passhatch/duty/package-info.java
+++ b/src/main/java/passhatch/duty/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Duties that one process holds at a time: leases by a majority of voters, with terms as fencing
- * tokens.
+ * Duties that one process holds at a time: leases granted by a majority of voters, with terms as
+ * fencing tokens.
  */
 package passhatch.duty;
--- a/src/main/java/passhatch/store/Disk.java
+++ b/src/main/java/passhatch/store/Disk.java
@@ -5,49 +5,47 @@
 import java.util.List;
 
 /**
- * One folder on a disk, as far as the store needs it: flat names, files that only grow or are cut.
- * What is not forced may be lost, in part or whole and in any order, when the power fails. After
- * any call that failed the state of its file is not known.
+ * One folder on a disk, with the operations that the store needs: a flat set of names, and files
+ * that are only appended to or truncated. After a power failure, data that was not forced may be
+ * lost in part or whole and in any order. After a failed call the state of its file is unknown.
  */
 public interface Disk extends AutoCloseable {
 
-    /** Names of all files, in no order. */
+    /** Returns the names of all files, in no particular order. */
     List<String> list() throws IOException;
 
-    /** Size of a file in bytes. */
+    /** Returns the size of a file in bytes. */
     long size(String name) throws IOException;
 
     /**
-     * All of a file.
+     * Reads a whole file.
      *
-     * @param maxBytes bytes that it may have; a larger one is an error and is not read
+     * @param maxBytes maximum size; a larger file causes an exception and is not read
      */
     byte[] read(String name, int maxBytes) throws IOException;
 
-    /** Makes an empty file; its name stays for sure once {@link #forceFolder} has returned. */
+    /** Creates an empty file; its name is durable once {@link #forceFolder} has returned. */
     void create(String name) throws IOException;
 
-    /** Writes at the end of a file. */
+    /** Appends to a file. */
     void append(String name, ByteBuffer bytes) throws IOException;
 
-    /** Returns once all of a file's bytes will be there after a power loss. */
+    /** Returns once all bytes of a file are durable. */
     void force(String name) throws IOException;
 
-    /** Returns once all names made, changed and deleted so far will be so after a power loss. */
+    /** Returns once all names created, changed and deleted so far are durable. */
     void forceFolder() throws IOException;
 
-    /**
-     * Gives a file another name; a file that has that name already is replaced in the same moment.
-     */
+    /** Renames a file; an existing file of the new name is replaced atomically. */
     void rename(String from, String to) throws IOException;
 
-    /** Cuts a file down to a size. */
+    /** Truncates a file to a size in bytes. */
     void truncate(String name, long size) throws IOException;
 
     /** Deletes a file. */
     void delete(String name) throws IOException;
 
-    /** Puts a whole file in place: after a power loss it is there as before, or as given. */
+    /** Replaces a whole file: after a power loss it has either its old or its new content. */
     default void replace(String name, ByteBuffer bytes) throws IOException {
         String unfinished = name + ".new";
         if (list().contains(unfinished)) {
@@ -60,7 +58,7 @@
         forceFolder();
     }
 
-    /** Gives up the folder. */
+    /** Closes the folder. */
     @Override
     void close() throws IOException;
 }
--- a/src/main/java/passhatch/store/Entry.java
+++ b/src/main/java/passhatch/store/Entry.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * A record as its user sees it.
+ * A record as passed to and from the store.
  *
- * @param kind what it is, from 1 to 32,767; the store does not care
+ * @param kind chosen by the user, from 1 to 32,767; the store does not interpret it
  * @param bytes its content, at most {@link Format#MAX_RECORD_BYTES} bytes
  */
 public record Entry(int kind, byte[] bytes) {
 
-    /** The greatest kind. */
+    /** The maximum kind. */
     public static final int MAX_KIND = Short.MAX_VALUE;
 
     @Override
--- a/src/main/java/passhatch/store/FolderDisk.java
+++ b/src/main/java/passhatch/store/FolderDisk.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** A folder of the file system, held by a lock for as long as this object is open. */
+/** A folder of the file system, locked for as long as this object is open. */
 public final class FolderDisk implements Disk {
 
     private static final String LOCK_NAME = "lock";
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Takes a folder for this process; it is made where it is not there.
+     * Opens and locks a folder; creates it if it does not exist.
      *
-     * @throws StoreException.InUse where another process, or another object in this one, has it
+     * @throws StoreException.InUse if another process, or another object in this one, has locked it
      */
     public static FolderDisk open(Path folder) throws IOException, StoreException.InUse {
         Files.createDirectories(folder);
@@ -44,7 +44,7 @@
                 return new FolderDisk(folder, channel);
             }
         } catch (OverlappingFileLockException lockedHere) {
-            // Told below, like one that another process holds.
+            // Reported below, like a lock held by another process.
         }
         channel.close();
         throw new StoreException.InUse(folder.toString());
@@ -148,7 +148,7 @@
             channel.close();
         }
         openFiles.clear();
-        // Closing the file gives up its lock, also where both are closed already.
+        // Closing the channel releases the lock; closing it again has no effect.
         lockFile.close();
     }
 }
--- a/src/main/java/passhatch/store/Format.java
+++ b/src/main/java/passhatch/store/Format.java
@@ -6,24 +6,24 @@
 import java.util.Locale;
 import java.util.zip.CRC32C;
 
-/** The bytes of heads and records; {@code docs/recovery.md} has them in words. */
+/** Binary format of headers and records; {@code docs/recovery.md} describes it. */
 final class Format {
 
     static final int VERSION = 1;
 
-    /** The most bytes of a record's content. */
+    /** Maximum size of a record's content in bytes. */
     static final int MAX_RECORD_BYTES = 1 << 16;
 
-    /** Of a segment: it is ended before a record that would make it larger. */
+    /** Maximum size of a segment in bytes: a record that would exceed it starts a new segment. */
     static final int MAX_SEGMENT_BYTES = 1 << 22;
 
-    /** Of the snapshot and the segments after it. */
+    /** Maximum size of the snapshot and the segments after it, in bytes. */
     static final long MAX_TOTAL_BYTES = 1L << 26;
 
-    /** Of an owner's name in UTF-8. */
+    /** Maximum size of an owner's name, in bytes of UTF-8. */
     static final int MAX_OWNER_BYTES = 64;
 
-    /** The kind of a mark; users' kinds are above it. */
+    /** The kind of a mark; the kinds of users are above it. */
     static final int MARK = 0;
 
     private static final int SEGMENT_MAGIC = 0x4c57_5347;
@@ -41,14 +41,14 @@
     private Format() {}
 
     /**
-     * What a segment or snapshot begins with.
+     * Header of a segment or snapshot.
      *
      * @param epoch of the process that wrote it
-     * @param sequence record of a segment, or the one that a snapshot is up to
+     * @param sequence first record of a segment, or last record that a snapshot includes
      */
     record Header(boolean snapshot, int version, String owner, long epoch, long sequence) {}
 
-    /** A record that was read, and where the next begins. */
+    /** A decoded record, with the offset of the next one. */
     record StoredRecord(long sequence, int kind, byte[] bytes, int next) {}
 
     static String segmentName(long first) {
@@ -59,26 +59,26 @@
         return SNAPSHOT_PREFIX + String.format(Locale.ROOT, "%016x", upTo);
     }
 
-    /** The number in a file's name, or -1 where it is no such file. */
+    /** Returns the sequence number in a file name, or -1 for other files. */
     static long fileNumber(String name, boolean ofSnapshot) {
         String prefix = ofSnapshot ? SNAPSHOT_PREFIX : SEGMENT_PREFIX;
         String digits = name.startsWith(prefix) ? name.substring(prefix.length()) : "";
         return digits.matches("[0-7][0-9a-f]{15}") ? Long.parseLong(digits, 16) : -1;
     }
 
-    static ByteBuffer encodeHeader(Header head) {
+    static ByteBuffer encodeHeader(Header header) {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES);
-        byte[] owner = head.owner().getBytes(StandardCharsets.UTF_8);
-        out.putInt(head.snapshot() ? SNAPSHOT_MAGIC : SEGMENT_MAGIC)
-                .putShort((short) head.version())
+        byte[] owner = header.owner().getBytes(StandardCharsets.UTF_8);
+        out.putInt(header.snapshot() ? SNAPSHOT_MAGIC : SEGMENT_MAGIC)
+                .putShort((short) header.version())
                 .putShort((short) owner.length)
                 .put(Arrays.copyOf(owner, MAX_OWNER_BYTES))
-                .putLong(head.epoch())
-                .putLong(head.sequence());
+                .putLong(header.epoch())
+                .putLong(header.sequence());
         return out.putInt(crc(out.array(), 0, out.position())).flip();
     }
 
-    /** The head of a file, or null where there is none that checks. */
+    /** Decodes the header of a file; null if there is no valid one. */
     static Header decodeHeader(byte[] file) {
         if (file.length < HEADER_BYTES) {
             return null;
@@ -111,7 +111,7 @@
         out.putInt((int) crc.getValue()).put(content);
     }
 
-    /** The record at a place, or null where there is none that checks. */
+    /** Decodes the record at an offset; null if there is no valid one. */
     static StoredRecord readRecord(byte[] file, int offset) {
         if (offset < 0 || file.length - offset < RECORD_HEADER_BYTES) {
             return null;
--- a/src/main/java/passhatch/store/GroupCommit.java
+++ b/src/main/java/passhatch/store/GroupCommit.java
@@ -7,25 +7,25 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Shares a record log among threads: what comes while the disk is being forced goes out together
- * with the next force. Owns the log and the one thread that writes to it.
+ * Shares a record log among threads: records submitted while the disk is being forced are written
+ * together with the next force. Owns the log and the only thread that writes to it.
  */
 public final class GroupCommit implements AutoCloseable {
 
-    /** Records that wait for the disk; who brings more waits as well. */
+    /** Maximum number of records that wait for the disk; further submitters block. */
     private static final int MAX_QUEUED_RECORDS = 4096;
 
-    /** Bytes of one group, so that it always fits a segment. */
+    /** Size in bytes at which a group is closed, so that it always fits into a segment. */
     private static final int MAX_GROUP_BYTES = 1 << 20;
 
-    /** One record that waits; a null entry asks the thread to end. */
+    /** One record that waits to be written; a null entry asks the thread to stop. */
     private record PendingRecord(Entry entry, CompletableFuture<Long> result) {}
 
     private final RecordLog log;
     private final BlockingQueue<PendingRecord> queue = new ArrayBlockingQueue<>(MAX_QUEUED_RECORDS);
     private final Thread thread;
 
-    /** Takes a log over; nobody else may use it from now on. */
+    /** Takes ownership of a log; no other code may use it from now on. */
     public GroupCommit(RecordLog log) {
         this.log = log;
         this.thread = new Thread(this::run, "store");
@@ -34,9 +34,10 @@
     }
 
     /**
-     * Writes a record.
+     * Submits a record to be written.
      *
-     * @return completes with its number once it is acknowledged, or with the {@link StoreException}
+     * @return completes with its sequence number once it is acknowledged, or with the {@link
+     *     StoreException}
      */
     public CompletableFuture<Long> submit(Entry entry) throws InterruptedException {
         CompletableFuture<Long> done = new CompletableFuture<>();
@@ -82,7 +83,7 @@
             if (group.size() == 1) {
                 group.get(0).result().completeExceptionally(tooLarge);
             } else {
-                // One that is too large must not take the others with it.
+                // A record that is too large must not fail the others of its group.
                 group.forEach(w -> write(List.of(w)));
             }
         } catch (StoreException | RuntimeException failed) {
@@ -91,8 +92,8 @@
     }
 
     /**
-     * Writes what waits, and gives the log up; who is interrupted meanwhile leaves the rest
-     * unwritten.
+     * Writes the queued records and closes the log; if the calling thread is interrupted, the rest
+     * is not written.
      */
     @Override
     public void close() throws StoreException {
--- a/src/main/java/passhatch/store/Inspection.java
+++ b/src/main/java/passhatch/store/Inspection.java
@@ -5,21 +5,18 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/**
- * Looks at a store without its owner: reads all of it, and brings what can be read to another
- * folder.
- */
+/** Reads a store without its owner, and copies what is readable to another folder. */
 public final class Inspection {
 
     private static final int BATCH_RECORDS = 64;
 
     /**
-     * What was found in a folder.
+     * Contents of a folder.
      *
-     * @param records that are good
-     * @param epoch the greatest that was found
-     * @param warnings of ends that were never acknowledged, which is no damage
-     * @param damage of what may have been acknowledged; empty where all is good
+     * @param records number of valid records
+     * @param epoch the maximum that was found
+     * @param warnings incomplete ends that were never acknowledged, which are no damage
+     * @param damage faults in data that may have been acknowledged; empty if there are none
      */
     public record Report(
             long records,
@@ -30,7 +27,7 @@
 
     private Inspection() {}
 
-    /** Reads all that can be read, past any damage, and changes nothing. */
+    /** Reads everything that is readable, also after damage, and changes nothing. */
     public static Report inspect(Disk disk, Consumer<Entry> consumer) throws StoreException {
         long[] records = {0};
         try {
@@ -58,9 +55,9 @@
     }
 
     /**
-     * Copies what can be read into an empty folder, as a store of that owner.
+     * Copies everything that is readable into an empty folder, as a store of the given owner.
      *
-     * @return what was found in the damaged one
+     * @return what was found in the damaged store
      */
     public static Report salvage(Disk from, Disk to, String owner) throws StoreException {
         List<Entry> batch = new ArrayList<>();
@@ -71,7 +68,7 @@
                         owner,
                         entry -> {
                             throw new IllegalArgumentException(
-                                    "the folder that is salvaged to is not empty");
+                                    "the target folder of the salvage is not empty");
                         })) {
             Report report =
                     inspect(
--- a/src/main/java/passhatch/store/Reader.java
+++ b/src/main/java/passhatch/store/Reader.java
@@ -9,14 +9,14 @@
 import passhatch.store.Format.StoredRecord;
 
 /**
- * Reads all that a folder holds and tells what is good, what was never acknowledged, and what is
- * damaged. Changes nothing. One file is held at a time.
+ * Reads all files of a folder and distinguishes valid records, records that were never
+ * acknowledged, and damage. It changes nothing and keeps one file in memory at a time.
  */
 final class Reader {
 
     /**
-     * What is wrong with one place; {@code acknowledged} where it may have been promised to
-     * somebody.
+     * A fault at one place of a file; {@code acknowledged} if the data there may have been
+     * acknowledged.
      */
     record Fault(String file, long offset, String description, boolean acknowledged) {
         String text() {
@@ -25,17 +25,17 @@
     }
 
     /**
-     * What was found.
+     * The contents of a folder.
      *
-     * @param lastSequence sequence number of the last good record; 0 where there is none
-     * @param epoch the greatest of all heads; 0 where there is none
-     * @param bytes of the snapshot and the segments after it
-     * @param snapshot name of the one that counts, or null
-     * @param segments names of those that count, in their order
-     * @param truncateAt size that the last segment is to be cut down to; -1 where it ends well
-     * @param obsolete names of files that do not count any more, or never did
-     * @param faults in the order they were found; where one is of what was acknowledged, the rest
-     *     is not read
+     * @param lastSequence sequence number of the last valid record; 0 if there is none
+     * @param epoch the maximum of all headers; 0 if there is none
+     * @param bytes size of the snapshot and the segments after it
+     * @param snapshot name of the current snapshot, or null
+     * @param segments names of the current segments, in their order
+     * @param truncateAt size to which the last segment is to be truncated; -1 if its end is valid
+     * @param obsolete names of files that are not part of the state, or no longer
+     * @param faults in the order in which they were found; after a fault in acknowledged data the
+     *     rest is not read, unless salvaging
      */
     record Contents(
             long lastSequence,
@@ -60,11 +60,11 @@
     private boolean stopped;
 
     /**
-     * A reader of a folder.
+     * Creates a reader of a folder.
      *
-     * @param owner whose it has to be; null where any will do
-     * @param salvage reads on past damage
-     * @param replay hears each record that is good
+     * @param owner required owner; null to accept any
+     * @param salvage whether to continue after damage
+     * @param replay receives each valid record
      */
     Reader(Disk disk, String owner, boolean salvage, Consumer<Entry> replay) {
         this.disk = disk;
@@ -115,96 +115,104 @@
         stopped |= acknowledged && !salvage;
     }
 
-    /** The head of a file, with its epoch taken note of; null where it does not check. */
+    /** Returns the header of a file and records its epoch; null if the header is not valid. */
     private Header readHeader(String file, byte[] content) throws StoreException {
-        Header head = Format.decodeHeader(content);
-        if (head == null) {
+        Header header = Format.decodeHeader(content);
+        if (header == null) {
             return null;
         }
-        if (head.version() > Format.VERSION) {
+        if (header.version() > Format.VERSION) {
             throw new StoreException.Foreign(
                     file
                             + " has format version "
-                            + head.version()
+                            + header.version()
                             + ", and this program "
-                            + "knows versions up to "
+                            + "supports versions up to "
                             + Format.VERSION);
         }
-        if (owner != null && !head.owner().equals(owner)) {
+        if (owner != null && !header.owner().equals(owner)) {
             throw new StoreException.Foreign(
-                    file + " belongs to '" + head.owner() + "', not to '" + owner + "'");
+                    file + " belongs to '" + header.owner() + "', not to '" + owner + "'");
         }
-        epoch = Math.max(epoch, head.epoch());
-        return head;
+        epoch = Math.max(epoch, header.epoch());
+        return header;
     }
 
     private void readSnapshot(String file) throws IOException, StoreException {
         byte[] content = disk.read(file, (int) Format.MAX_TOTAL_BYTES);
         bytes += content.length;
-        Header head = readHeader(file, content);
-        if (head == null || !head.snapshot() || head.sequence() != Format.fileNumber(file, true)) {
-            addFault(file, 0, "its head does not check", true);
+        Header header = readHeader(file, content);
+        if (header == null
+                || !header.snapshot()
+                || header.sequence() != Format.fileNumber(file, true)) {
+            addFault(file, 0, "its header does not check", true);
             return;
         }
         int offset = Format.HEADER_BYTES;
         long count = 0;
         List<Entry> entries = new ArrayList<>();
-        for (StoredRecord record = Format.readRecord(content, offset);
-                record != null;
-                record = Format.readRecord(content, offset)) {
-            offset = record.next();
-            if (record.kind() == Format.MARK) {
-                if (record.sequence() == count && offset == content.length) {
+        for (StoredRecord stored = Format.readRecord(content, offset);
+                stored != null;
+                stored = Format.readRecord(content, offset)) {
+            offset = stored.next();
+            if (stored.kind() == Format.MARK) {
+                if (stored.sequence() == count && offset == content.length) {
                     entries.forEach(replay);
-                    lastSequence = head.sequence();
+                    lastSequence = header.sequence();
                     return;
                 }
                 break;
             }
-            if (record.sequence() != count) {
+            if (stored.sequence() != count) {
                 break;
             }
             count++;
-            entries.add(new Entry(record.kind(), record.bytes()));
+            entries.add(new Entry(stored.kind(), stored.bytes()));
         }
         addFault(file, offset, "a record of the snapshot does not check", true);
         if (salvage) {
             entries.forEach(replay);
-            lastSequence = head.sequence();
+            lastSequence = header.sequence();
         }
     }
 
-    /** Reads a segment; false where it holds nothing and never counted. */
+    /** Reads a segment; returns false if it is empty and was never used. */
     private boolean readSegment(String file, boolean isLast) throws IOException, StoreException {
         byte[] content = disk.read(file, Format.MAX_SEGMENT_BYTES);
-        Header head = readHeader(file, content);
-        if (head == null || head.snapshot() || head.sequence() != Format.fileNumber(file, false)) {
-            if (isLast && content.length <= Format.HEADER_BYTES && head == null) {
-                addFault(file, 0, "its head was not whole: it was begun and never used", false);
+        Header header = readHeader(file, content);
+        if (header == null
+                || header.snapshot()
+                || header.sequence() != Format.fileNumber(file, false)) {
+            if (isLast && content.length <= Format.HEADER_BYTES && header == null) {
+                addFault(
+                        file,
+                        0,
+                        "its header is incomplete: the file was created and never used",
+                        false);
                 obsolete.add(file);
                 return false;
             }
-            addFault(file, 0, "its head does not check", true);
+            addFault(file, 0, "its header does not check", true);
             if (!salvage) {
                 return true;
             }
-        } else if (head.sequence() > lastSequence + 1) {
+        } else if (header.sequence() > lastSequence + 1) {
             addFault(
                     file,
                     0,
                     "records "
                             + (lastSequence + 1)
                             + " to "
-                            + (head.sequence() - 1)
+                            + (header.sequence() - 1)
                             + " before it are missing",
                     true);
             if (!salvage) {
                 return true;
             }
-            lastSequence = head.sequence() - 1;
+            lastSequence = header.sequence() - 1;
         }
         bytes += content.length;
-        readRecords(file, content, isLast, head == null ? lastSequence + 1 : head.sequence());
+        readRecords(file, content, isLast, header == null ? lastSequence + 1 : header.sequence());
         return true;
     }
 
@@ -212,19 +220,19 @@
         long expected = first;
         int offset = Format.HEADER_BYTES;
         while (offset < content.length) {
-            StoredRecord record = Format.readRecord(content, offset);
+            StoredRecord stored = Format.readRecord(content, offset);
             boolean valid =
-                    record != null
-                            && (record.kind() == Format.MARK
-                                    ? record.sequence() < expected
-                                    : record.sequence() == expected);
+                    stored != null
+                            && (stored.kind() == Format.MARK
+                                    ? stored.sequence() < expected
+                                    : stored.sequence() == expected);
             if (!valid) {
                 StoredRecord next = findMark(content, offset, expected);
                 if (isLast && next == null) {
                     addFault(
                             file,
                             offset,
-                            "the last records were not whole and never acknowledged",
+                            "the last records are incomplete and were never acknowledged",
                             false);
                     truncateAt = offset;
                     return;
@@ -233,51 +241,51 @@
                 if (!salvage) {
                     return;
                 }
-                record = findNextValid(content, offset, expected);
-                if (record == null) {
+                stored = findNextValid(content, offset, expected);
+                if (stored == null) {
                     return;
                 }
-                expected = record.kind() == Format.MARK ? record.sequence() + 1 : record.sequence();
+                expected = stored.kind() == Format.MARK ? stored.sequence() + 1 : stored.sequence();
             }
-            if (record.kind() != Format.MARK) {
+            if (stored.kind() != Format.MARK) {
                 if (expected > lastSequence) {
-                    replay.accept(new Entry(record.kind(), record.bytes()));
+                    replay.accept(new Entry(stored.kind(), stored.bytes()));
                     lastSequence = expected;
                 }
                 expected++;
             }
-            offset = record.next();
+            offset = stored.next();
         }
     }
 
     /**
-     * A mark at a place or behind it that says that the record there was forced; null where there
-     * is none.
+     * Finds a mark at or after an offset that confirms that the expected record was forced; null if
+     * there is none.
      */
     private static StoredRecord findMark(byte[] content, int from, long expected) {
         for (int offset = from; offset <= content.length - Format.RECORD_HEADER_BYTES; offset++) {
-            // A mark is empty: all else is passed over without a sum over what it would hold.
+            // A mark has no content: anything else is skipped without computing its checksum.
             boolean empty =
                     content[offset] == 0
                             && content[offset + 1] == 0
                             && content[offset + 2] == 0
                             && content[offset + 3] == 0;
-            StoredRecord record = empty ? Format.readRecord(content, offset) : null;
-            if (record != null && record.kind() == Format.MARK && record.sequence() >= expected) {
-                return record;
+            StoredRecord stored = empty ? Format.readRecord(content, offset) : null;
+            if (stored != null && stored.kind() == Format.MARK && stored.sequence() >= expected) {
+                return stored;
             }
         }
         return null;
     }
 
-    /** The next thing behind damage that checks and is no older than what is expected. */
+    /** Finds the next valid record or mark after damage that is not older than the expected one. */
     private static StoredRecord findNextValid(byte[] content, int from, long expected) {
         for (int offset = from; offset <= content.length - Format.RECORD_HEADER_BYTES; offset++) {
-            StoredRecord record = Format.readRecord(content, offset);
-            if (record != null
-                    && record.sequence() >= expected
-                    && record.sequence() - expected <= Format.MAX_SEGMENT_BYTES) {
-                return record;
+            StoredRecord stored = Format.readRecord(content, offset);
+            if (stored != null
+                    && stored.sequence() >= expected
+                    && stored.sequence() - expected <= Format.MAX_SEGMENT_BYTES) {
+                return stored;
             }
         }
         return null;
--- a/src/main/java/passhatch/store/RecordLog.java
+++ b/src/main/java/passhatch/store/RecordLog.java
@@ -7,23 +7,24 @@
 import java.util.function.Consumer;
 
 /**
- * A log of records that survive a power loss once they are acknowledged, with snapshots that stand
- * for all before them. For one thread; {@link GroupCommit} shares it. Recovery and its rules are in
- * {@code docs/recovery.md}.
+ * A log of records that survive a power loss once they are acknowledged, with snapshots that
+ * replace all records before them. Not thread-safe; {@link GroupCommit} shares a log among threads.
+ * Recovery and its rules are described in {@code docs/recovery.md}.
  *
- * <p>After each force a mark follows that vouches for the records before it, so that a last record
- * which rotted is told from one that was never whole (the difficulty is described by Alagappan et
- * al., "Protocol-Aware Recovery for Consensus-Based Storage", FAST 2018).
+ * <p>After each force a mark follows, which confirms that the records before it were forced. It
+ * distinguishes a last record that was corrupted later from one that was never completely written
+ * (the problem is described by Alagappan et al., "Protocol-Aware Recovery for Consensus-Based
+ * Storage", FAST 2018).
  */
 public final class RecordLog implements AutoCloseable {
 
-    /** So many bytes after the snapshot are worth a new one. */
+    /** Log size since the last snapshot above which a new snapshot is due. */
     private static final long SNAPSHOT_THRESHOLD_BYTES = 1L << 20;
 
-    /** A segment without records: its head and the first mark. */
+    /** Size of a segment without records: its header and the first mark. */
     private static final int EMPTY_SEGMENT_BYTES = Format.HEADER_BYTES + Format.RECORD_HEADER_BYTES;
 
-    /** What the files of a damaged store are called once it was set aside. */
+    /** Prefix of the file names of a damaged store that was set aside. */
     private static final String DAMAGED_PREFIX = "damaged-";
 
     private final Disk disk;
@@ -52,11 +53,10 @@
      * returns.
      *
      * @param owner at most 64 bytes in UTF-8
-     * @param replay hears the state: each record of the snapshot, and each after it, in order
-     * @throws StoreException.Damaged where something that was acknowledged does not check; nothing
-     *     is changed
-     * @throws StoreException.Foreign where the folder is another owner's or a newer program's
-     * @throws StoreException.Failed where the disk does
+     * @param replay receives the state: each record of the snapshot, then each later one, in order
+     * @throws StoreException.Damaged if acknowledged data is corrupt; nothing is changed
+     * @throws StoreException.Foreign if the folder belongs to another owner or a newer program
+     * @throws StoreException.Failed if the disk fails
      */
     public static RecordLog open(Disk disk, String owner, Consumer<Entry> replay)
             throws StoreException {
@@ -70,7 +70,8 @@
                 warnings.add(fault.text());
             }
             if (contents.epoch() == Long.MAX_VALUE || contents.lastSequence() == Long.MAX_VALUE) {
-                throw new StoreException.Damaged("there are no numbers left for " + owner);
+                throw new StoreException.Damaged(
+                        "the epochs or the record numbers are exhausted for " + owner);
             }
             RecordLog log =
                     new RecordLog(
@@ -83,7 +84,7 @@
         }
     }
 
-    /** Opens what is only a help: one that is damaged is set aside, and a note says so. */
+    /** Opens a store that can be rebuilt: a damaged one is set aside, and a warning reports it. */
     public static RecordLog openOrSetAside(Disk disk, String owner, Consumer<Entry> replay)
             throws StoreException {
         List<Entry> entries = new ArrayList<>();
@@ -107,7 +108,8 @@
                         "the store cannot be set aside: " + failed.getMessage(), failed);
             }
             RecordLog log = open(disk, owner, replay);
-            log.warnings.add("it was damaged and is set aside: " + damaged.getMessage());
+            log.warnings.add(
+                    "the store was damaged and has been set aside: " + damaged.getMessage());
             return log;
         }
     }
@@ -118,7 +120,7 @@
             if (contents.truncateAt() >= 0) {
                 disk.truncate(tail, contents.truncateAt());
             }
-            // Its last mark may not be there for sure yet, and no torn end may stand before another
+            // The last mark may not be durable yet, and no incomplete end may precede another
             // segment.
             disk.force(tail);
         }
@@ -133,8 +135,8 @@
         }
         String reused = Format.segmentName(lastSequence + 1);
         if (obsolete.remove(reused)) {
-            // The one before this holds no record: its number is needed, and its epoch is below the
-            // new one.
+            // The segment of this name holds no record. Its name is needed, and its epoch is below
+            // the new one.
             disk.replace(reused, segmentHeader());
             disk.append(reused, mark());
             segment = reused;
@@ -149,7 +151,7 @@
                 new Format.Header(false, Format.VERSION, owner, epoch, lastSequence + 1));
     }
 
-    /** Begins a segment; all that is in the one before has been forced. */
+    /** Starts a segment; all data in the previous one has been forced. */
     private void roll() throws IOException {
         if (segment != null) {
             disk.force(segment);
@@ -167,41 +169,42 @@
         logBytes += segmentBytes;
     }
 
-    /** Says that all records so far have been forced. */
+    /** Returns a mark, which confirms that all records so far have been forced. */
     private ByteBuffer mark() {
         ByteBuffer out = ByteBuffer.allocate(Format.RECORD_HEADER_BYTES);
         Format.putRecord(out, lastSequence, Format.MARK, new byte[0]);
         return out.flip();
     }
 
-    /** Grows by one at each opening: the number of this incarnation of its owner. */
+    /** Returns the epoch, which grows by one at each opening: the incarnation of its owner. */
     public long epoch() {
         return epoch;
     }
 
-    /** What recovery did, a line each; empty where the store had ended well. */
+    /** Returns one line for each problem that recovery repaired; empty after a clean shutdown. */
     public List<String> warnings() {
         return List.copyOf(warnings);
     }
 
-    /** The number of the last record. */
+    /** Returns the sequence number of the last record. */
     public long lastSequence() {
         return lastSequence;
     }
 
-    /** Whether so much was written since the snapshot that a new one is worth its cost. */
+    /** Returns whether enough was written since the last snapshot to justify a new one. */
     public boolean isSnapshotDue() {
         return logBytes > SNAPSHOT_THRESHOLD_BYTES;
     }
 
     /**
-     * Writes records and returns once they are acknowledged: all of them are on disk for sure.
+     * Writes records and returns once they are acknowledged, which means that all of them are
+     * durable.
      *
-     * @return the number of the last one
-     * @throws StoreException.TooLarge where a record or the whole would be over its bound; none is
+     * @return the sequence number of the last one
+     * @throws StoreException.TooLarge if a record or the whole would exceed its limit; none is
      *     written
-     * @throws StoreException.Failed where the disk failed, now or before; whether they are there
-     *     shows once the store was opened again
+     * @throws StoreException.Failed if the disk failed, now or before; whether the records were
+     *     written is known only after the store is opened again
      */
     public long append(List<Entry> entries) throws StoreException {
         requireUsable();
@@ -216,7 +219,7 @@
         if (size > Format.MAX_SEGMENT_BYTES - EMPTY_SEGMENT_BYTES) {
             throw new StoreException.TooLarge(
                     entries.size()
-                            + " records at a time are over "
+                            + " records in one append exceed "
                             + Format.MAX_SEGMENT_BYTES
                             + " bytes");
         }
@@ -243,9 +246,9 @@
     }
 
     /**
-     * Puts a snapshot in the place of all records so far.
+     * Replaces all records so far by a snapshot.
      *
-     * @param state the records that it comes down to
+     * @param state the records of the snapshot
      */
     public void snapshot(List<Entry> state) throws StoreException {
         requireUsable();
@@ -274,7 +277,7 @@
             disk.replace(name, out.flip());
             if (segmentBytes > EMPTY_SEGMENT_BYTES) {
                 roll();
-            } // else it goes on behind the new snapshot: nothing was written since it began
+            } // otherwise the segment is empty and continues after the new snapshot
             obsolete.remove(name);
             for (String file : obsolete) {
                 disk.delete(file);
@@ -288,7 +291,7 @@
         }
     }
 
-    /** Bytes that a record takes, if it is one that may be written. */
+    /** Returns the stored size of a record, after checking that it may be written. */
     private static int checkedSize(Entry e) throws StoreException.TooLarge {
         if (e.bytes().length > Format.MAX_RECORD_BYTES) {
             throw new StoreException.TooLarge(
@@ -321,7 +324,7 @@
         return failure;
     }
 
-    /** Gives up the disk; what is not acknowledged by now may or may not be there. */
+    /** Closes the disk; records that are not acknowledged may or may not have been written. */
     @Override
     public void close() throws StoreException {
         try {
--- a/src/main/java/passhatch/store/StoreException.java
+++ b/src/main/java/passhatch/store/StoreException.java
@@ -1,6 +1,9 @@
 package passhatch.store;
 
-/** The store cannot be used, or not any more; the message is one line that says why. */
+/**
+ * Thrown when the store cannot be used, or can no longer be used; the message gives the reason in
+ * one line.
+ */
 public class StoreException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -13,7 +16,7 @@
         super(message, cause);
     }
 
-    /** What was acknowledged cannot be read any more; the message names the file and the byte. */
+    /** Acknowledged data can no longer be read; the message names the file and the byte offset. */
     public static final class Damaged extends StoreException {
         private static final long serialVersionUID = 1L;
 
@@ -22,10 +25,7 @@
         }
     }
 
-    /**
-     * The disk failed, now or before: nothing more is acknowledged until the store was opened
-     * again.
-     */
+    /** The disk failed, now or before: nothing is acknowledged until the store is opened again. */
     public static final class Failed extends StoreException {
         private static final long serialVersionUID = 1L;
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Another process has the folder. */
+    /** Another process has locked the folder. */
     public static final class InUse extends StoreException {
         private static final long serialVersionUID = 1L;
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /** The folder is another owner's, or of a newer format: it is left as it is. */
+    /** The folder belongs to another owner or has a newer format; it is left unchanged. */
     public static final class Foreign extends StoreException {
         private static final long serialVersionUID = 1L;
 
@@ -53,7 +53,7 @@
     }
 
     /**
-     * A record, or all records together, would be larger than is allowed; the store goes on without
+     * A record, or all records together, would exceed the maximum size; the store continues without
      * it.
      */
     public static final class TooLarge extends StoreException {
--- a/src/main/java/passhatch/store/package-info.java
+++ b/src/main/java/passhatch/store/package-info.java
@@ -1,2 +1,2 @@
-/** What stays on disk: a record log with snapshots over a small interface to the disk. */
+/** Durable storage: a record log with snapshots, over a small interface to the disk. */
 package passhatch.store;
--- a/src/test/java/passhatch/distribution/DiskRecordCodecTest.java
+++ b/src/test/java/passhatch/distribution/DiskRecordCodecTest.java
@@ -54,7 +54,7 @@
         }
     }
 
-    /** The second byte is the version of the format. */
+    /** The second byte is the format version. */
     @Test
     void newerFormatIsRejected() {
         byte[] bytes = DiskRecordCodec.encode(new DiskRecord.Initialized(1));
--- a/src/test/java/passhatch/distribution/MessageCodecTest.java
+++ b/src/test/java/passhatch/distribution/MessageCodecTest.java
@@ -24,7 +24,7 @@
 import passhatch.fleet.Frame;
 import passhatch.fleet.Names;
 
-/** Every message fits into a datagram and is read as it was written; nothing else is read. */
+/** Every message fits into a datagram and decodes to itself; other datagrams are rejected. */
 class MessageCodecTest {
 
     private static final String FLEET = "f".repeat(Names.MAX_LABEL_LENGTH);
@@ -51,10 +51,10 @@
         }
     }
 
-    /** A sender that seals what is no message must do no harm either. */
+    /** A sender that frames arbitrary content with a valid checksum must not do harm either. */
     @Test
     void framedRandomContentIsDecodedOrRejected() {
-        int refused = 0;
+        int rejected = 0;
         for (int round = 0; round < ROUNDS; round++) {
             byte[] datagram = MessageCodec.encode(FLEET, message(round % 11));
             byte[] content = new byte[datagram.length - Frame.HEADER_BYTES];
@@ -63,9 +63,9 @@
             byte[] sealed = Frame.of(MessageCodec.FORMAT, content);
             MessageCodec.Read read = MessageCodec.decode(FLEET, sealed);
             assertTrue(read.message() == null ^ read.fault() == null);
-            refused += read.fault() == null ? 0 : 1;
+            rejected += read.fault() == null ? 0 : 1;
         }
-        assertTrue(refused > ROUNDS / 10, "refused: " + refused);
+        assertTrue(rejected > ROUNDS / 10, "rejected: " + rejected);
     }
 
     @Test
@@ -150,20 +150,20 @@
         return random.nextBoolean() ? bound : random.nextLong(bound);
     }
 
-    /** Room for entries after it stays below the greatest version. */
+    /** Leaves room for the entries after it below the maximum version. */
     private long randomVersion() {
         return number(Long.MAX_VALUE - 100);
     }
 
     private String key() {
-        int longest = ConfigKey.MAX_KEY_LENGTH - "service//deadline_ms".length();
-        return "service/" + "s".repeat(1 + random.nextInt(longest)) + "/deadline_ms";
+        int maxLength = ConfigKey.MAX_KEY_LENGTH - "service//deadline_ms".length();
+        return "service/" + "s".repeat(1 + random.nextInt(maxLength)) + "/deadline_ms";
     }
 
     private String value() {
         String character = random.nextBoolean() ? "v" : "\u00e9";
-        int most = ConfigKey.MAX_VALUE_BYTES / (character.equals("v") ? 1 : 2);
-        return random.nextInt(4) == 0 ? null : character.repeat(random.nextInt(most + 1));
+        int maxLength = ConfigKey.MAX_VALUE_BYTES / (character.equals("v") ? 1 : 2);
+        return random.nextInt(4) == 0 ? null : character.repeat(random.nextInt(maxLength + 1));
     }
 
     private List<LogEntry> consecutiveEntries(long previous) {
--- a/src/test/java/passhatch/store/CrashTest.java
+++ b/src/test/java/passhatch/store/CrashTest.java
@@ -16,8 +16,8 @@
 import passhatch.lab.disk.FaultyDisk.Fault;
 
 /**
- * A workload of a few hundred operations, stopped at every call of the disk: after recovery all
- * that was acknowledged is there, and nothing that was not written is.
+ * Stops a workload of a few hundred operations at every call of the disk. After recovery everything
+ * that was acknowledged must be there, and nothing that was not written.
  */
 class CrashTest {
 
@@ -25,9 +25,7 @@
     private static final int DISK_STATES_PER_FAULT = 12;
     private static final long CAPACITY = 1L << 28;
 
-    /**
-     * What the workload knows of its own store: numbers in the order in which they were written.
-     */
+    /** The expected state of the store: numbers in the order in which they were written. */
     private static final class Model {
         final List<Integer> written = new ArrayList<>();
         int acknowledged;
@@ -42,8 +40,8 @@
     }
 
     /**
-     * The state is all numbers so far, as one record each, so that a snapshot shows what it stands
-     * for.
+     * Runs the workload. A snapshot holds one record for each number so far, so that it shows which
+     * records it replaces.
      */
     private static void runWorkload(FaultyDisk disk, Model model, int operations)
             throws StoreException {
@@ -89,7 +87,7 @@
     }
 
     /**
-     * How many runs of the workload lost something; with the process stopped at each call in turn.
+     * Runs the workload with a fault at each call in turn and returns how many checks found a loss.
      */
     private static int countLossesWithFaultAtEveryCall(
             Fault fault, boolean forgetful, int operations) throws StoreException {
@@ -105,7 +103,7 @@
             try {
                 runWorkload(disk, model, operations);
             } catch (FaultyDisk.Stopped | StoreException.Failed stopped) {
-                // From here on only what is on the disk counts.
+                // From here on only the contents of the disk count.
             }
             UniformRandomProvider random = new Seeds(k).stream("survivors");
             for (int s = 0; s < DISK_STATES_PER_FAULT; s++) {
@@ -131,13 +129,15 @@
         countLossesWithFaultAtEveryCall(fault, false, 300);
     }
 
-    /** A disk that only says it has forced must show: else the test above would prove nothing. */
+    /**
+     * A disk that only pretends to force must cause losses, or the test above would prove nothing.
+     */
     @Test
     void omittedForceIsDetected() throws StoreException {
         assertTrue(countLossesWithFaultAtEveryCall(Fault.STOP_AFTER, true, 30) > 0);
     }
 
-    /** After an error nothing is acknowledged until the store was opened again; then it goes on. */
+    /** A full disk makes a write fail, and everything acknowledged before can still be read. */
     @Test
     void fullDiskFailsWithoutLoss() throws StoreException {
         FaultyDisk disk = new FaultyDisk(20_000);
@@ -150,8 +150,8 @@
     }
 
     /**
-     * One flipped bit anywhere: told as damage, or in what never counted; never believed, never
-     * passed over.
+     * One flipped bit anywhere is reported as damage or lies in data that was never used; it never
+     * changes or hides an acknowledged record.
      */
     @Test
     void flippedBitIsNeverAccepted() throws Exception {
@@ -178,6 +178,6 @@
                 }
             }
         }
-        assertTrue(reported > 1_000, reported + " were told");
+        assertTrue(reported > 1_000, reported + " were reported");
     }
 }
--- a/src/test/java/passhatch/store/StoreTest.java
+++ b/src/test/java/passhatch/store/StoreTest.java
@@ -20,8 +20,8 @@
 import passhatch.lab.disk.FaultyDisk;
 
 /**
- * The rows of the table in docs/recovery.md that are not a matter of crashes, on a real folder
- * where it counts.
+ * The cases of the table in docs/recovery.md that do not involve a crash, on a real folder where
+ * that matters.
  */
 class StoreTest {
 
@@ -90,16 +90,16 @@
                 StoreException.Foreign.class, () -> RecordLog.openOrSetAside(disk, "me", e -> {}));
         assertEquals(before, disk.list());
         FaultyDisk newer = new FaultyDisk(CAPACITY);
-        ByteBuffer head =
+        ByteBuffer header =
                 Format.encodeHeader(new Format.Header(false, Format.VERSION + 1, "me", 1, 1));
-        newer.overwrite(Format.segmentName(1), head.array());
+        newer.overwrite(Format.segmentName(1), header.array());
         thrown = assertThrows(StoreException.Foreign.class, () -> readEntries(newer));
         assertTrue(thrown.getMessage().contains("format version 2"), thrown.getMessage());
     }
 
     /**
-     * Damage in the middle: promises refuse with file and byte, a help is set aside, salvage saves
-     * the rest.
+     * Damage in the middle: opening fails with file and byte offset, a rebuildable store is set
+     * aside, and salvage saves the rest.
      */
     @Test
     void damageInTheMiddleIsReportedAndSalvaged() throws Exception {
@@ -162,7 +162,7 @@
         Entry large = new Entry(1, new byte[Format.MAX_RECORD_BYTES + 1]);
         assertThrows(StoreException.TooLarge.class, () -> log.append(List.of(entry("a"), large)));
         assertThrows(StoreException.TooLarge.class, () -> log.snapshot(List.of(large)));
-        // Its number is a mark's: a snapshot with one in it would not be read again.
+        // Its kind is that of a mark: a snapshot that contains one could not be read again.
         Entry mark = new Entry(Format.MARK, new byte[0]);
         assertThrows(IllegalArgumentException.class, () -> log.append(List.of(mark)));
         assertThrows(IllegalArgumentException.class, () -> log.snapshot(List.of(mark)));
@@ -223,8 +223,8 @@
     }
 
     /**
-     * No bytes whatever make reading do anything but end well or name what is wrong: all of a file
-     * at random, good files with pieces overwritten, cut, doubled and moved.
+     * Reading any input either succeeds or reports what is wrong: a file of random bytes, and valid
+     * files with bytes inserted, removed or repeated.
      */
     @Test
     void mutatedInputNeverBreaksReading() throws Exception {
