--- a/src/main/java/passhatch/agent/Agent.java
+++ b/src/main/java/passhatch/agent/Agent.java
@@ -18,7 +18,7 @@
 import passhatch.agent.config.InvalidInputException;
 import passhatch.distribution.DistributionSettings.Role;
 import passhatch.proxy.base.EventLog;
-import passhatch.proxy.base.HangUp;
+import passhatch.proxy.base.ReloadSignal;
 import passhatch.proxy.control.Control;
 import passhatch.store.StoreException;
 
@@ -75,7 +75,7 @@
         AgentLog.toStandardError();
         Agent agent = new Agent(configFile, env);
         agent.start(version);
-        if (!HangUp.handle(() -> agent.loop.execute(agent::reload))) {
+        if (!ReloadSignal.handle(() -> agent.loop.execute(agent::reload))) {
             LOG.atWarn()
                     .addKeyValue("event", "configuration")
                     .log("SIGHUP is ignored since the start: the configuration cannot be reloaded");
--- a/src/main/java/passhatch/cli/Commands.java
+++ b/src/main/java/passhatch/cli/Commands.java
@@ -125,7 +125,7 @@
     private static final class Rehearse implements Callable<Integer> {
         @Override
         public Integer call() {
-            return Rehearsal.runOrSay(System.err);
+            return Rehearsal.runAndReport(System.err);
         }
     }
 
--- a/src/main/java/passhatch/cli/Main.java
+++ b/src/main/java/passhatch/cli/Main.java
@@ -34,7 +34,7 @@
                                     new FileInputStream(FileDescriptor.in),
                                     new FileOutputStream(FileDescriptor.out),
                                     System.err);
-                    case "rehearse" -> Rehearsal.runOrSay(System.err);
+                    case "rehearse" -> Rehearsal.runAndReport(System.err);
                     default -> Commands.run(args);
                 };
         if (status != 0) {
--- a/src/main/java/passhatch/lab/drain/DrainSimulation.java
+++ b/src/main/java/passhatch/lab/drain/DrainSimulation.java
@@ -125,7 +125,7 @@
 
     private static EndpointList parsed(String text) {
         try {
-            return EndpointList.of(JSON.std.mapFrom(text), List.of("a"), List.of("m"));
+            return EndpointList.parse(JSON.std.mapFrom(text), List.of("a"), List.of("m"));
         } catch (IOException cannotBe) {
             throw new UncheckedIOException(cannotBe);
         }
--- a/src/main/java/passhatch/lab/drain/ProxyModel.java
+++ b/src/main/java/passhatch/lab/drain/ProxyModel.java
@@ -97,7 +97,7 @@
         balancer = new Logic(settings(scenario), random.nextLong(), this);
         watch =
                 new ListWatch(
-                        new ListWatch.Source(
+                        new ListWatch.WatchConfig(
                                 discovery.address(),
                                 known,
                                 true,
@@ -191,7 +191,8 @@
         timeline.accept("signal: discovery has moved");
         InetSocketAddress to = discovery.address();
         queue.scheduleAfter(
-                random.nextLong(SIGNAL_US), () -> onTime(() -> watch.moveTo(queue.nowUs(), to)));
+                random.nextLong(SIGNAL_US),
+                () -> onTime(() -> watch.changeAddress(queue.nowUs(), to)));
     }
 
     /** A client's request comes. */
@@ -227,17 +228,17 @@
     // ---- what discovery's connections bring
 
     void connected(long call) {
-        onDiscovery(() -> watch.connected(call));
+        onDiscovery(() -> watch.onConnected(call));
     }
 
     void answered(long call, int status) {
-        onDiscovery(() -> watch.answered(queue.nowUs(), call, status));
+        onDiscovery(() -> watch.onResponseHead(queue.nowUs(), call, status));
     }
 
     void body(long call, String text) {
         onDiscovery(
                 () ->
-                        watch.body(
+                        watch.onBody(
                                 queue.nowUs(),
                                 queue.nowUs() - unreadUs,
                                 call,
@@ -247,28 +248,28 @@
     void closed(long call, String why) {
         onDiscovery(
                 () -> {
-                    watch.failed(call, why);
-                    watch.closed(queue.nowUs(), call);
+                    watch.onFailed(call, why);
+                    watch.onClosed(queue.nowUs(), call);
                 });
     }
 
     // ---- the watch
 
     /** Connections to discovery, and the watch's own timer. */
-    private final class Carrier implements ListWatch.Carrier {
+    private final class Carrier implements ListWatch.Transport {
         @Override
-        public void call(long call, InetSocketAddress address, String path) {
+        public void startCall(long call, InetSocketAddress address, String path) {
             queue.scheduleAfter(0, () -> discovery.called(ProxyModel.this, call, address, path));
         }
 
         @Override
-        public void hangUp(long call) {
+        public void closeCall(long call) {
             queue.scheduleAfter(0, () -> discovery.hungUp(call));
         }
 
         @Override
         public void wakeAt(long atUs) {
-            atTimer(atUs, () -> watch.time(queue.nowUs()));
+            atTimer(atUs, () -> watch.onTimer(queue.nowUs()));
         }
     }
 
@@ -277,7 +278,7 @@
     }
 
     @Override
-    public void listed(EndpointList list, ListFreshness currency) {
+    public void onList(EndpointList list, ListFreshness currency) {
         timeline.accept("the proxy has version " + list.index());
         balancer.serversChanged(
                 queue.nowUs(),
@@ -287,32 +288,32 @@
     }
 
     @Override
-    public void unchanged(ListFreshness currency) {
+    public void onUnchanged(ListFreshness currency) {
         balancer.listCurrent(queue.nowUs(), currency);
     }
 
     @Override
-    public void pending(long sinceUs) {
+    public void onPending(long sinceUs) {
         balancer.listPending(sinceUs);
     }
 
     @Override
-    public void lost() {
+    public void onWatchLost() {
         balancer.discoveryFailed(queue.nowUs());
     }
 
     @Override
-    public void turnedAway() {
+    public void onRejected() {
         balancer.discoveryTurnedAway();
     }
 
     @Override
-    public void reached() {
+    public void onReached() {
         balancer.discoveryReached();
     }
 
     @Override
-    public void moved() {
+    public void onAddressChanged() {
         balancer.discoveryMoved(queue.nowUs(), queue.nowUs() - unreadUs);
     }
 
@@ -378,7 +379,7 @@
 
     @Override
     public void watchServers() {
-        watch.watch(queue.nowUs());
+        watch.startWatch(queue.nowUs());
     }
 
     @Override
--- a/src/main/java/passhatch/proxy/Messages.java
+++ b/src/main/java/passhatch/proxy/BackendRequests.java
@@ -12,41 +12,41 @@
 import passhatch.proxy.flow.RequestBody;
 
 /** What goes out to backends. */
-final class Messages {
+final class BackendRequests {
 
-    private Messages() {}
+    private BackendRequests() {}
 
     /**
      * A request as it goes to a backend, or its head where its body follows as it comes.
      *
-     * @param leftUs how long it is waited for, in microseconds
+     * @param timeLeftUs how long it is waited for, in microseconds
      */
-    static HttpRequest request(ProxyRequest request, long leftUs) {
+    static HttpRequest request(ProxyRequest request, long timeLeftUs) {
         RequestBody body = request.body();
         HttpRequest message;
         if (body.isLong()) {
             message = new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri());
-            if (body.declared() >= 0) {
-                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.declared());
+            if (body.declaredLength() >= 0) {
+                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.declaredLength());
             } else {
                 message.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             }
         } else {
-            byte[] kept = body.kept();
+            byte[] buffered = body.replayableBytes();
             message =
                     new DefaultFullHttpRequest(
                             HttpVersion.HTTP_1_1,
                             request.method(),
                             request.uri(),
-                            Unpooled.wrappedBuffer(kept));
-            if (!request.method().equals(HttpMethod.GET) || kept.length > 0) {
-                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, kept.length);
+                            Unpooled.wrappedBuffer(buffered));
+            if (!request.method().equals(HttpMethod.GET) || buffered.length > 0) {
+                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, buffered.length);
             }
         }
         message.headers()
                 .set(HttpHeaderNames.HOST, "backend")
                 .set("X-Request-Id", request.id())
-                .set("X-Deadline", Math.max(1, leftUs) + "u");
+                .set("X-Deadline", Math.max(1, timeLeftUs) + "u");
         if (request.idempotencyKey() != null) {
             message.headers().set("Idempotency-Key", request.idempotencyKey());
         }
--- a/src/main/java/passhatch/proxy/Exchange.java
+++ b/src/main/java/passhatch/proxy/Exchange.java
@@ -17,14 +17,14 @@
     /** When it must be answered; not known before all of it has come. */
     long deadlineUs = Long.MAX_VALUE;
 
-    Future<?> backstop;
+    Future<?> fallbackTimer;
     boolean uploading;
 
     /** Its final answer is settled. */
-    boolean answered;
+    boolean responseChosen;
 
     /** And given, or its client has left. */
-    boolean ended;
+    boolean completed;
 
     Exchange(ProxyRequest request, Responder responder) {
         this.request = request;
@@ -32,7 +32,8 @@
     }
 
     boolean mayHaveRun() {
-        return attempts.stream().anyMatch(a -> a.outcome == null || !a.outcome.provesNotRun);
+        return attempts.stream()
+                .anyMatch(attempt -> attempt.outcome == null || !attempt.outcome.provesNotRun);
     }
 
     /** One attempt; its handle is null where it was never sent. */
@@ -47,7 +48,7 @@
         long writtenAtUs;
 
         /** Its answer is passed on as it comes. */
-        boolean streams;
+        boolean streaming;
 
         BackendPool.Handle handle;
         Outcome outcome;
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -26,17 +26,17 @@
 import passhatch.proxy.backend.LoadText;
 import passhatch.proxy.base.Clock;
 import passhatch.proxy.base.EventLog;
-import passhatch.proxy.base.HoldUps;
+import passhatch.proxy.base.StallDetector;
 import passhatch.proxy.client.Answer;
 import passhatch.proxy.client.ProxyRequest;
 import passhatch.proxy.client.RequestHandler;
-import passhatch.proxy.control.Figures;
-import passhatch.proxy.discovery.Discovery;
+import passhatch.proxy.control.ProxyMetrics;
+import passhatch.proxy.discovery.DiscoveryClient;
 import passhatch.proxy.discovery.EndpointList;
 import passhatch.proxy.discovery.ListWatch;
-import passhatch.proxy.flow.AnswerStream;
 import passhatch.proxy.flow.Relay;
 import passhatch.proxy.flow.RequestBody;
+import passhatch.proxy.flow.ResponseStream;
 
 /**
  * The only caller of the decision module: tells it what happens and does what it asks. It holds the
@@ -48,15 +48,15 @@
      * How long before its client's time is up a request ends here: the answer has to travel, and
      * the loop may be late. Of a short time it is a part only.
      */
-    private static final long ANSWER_MARGIN_US = 20_000;
+    private static final long RESPONSE_MARGIN_US = 20_000;
 
-    private static final long MARGIN_PART = 8;
+    private static final long RESPONSE_MARGIN_DIVISOR = 8;
 
     /** One part in so many of a client's time is the most that hold-ups may take of it. */
-    private static final long MOST_AHEAD = 4;
+    private static final long STALL_ALLOWANCE_DIVISOR = 4;
 
     /** How long after that the answer is given here if the module has given none. */
-    private static final long BACKSTOP_US = 5_000;
+    private static final long FALLBACK_DELAY_US = 5_000;
 
     /**
      * A probe is given up after this: a load that old is no longer true, and the module takes the
@@ -65,36 +65,36 @@
     private static final long PROBE_TIMEOUT_US = 50_000;
 
     /** A message may be so long on its way, with the handshake of a new connection before it. */
-    private static final long ON_ITS_WAY_US = 100_000;
+    private static final long MAX_TRANSIT_US = 100_000;
 
     /** A timer that is set now fires after what the loop is at. */
-    private static final long CATCH_UP_MS = 1;
+    private static final long CATCH_UP_DELAY_MS = 1;
 
     /** A body that has not come whole by then never will: the slowest is sent at 64 kB a second. */
-    private static final long LONGEST_UPLOAD_US = 600_000_000;
+    private static final long MAX_UPLOAD_US = 600_000_000;
 
     private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
     private final BackendPool pool;
-    private final Figures figures;
-    private final HoldUps holdUps;
-    private final Discovery discovery;
+    private final ProxyMetrics metrics;
+    private final StallDetector stallDetector;
+    private final DiscoveryClient discovery;
     private final Balancer balancer;
     private final int maxAttempts;
     private final List<RequestClass> classes;
     private final Map<String, Exchange> exchanges = new HashMap<>();
-    private final KnownBackends backends = new KnownBackends();
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private boolean deciding;
+    private final BackendTable backends = new BackendTable();
+    private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
+    private boolean dispatching;
 
     /** The loop was held up and has not looked at all connections since. */
     private boolean catchingUp;
 
-    private boolean listed;
+    private boolean listReceived;
 
     /** When requests should come here though no list has come in. */
-    private final long servesKnownAtUs;
+    private final long useInitialListAtUs;
 
     private int unanswered;
 
@@ -102,10 +102,10 @@
     private int uploading;
 
     /** What is taken from now on is answered by then. */
-    private long lastAnswerUs = Long.MAX_VALUE;
+    private long latestDeadlineUs = Long.MAX_VALUE;
 
     /** Something to tell the module. */
-    private record Event(Exchange about, Runnable tell) {}
+    private record Event(Exchange exchange, Runnable notification) {}
 
     ProxyLoop(
             EventLoop loop,
@@ -113,51 +113,51 @@
             EventLog log,
             ProxyConfig config,
             BackendPool pool,
-            HoldUps holdUps,
-            ProxyServer.Module module) {
-        this.figures = new Figures(config.classes());
+            StallDetector stallDetector,
+            ProxyServer.BalancerFactory balancerFactory) {
+        this.metrics = new ProxyMetrics(config.classNames());
         this.loop = loop;
         this.clock = clock;
         this.log = log;
         this.pool = pool;
-        this.holdUps = holdUps;
+        this.stallDetector = stallDetector;
         this.maxAttempts = config.settings().limits().maxAttempts();
         this.classes = config.settings().classes();
         this.discovery =
-                new Discovery(
+                new DiscoveryClient(
                         loop,
                         clock,
-                        holdUps,
+                        stallDetector,
                         log,
-                        new ListWatch.Source(
-                                config.discovery(),
-                                config.known(),
+                        new ListWatch.WatchConfig(
+                                config.discoveryAddress(),
+                                config.initialList(),
                                 config.settings().watch(),
-                                config.zones(),
-                                config.models(),
+                                config.zoneNames(),
+                                config.modelNames(),
                                 config.settings().rules().drainGraceUs()),
                         config.seed(),
                         this);
-        this.balancer = module.create(config.settings(), config.seed(), this);
-        remember(config.known());
-        servesKnownAtUs =
-                backends.listed() == 0
+        this.balancer = balancerFactory.create(config.settings(), config.seed(), this);
+        applyInitialList(config.initialList());
+        useInitialListAtUs =
+                backends.listedCount() == 0
                         ? Long.MAX_VALUE
                         : clock.nowUs() + ListLease.UNCONFIRMED_START_TIMEOUT_US;
         if (!config.settings().watch()) {
-            discovery.watch();
+            discovery.startWatch();
         }
     }
 
     /** Whether a list of backends has come in since the start, or the one given then has to do. */
     @Override
     public boolean ready() {
-        return listed || clock.nowUs() >= servesKnownAtUs;
+        return listReceived || clock.nowUs() >= useInitialListAtUs;
     }
 
     /** Has all that is taken from now on answered within this time. */
-    void answerWithin(long us) {
-        lastAnswerUs = clock.nowUs() + us;
+    void limitResponseTime(long timeoutUs) {
+        latestDeadlineUs = clock.nowUs() + timeoutUs;
     }
 
     int unanswered() {
@@ -165,19 +165,19 @@
     }
 
     /** Requests that are remembered, those too of which an attempt is still out. */
-    int held() {
+    int exchangesInMemory() {
         return exchanges.size();
     }
 
     /** What operators are told, a line each. */
-    String figures() {
-        return figures.text(
-                unanswered - uploading, backends.listed(), balancer.hostsDown(clock.nowUs()));
+    String metricsText() {
+        return metrics.text(
+                unanswered - uploading, backends.listedCount(), balancer.hostsDown(clock.nowUs()));
     }
 
     /** Discovery is found at another address from now on. */
-    void discoveryMoved(InetSocketAddress to) {
-        discovery.moveTo(to);
+    void changeDiscoveryAddress(InetSocketAddress newAddress) {
+        discovery.changeAddress(newAddress);
     }
 
     void stop() {
@@ -186,92 +186,98 @@
 
     // ---- what happens
 
-    private void remember(EndpointList known) {
-        learn(known);
-        tell(
+    private void applyInitialList(EndpointList initialList) {
+        updateBackends(initialList);
+        notifyBalancer(
                 null,
-                () -> balancer.serversChanged(clock.nowUs(), ListKind.REMEMBERED, known.servers()));
+                () ->
+                        balancer.serversChanged(
+                                clock.nowUs(), ListKind.REMEMBERED, initialList.servers()));
     }
 
     @Override
-    public void listed(EndpointList list, ListFreshness currency) {
-        learn(list);
-        listed = true;
-        tell(
+    public void onList(EndpointList list, ListFreshness freshness) {
+        updateBackends(list);
+        listReceived = true;
+        notifyBalancer(
                 null,
                 () ->
                         balancer.serversChanged(
                                 clock.nowUs(),
                                 list.whole() ? ListKind.WHOLE : ListKind.CHANGES,
                                 list.servers(),
-                                currency));
+                                freshness));
     }
 
     @Override
-    public void unchanged(ListFreshness currency) {
-        tell(null, () -> balancer.listCurrent(clock.nowUs(), currency));
+    public void onUnchanged(ListFreshness freshness) {
+        notifyBalancer(null, () -> balancer.listCurrent(clock.nowUs(), freshness));
     }
 
     @Override
-    public void pending(long sinceUs) {
-        tell(null, () -> balancer.listPending(sinceUs));
+    public void onPending(long sinceUs) {
+        notifyBalancer(null, () -> balancer.listPending(sinceUs));
     }
 
     @Override
-    public void lost() {
-        tell(null, () -> balancer.discoveryFailed(clock.nowUs()));
+    public void onWatchLost() {
+        notifyBalancer(null, () -> balancer.discoveryFailed(clock.nowUs()));
     }
 
     @Override
-    public void turnedAway() {
-        tell(null, balancer::discoveryTurnedAway);
+    public void onRejected() {
+        notifyBalancer(null, balancer::discoveryTurnedAway);
     }
 
     @Override
-    public void reached() {
-        tell(null, balancer::discoveryReached);
+    public void onReached() {
+        notifyBalancer(null, balancer::discoveryReached);
     }
 
     @Override
-    public void moved() {
-        tell(
+    public void onAddressChanged() {
+        notifyBalancer(
                 null,
                 () -> {
                     long nowUs = clock.nowUs();
-                    balancer.discoveryMoved(nowUs, nowUs - holdUps.unreadUs(nowUs));
+                    balancer.discoveryMoved(nowUs, nowUs - stallDetector.unreadUs(nowUs));
                 });
     }
 
-    private void learn(EndpointList list) {
-        backends.learn(list).forEach(pool::closeIdle);
+    private void updateBackends(EndpointList list) {
+        backends.update(list).forEach(pool::closeIdle);
     }
 
     @Override
     public boolean take(ProxyRequest request, long unreadUs, Responder responder) {
-        Exchange e = new Exchange(request, responder);
-        if (exchanges.putIfAbsent(request.id(), e) != null) {
+        Exchange exchange = new Exchange(request, responder);
+        if (exchanges.putIfAbsent(request.id(), exchange) != null) {
             return false;
         }
         unanswered++;
         log.trace("taken", request.id(), request.budgetUs());
-        e.uploading = !request.body().ended();
-        if (e.uploading) {
+        exchange.uploading = !request.body().ended();
+        if (exchange.uploading) {
             uploading++;
         } else {
-            runClock(e, unreadUs);
+            startDeadline(exchange, unreadUs);
         }
-        long givenUs = e.uploading ? request.budgetUs() : 0;
-        tell(
-                e,
+        long uploadBudgetUs = exchange.uploading ? request.budgetUs() : 0;
+        notifyBalancer(
+                exchange,
                 () -> {
-                    long at = clock.nowUs();
+                    long nowUs = clock.nowUs();
                     balancer.request(
-                            at,
+                            nowUs,
                             new Request(
                                     request.id(),
                                     request.requestClass(),
                                     request.tenant(),
-                                    Math.max(0, givenUs > 0 ? givenUs : e.deadlineUs - at),
+                                    Math.max(
+                                            0,
+                                            uploadBudgetUs > 0
+                                                    ? uploadBudgetUs
+                                                    : exchange.deadlineUs - nowUs),
                                     request.workUs(),
                                     request.retry()));
                 });
@@ -280,65 +286,67 @@
 
     @Override
     public void bodyEnded(String id, long unreadUs) {
-        Exchange e = exchanges.get(id);
-        if (e == null || !e.uploading) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange == null || !exchange.uploading) {
             return;
         }
-        stopUploading(e);
-        if (!e.answered) {
-            runClock(e, unreadUs);
-            for (Exchange.Attempt a : e.attempts) {
-                if (a.outcome == null && a.handle != null) {
-                    a.handle.endWithin(e.deadlineUs - clock.nowUs());
+        finishUpload(exchange);
+        if (!exchange.responseChosen) {
+            startDeadline(exchange, unreadUs);
+            for (Exchange.Attempt attempt : exchange.attempts) {
+                if (attempt.outcome == null && attempt.handle != null) {
+                    attempt.handle.endWithin(exchange.deadlineUs - clock.nowUs());
                 }
             }
         }
     }
 
-    private void stopUploading(Exchange e) {
-        if (e.uploading) {
-            e.uploading = false;
+    private void finishUpload(Exchange exchange) {
+        if (exchange.uploading) {
+            exchange.uploading = false;
             uploading--;
         }
     }
 
-    private void runClock(Exchange e, long unreadUs) {
-        long now = clock.nowUs();
+    private void startDeadline(Exchange exchange, long unreadUs) {
+        long nowUs = clock.nowUs();
         // A process that is held up now and then cannot tell when: it answers so much sooner, if
         // time allows.
-        long budgetUs = e.request.budgetUs();
-        long aheadUs =
-                Math.min(ANSWER_MARGIN_US, budgetUs / MARGIN_PART)
-                        + Math.min(holdUps.answerAheadUs(), budgetUs / MOST_AHEAD);
-        e.deadlineUs = Math.min(now + budgetUs - unreadUs - aheadUs, lastAnswerUs);
-        e.backstop =
+        long budgetUs = exchange.request.budgetUs();
+        long marginUs =
+                Math.min(RESPONSE_MARGIN_US, budgetUs / RESPONSE_MARGIN_DIVISOR)
+                        + Math.min(
+                                stallDetector.responseMarginUs(),
+                                budgetUs / STALL_ALLOWANCE_DIVISOR);
+        exchange.deadlineUs = Math.min(nowUs + budgetUs - unreadUs - marginUs, latestDeadlineUs);
+        exchange.fallbackTimer =
                 loop.schedule(
-                        () -> overdue(e),
-                        Math.max(0, e.deadlineUs - now) + BACKSTOP_US,
+                        () -> respondIfOverdue(exchange),
+                        Math.max(0, exchange.deadlineUs - nowUs) + FALLBACK_DELAY_US,
                         TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void clientGone(String id) {
-        Exchange e = exchanges.get(id);
-        if (e == null || e.ended) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange == null || exchange.completed) {
             return;
         }
-        boolean streams = e.answered;
-        decide(e);
-        end(e, null);
-        if (streams) {
-            giveUpAttempts(e);
+        boolean streaming = exchange.responseChosen;
+        markResponseChosen(exchange);
+        complete(exchange, null);
+        if (streaming) {
+            cancelAttempts(exchange);
         } else {
-            tell(e, () -> balancer.clientGone(clock.nowUs(), id));
+            notifyBalancer(exchange, () -> balancer.clientGone(clock.nowUs(), id));
         }
-        forget(e);
+        removeIfCompleted(exchange);
     }
 
-    private static void giveUpAttempts(Exchange e) {
-        for (Exchange.Attempt a : e.attempts) {
-            if (a.outcome == null && a.handle != null) {
-                a.handle.cancel();
+    private static void cancelAttempts(Exchange exchange) {
+        for (Exchange.Attempt attempt : exchange.attempts) {
+            if (attempt.outcome == null && attempt.handle != null) {
+                attempt.handle.cancel();
             }
         }
     }
@@ -346,46 +354,49 @@
     /**
      * Guards against a request that the module holds too long: it is answered here, just in time.
      */
-    private void overdue(Exchange e) {
-        if (!e.answered) {
-            log.line("request " + e.request.id() + " was not answered in time by the module");
-            answer(e, e.mayHaveRun() ? Answer.failed() : Answer.refused(0));
-            tell(e, () -> balancer.clientGone(clock.nowUs(), e.request.id()));
-            forget(e);
+    private void respondIfOverdue(Exchange exchange) {
+        if (!exchange.responseChosen) {
+            log.line(
+                    "request " + exchange.request.id() + " was not answered in time by the module");
+            sendResponse(exchange, exchange.mayHaveRun() ? Answer.failed() : Answer.refused(0));
+            notifyBalancer(
+                    exchange, () -> balancer.clientGone(clock.nowUs(), exchange.request.id()));
+            removeIfCompleted(exchange);
         }
     }
 
     /** What was begun is the final answer: no other attempt counts from now on. */
-    private void answerBegun(Exchange e, Exchange.Attempt attempt, AnswerStream stream) {
-        if (e.answered) {
+    private void onResponseStarted(
+            Exchange exchange, Exchange.Attempt attempt, ResponseStream stream) {
+        if (exchange.responseChosen) {
             attempt.handle.cancel();
             return;
         }
-        decide(e);
-        attempt.streams = true;
-        log.trace("streams", e.request.id(), stream.length());
-        tell(
-                e,
+        markResponseChosen(exchange);
+        attempt.streaming = true;
+        log.trace("streams", exchange.request.id(), stream.length());
+        notifyBalancer(
+                exchange,
                 () ->
                         balancer.streamStarted(
                                 clock.nowUs(),
-                                e.request.id(),
+                                exchange.request.id(),
                                 attempt.number,
                                 attempt.server,
                                 elapsedUs(attempt)));
-        e.responder.stream(
+        exchange.responder.stream(
                 stream,
                 new Relay.Listener() {
                     @Override
-                    public void passed() {
-                        end(e, Figures.Ending.SERVED);
-                        forget(e);
+                    public void completed() {
+                        complete(exchange, ProxyMetrics.RequestResult.SERVED);
+                        removeIfCompleted(exchange);
                     }
 
                     @Override
-                    public void broken() {
-                        clientGone(e.request.id());
-                        e.responder.broken();
+                    public void failed() {
+                        clientGone(exchange.request.id());
+                        exchange.responder.broken();
                     }
                 });
     }
@@ -394,23 +405,23 @@
         return clock.nowUs() - attempt.sentAtUs;
     }
 
-    private void attemptEnded(Exchange e, Exchange.Attempt attempt, Result result) {
+    private void onAttemptCompleted(Exchange exchange, Exchange.Attempt attempt, Result result) {
         attempt.outcome = result.outcome();
-        log.trace("attempt-ended", e.request.id(), result.outcome());
+        log.trace("attempt-ended", exchange.request.id(), result.outcome());
         long elapsedUs = elapsedUs(attempt);
-        if (result.outcome() == Outcome.OK && !e.answered) {
-            answer(e, Answer.served(result.body()));
-        } else if (result.outcome() != Outcome.OK && attempt.streams && !e.ended) {
-            end(e, Figures.Ending.FAILED);
-            e.responder.broken();
+        if (result.outcome() == Outcome.OK && !exchange.responseChosen) {
+            sendResponse(exchange, Answer.served(result.body()));
+        } else if (result.outcome() != Outcome.OK && attempt.streaming && !exchange.completed) {
+            complete(exchange, ProxyMetrics.RequestResult.FAILED);
+            exchange.responder.broken();
         }
-        boolean ended = e.answered;
+        boolean requestOver = exchange.responseChosen;
         if (result.outcome() != Outcome.OK && result.outcome() != Outcome.CANCELLED) {
             log.line(
                     "attempt "
                             + attempt.number
                             + " of "
-                            + e.request.id()
+                            + exchange.request.id()
                             + " at "
                             + attempt.server
                             + ": "
@@ -419,19 +430,19 @@
                             + elapsedUs
                             + " us");
         }
-        tell(
-                e,
+        notifyBalancer(
+                exchange,
                 () ->
                         balancer.outcome(
                                 clock.nowUs(),
-                                e.request.id(),
+                                exchange.request.id(),
                                 attempt.number,
                                 attempt.server,
                                 result.outcome(),
                                 elapsedUs,
-                                ended,
+                                requestOver,
                                 result.report()));
-        forget(e);
+        removeIfCompleted(exchange);
     }
 
     /**
@@ -439,27 +450,27 @@
      * within one of its actions, so what an action brings about at once waits here until the module
      * has returned.
      */
-    private void tell(Exchange about, Runnable what) {
-        events.add(new Event(about, what));
-        if (deciding) {
+    private void notifyBalancer(Exchange exchange, Runnable notification) {
+        pendingEvents.add(new Event(exchange, notification));
+        if (dispatching) {
             return;
         }
-        noteHoldUp();
-        deciding = true;
-        for (Event event = events.poll(); event != null; event = events.poll()) {
+        reportStall();
+        dispatching = true;
+        for (Event event = pendingEvents.poll(); event != null; event = pendingEvents.poll()) {
             try {
-                event.tell().run();
-            } catch (RuntimeException | Error bug) {
+                event.notification().run();
+            } catch (RuntimeException | Error error) {
                 // Whatever it was, the events behind it are still to be told, and so are all later
                 // ones.
-                log.bug("in the decision module", bug);
-                if (event.about() != null && !event.about().answered) {
-                    answer(event.about(), Answer.failed());
-                    forget(event.about());
+                log.bug("in the decision module", error);
+                if (event.exchange() != null && !event.exchange().responseChosen) {
+                    sendResponse(event.exchange(), Answer.failed());
+                    removeIfCompleted(event.exchange());
                 }
             }
         }
-        deciding = false;
+        dispatching = false;
     }
 
     /**
@@ -467,9 +478,9 @@
      * has been read once the loop has looked at all connections again: of two timers, one set by
      * the other, the second fires after that.
      */
-    private void noteHoldUp() {
+    private void reportStall() {
         long nowUs = clock.nowUs();
-        long unreadUs = holdUps.unreadUs(nowUs);
+        long unreadUs = stallDetector.unreadUs(nowUs);
         if (unreadUs <= ListLease.MAX_STALL_US || catchingUp) {
             return;
         }
@@ -477,17 +488,17 @@
         balancer.listUnread(nowUs - unreadUs);
         log.line("held up for " + TimeUnit.MICROSECONDS.toMillis(unreadUs) + " ms");
         loop.schedule(
-                () -> loop.schedule(this::caughtUp, CATCH_UP_MS, TimeUnit.MILLISECONDS),
-                CATCH_UP_MS,
+                () -> loop.schedule(this::onCaughtUp, CATCH_UP_DELAY_MS, TimeUnit.MILLISECONDS),
+                CATCH_UP_DELAY_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void caughtUp() {
+    private void onCaughtUp() {
         catchingUp = false;
-        if (holdUps.unreadUs(clock.nowUs()) <= ListLease.MAX_STALL_US) {
-            tell(null, () -> balancer.listRead(clock.nowUs()));
+        if (stallDetector.unreadUs(clock.nowUs()) <= ListLease.MAX_STALL_US) {
+            notifyBalancer(null, () -> balancer.listRead(clock.nowUs()));
         } else {
-            noteHoldUp();
+            reportStall();
         }
     }
 
@@ -495,10 +506,10 @@
 
     @Override
     public void send(String id, String server, long timeoutUs) {
-        long now = clock.nowUs();
-        Exchange e = exchanges.get(id);
+        long nowUs = clock.nowUs();
+        Exchange exchange = exchanges.get(id);
         InetSocketAddress backend = backends.address(server);
-        if (e == null || backend == null) {
+        if (exchange == null || backend == null) {
             log.line(
                     "send of "
                             + id
@@ -507,54 +518,63 @@
                             + ": the request or the backend is not known");
             return;
         }
-        Exchange.Attempt attempt = new Exchange.Attempt(e.attempts.size(), server, now);
-        e.attempts.add(attempt);
+        Exchange.Attempt attempt = new Exchange.Attempt(exchange.attempts.size(), server, nowUs);
+        exchange.attempts.add(attempt);
         log.trace("attempt", id, server);
-        RequestBody body = e.request.body();
+        RequestBody body = exchange.request.body();
         // The time of one that is still coming runs once it has come; until then its progress is
         // watched.
-        long leftUs = e.uploading ? LONGEST_UPLOAD_US : e.deadlineUs - now;
-        long waitUs = timeoutUs == 0 || e.uploading ? leftUs : Math.min(timeoutUs, leftUs);
-        if (e.answered || waitUs <= 0 || attempt.number >= maxAttempts || !body.canBeSent()) {
-            loop.execute(() -> attemptEnded(e, attempt, Result.without(Outcome.NOT_SENT)));
+        long timeLeftUs = exchange.uploading ? MAX_UPLOAD_US : exchange.deadlineUs - nowUs;
+        long attemptTimeoutUs =
+                timeoutUs == 0 || exchange.uploading ? timeLeftUs : Math.min(timeoutUs, timeLeftUs);
+        if (exchange.responseChosen
+                || attemptTimeoutUs <= 0
+                || attempt.number >= maxAttempts
+                || !body.canBeSent()) {
+            loop.execute(
+                    () -> onAttemptCompleted(exchange, attempt, Result.without(Outcome.NOT_SENT)));
             return;
         }
-        long untilUs = e.uploading ? now + e.request.budgetUs() : now + waitUs;
+        long attemptDeadlineUs =
+                exchange.uploading ? nowUs + exchange.request.budgetUs() : nowUs + attemptTimeoutUs;
         attempt.handle =
                 pool.send(
                         backend,
                         new Outgoing(
-                                () -> message(e, untilUs),
+                                () -> buildRequest(exchange, attemptDeadlineUs),
                                 body.isLong() ? body : null,
-                                () -> !e.answered && isUpAt(backend, server) && mayStillRepeat(e),
-                                waitUs,
+                                () ->
+                                        !exchange.responseChosen
+                                                && isUpAt(backend, server)
+                                                && mayStillRepeat(exchange),
+                                attemptTimeoutUs,
                                 Outcome.TIMEOUT),
                         new BackendPool.Listener() {
                             @Override
                             public void written() {
-                                log.trace("written", e.request.id(), attempt.number);
+                                log.trace("written", exchange.request.id(), attempt.number);
                                 attempt.writtenAtUs = clock.nowUs();
-                                figures.backendCall();
+                                metrics.countBackendRequest();
                                 if (body.isLong()) {
                                     attempt.sentAtUs = clock.nowUs();
-                                    tell(
-                                            e,
+                                    notifyBalancer(
+                                            exchange,
                                             () ->
                                                     balancer.bodyWritten(
                                                             clock.nowUs(),
-                                                            e.request.id(),
+                                                            exchange.request.id(),
                                                             attempt.number));
                                 }
                             }
 
                             @Override
-                            public void begun(AnswerStream answer) {
-                                answerBegun(e, attempt, answer);
+                            public void begun(ResponseStream answer) {
+                                onResponseStarted(exchange, attempt, answer);
                             }
 
                             @Override
                             public void done(Result result) {
-                                attemptEnded(e, attempt, result);
+                                onAttemptCompleted(exchange, attempt, result);
                             }
                         });
     }
@@ -571,47 +591,50 @@
      * And so is a repeat by a key that its server would no longer drop: the module asked for it in
      * time, but its connection may have come up after that.
      */
-    private boolean mayStillRepeat(Exchange e) {
-        RequestClass kind = classes.get(e.request.requestClass());
-        return kind.effect() != Effect.KEYED
-                || e.attempts.stream()
+    private boolean mayStillRepeat(Exchange exchange) {
+        RequestClass requestClass = classes.get(exchange.request.requestClass());
+        return requestClass.effect() != Effect.KEYED
+                || exchange.attempts.stream()
                         .filter(Exchange.Attempt::mayHaveRun)
                         .allMatch(
-                                a ->
-                                        clock.nowUs() - a.writtenAtUs
-                                                < kind.dedupWindowUs() - ON_ITS_WAY_US);
+                                attempt ->
+                                        clock.nowUs() - attempt.writtenAtUs
+                                                < requestClass.dedupWindowUs() - MAX_TRANSIT_US);
     }
 
-    private HttpRequest message(Exchange e, long untilUs) {
-        if (e.request.body().isLong()) {
-            tell(e, () -> balancer.bodySpent(clock.nowUs(), e.request.id()));
+    private HttpRequest buildRequest(Exchange exchange, long deadlineUs) {
+        if (exchange.request.body().isLong()) {
+            notifyBalancer(
+                    exchange, () -> balancer.bodySpent(clock.nowUs(), exchange.request.id()));
         }
-        return Messages.request(e.request, untilUs - clock.nowUs());
+        return BackendRequests.request(exchange.request, deadlineUs - clock.nowUs());
     }
 
     @Override
     public void refuse(String id, long retryAfterUs) {
-        finish(id, Answer.refused(retryAfterUs));
+        respondOnce(id, Answer.refused(retryAfterUs));
     }
 
     @Override
     public void fail(String id) {
-        finish(id, Answer.failed());
+        respondOnce(id, Answer.failed());
     }
 
-    private void finish(String id, Answer answer) {
-        Exchange e = exchanges.get(id);
-        if (e != null && !e.answered) {
-            answer(e, answer);
-            forget(e);
+    private void respondOnce(String id, Answer response) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange != null && !exchange.responseChosen) {
+            sendResponse(exchange, response);
+            removeIfCompleted(exchange);
         }
     }
 
     @Override
     public void cancel(String id, int number) {
-        Exchange e = exchanges.get(id);
-        if (e != null && number < e.attempts.size() && e.attempts.get(number).handle != null) {
-            e.attempts.get(number).handle.cancel();
+        Exchange exchange = exchanges.get(id);
+        if (exchange != null
+                && number < exchange.attempts.size()
+                && exchange.attempts.get(number).handle != null) {
+            exchange.attempts.get(number).handle.cancel();
         }
     }
 
@@ -633,26 +656,26 @@
         pool.send(
                 backend,
                 new Outgoing(
-                        Messages::probe,
+                        BackendRequests::probe,
                         null,
                         () -> isUpAt(backend, server),
                         PROBE_TIMEOUT_US,
                         Outcome.TIMEOUT),
                 result ->
-                        tell(
+                        notifyBalancer(
                                 null,
                                 () -> {
-                                    long now = clock.nowUs();
+                                    long nowUs = clock.nowUs();
                                     balancer.probeResult(
-                                            now,
+                                            nowUs,
                                             server,
                                             result.outcome(),
-                                            now - sentAtUs,
-                                            report(result));
+                                            nowUs - sentAtUs,
+                                            loadReport(result));
                                 }));
     }
 
-    private static LoadReport report(Result result) {
+    private static LoadReport loadReport(Result result) {
         return result.report() != null || result.body() == null
                 ? result.report()
                 : LoadText.parse(new String(result.body(), StandardCharsets.UTF_8));
@@ -661,14 +684,14 @@
     @Override
     public void wakeAt(long atUs) {
         loop.schedule(
-                () -> tell(null, () -> balancer.timer(clock.nowUs())),
+                () -> notifyBalancer(null, () -> balancer.timer(clock.nowUs())),
                 Math.max(0, atUs - clock.nowUs()),
                 TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void watchServers() {
-        discovery.watch();
+        discovery.startWatch();
     }
 
     @Override
@@ -679,46 +702,47 @@
     // ---- requests
 
     /** Gives the one final answer. */
-    private void answer(Exchange e, Answer answer) {
-        decide(e);
-        end(e, ending(answer));
-        e.responder.answer(answer);
+    private void sendResponse(Exchange exchange, Answer response) {
+        markResponseChosen(exchange);
+        complete(exchange, resultOf(response));
+        exchange.responder.answer(response);
     }
 
-    private static Figures.Ending ending(Answer answer) {
-        return answer.status().equals(HttpResponseStatus.OK)
-                ? Figures.Ending.SERVED
-                : answer.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
-                        ? Figures.Ending.REFUSED
-                        : Figures.Ending.FAILED;
+    private static ProxyMetrics.RequestResult resultOf(Answer response) {
+        return response.status().equals(HttpResponseStatus.OK)
+                ? ProxyMetrics.RequestResult.SERVED
+                : response.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
+                        ? ProxyMetrics.RequestResult.REFUSED
+                        : ProxyMetrics.RequestResult.FAILED;
     }
 
     /** The final answer is settled, though it may still be on its way. */
-    private static void decide(Exchange e) {
-        e.answered = true;
-        if (e.backstop != null) {
-            e.backstop.cancel(false);
+    private static void markResponseChosen(Exchange exchange) {
+        exchange.responseChosen = true;
+        if (exchange.fallbackTimer != null) {
+            exchange.fallbackTimer.cancel(false);
         }
     }
 
     /** The one place where a request ends; with null where its client has left. */
-    private void end(Exchange e, Figures.Ending how) {
-        e.ended = true;
-        log.trace("ended", e.request.id(), how);
-        if (how != null) {
-            figures.ended(e.request.requestClass(), how);
+    private void complete(Exchange exchange, ProxyMetrics.RequestResult result) {
+        exchange.completed = true;
+        log.trace("ended", exchange.request.id(), result);
+        if (result != null) {
+            metrics.countRequest(exchange.request.requestClass(), result);
         }
-        stopUploading(e);
-        e.request.body().drop();
+        finishUpload(exchange);
+        exchange.request.body().drop();
         unanswered--;
     }
 
     /**
      * A request is remembered until its last attempt has ended, as the module is told of that too.
      */
-    private void forget(Exchange e) {
-        if (e.ended && e.attempts.stream().allMatch(a -> a.outcome != null)) {
-            exchanges.remove(e.request.id(), e);
+    private void removeIfCompleted(Exchange exchange) {
+        if (exchange.completed
+                && exchange.attempts.stream().allMatch(attempt -> attempt.outcome != null)) {
+            exchanges.remove(exchange.request.id(), exchange);
         }
     }
 }
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -18,25 +18,25 @@
 import passhatch.Logic;
 import passhatch.proxy.backend.BackendPool;
 import passhatch.proxy.base.Clock;
-import passhatch.proxy.base.Descriptors;
+import passhatch.proxy.base.DescriptorLimits;
 import passhatch.proxy.base.EventLog;
-import passhatch.proxy.base.HangUp;
-import passhatch.proxy.base.HoldUps;
 import passhatch.proxy.base.NettyLog;
+import passhatch.proxy.base.ReloadSignal;
+import passhatch.proxy.base.StallDetector;
 import passhatch.proxy.client.ClientServer;
 import passhatch.proxy.client.RequestParser;
 import passhatch.proxy.control.Control;
-import passhatch.proxy.flow.ByteBudget;
+import passhatch.proxy.flow.BufferBudget;
 
 /** One real proxy, from its start to its end. */
 public final class ProxyServer {
 
-    private static final long SWEEP_MS = 250;
+    private static final long MAINTENANCE_INTERVAL_MS = 250;
 
     /**
      * A second answer to one request comes some milliseconds after the first, where there is one.
      */
-    private static final long REST_US = 20_000;
+    private static final long CONNECTION_REST_US = 20_000;
 
     /**
      * Where an older process serves, a new one takes its part of the new connections for this long
@@ -46,16 +46,16 @@
     private static final long WARM_UP_MS = 2_000;
 
     /** How often a process that is to end looks whether all is done. */
-    private static final long DONE_CHECK_MS = 20;
+    private static final long COMPLETION_CHECK_INTERVAL_MS = 20;
 
     /** The part of the configured memory that bodies on their way may take: most is the JVM's. */
-    private static final long BUDGET_PART = 36;
+    private static final long BUFFER_MEMORY_DIVISOR = 36;
 
     /** The status of a process that ends as its loop has died. */
-    private static final int LOOP_DIED = 70;
+    private static final int LOOP_DIED_EXIT_STATUS = 70;
 
     /** Makes the decision module. */
-    interface Module {
+    interface BalancerFactory {
         Balancer create(Settings settings, long seed, Actions actions);
     }
 
@@ -63,29 +63,29 @@
     private final EventLoop loop;
     private final EventLog log;
     private final long longestDeadlineMs;
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final int sockets;
-    private final Descriptors descriptors = new Descriptors(Control.MOST_CALLERS);
-    private ProxyLoop proxy;
-    private ClientServer clients;
-    private BackendPool pool;
-    private ByteBudget budget;
-    private Control control;
+    private final CountDownLatch terminated = new CountDownLatch(1);
+    private final int maxDescriptors;
+    private final DescriptorLimits descriptorLimits = new DescriptorLimits(Control.MAX_CONNECTIONS);
+    private ProxyLoop proxyLoop;
+    private ClientServer frontend;
+    private BackendPool backendPool;
+    private BufferBudget bufferBudget;
+    private Control controlServer;
 
     /** Null where the platform keeps no folder for this proxy's processes. */
-    private Succession succession;
+    private ProcessHandover handover;
 
     /** Not where the traffic of an older process would come all at once. */
-    private boolean warm;
+    private boolean warmedUp;
 
     private InetSocketAddress address;
 
     /** It could not listen, so there is nothing to end in an orderly way. */
-    private volatile boolean failed;
+    private volatile boolean listenFailed;
 
     private ProxyServer(ProxyConfig config, EventLog log) {
         this.log = log;
-        this.sockets = config.sockets();
+        this.maxDescriptors = config.maxDescriptors();
         this.group =
                 new MultiThreadIoEventLoopGroup(
                         1, new DefaultThreadFactory("proxy"), NioIoHandler.newFactory());
@@ -107,44 +107,44 @@
         try {
             ProxyConfig config = ProxyConfig.read(env);
             EventLog log = new EventLog(err);
-            NettyLog.sendTo(log);
+            NettyLog.redirectTo(log);
             server = create(config, log, Logic::new);
-            server.endWithTheLoop();
+            server.exitWhenLoopDies();
             // A signal may come in the moment in which the first connection is accepted.
-            if (!HangUp.handle(() -> server.reload(env))) {
+            if (!ReloadSignal.handle(() -> server.reload(env))) {
                 server.log.line("SIGHUP is ignored since the start: no new configuration is taken");
             }
-            Runtime.getRuntime().addShutdownHook(new Thread(server::endInOrder));
+            Runtime.getRuntime().addShutdownHook(new Thread(server::shutDownAndExit));
             server.listen(config);
-        } catch (ProxyConfig.BadConfig bad) {
-            err.println("passhatch: " + bad.getMessage());
+        } catch (ProxyConfig.InvalidConfigException invalid) {
+            err.println("passhatch: " + invalid.getMessage());
             return 2;
         }
-        server.ended.await();
+        server.terminated.await();
         return 0;
     }
 
     /** A process whose loop has died would stay and serve nobody. */
-    private void endWithTheLoop() {
-        Thread.UncaughtExceptionHandler end =
+    private void exitWhenLoopDies() {
+        Thread.UncaughtExceptionHandler exit =
                 (thread, error) -> {
                     log.bug("in thread " + thread.getName(), error);
-                    Runtime.getRuntime().halt(LOOP_DIED);
+                    Runtime.getRuntime().halt(LOOP_DIED_EXIT_STATUS);
                 };
-        loop.execute(() -> Thread.currentThread().setUncaughtExceptionHandler(end));
+        loop.execute(() -> Thread.currentThread().setUncaughtExceptionHandler(exit));
     }
 
     /**
      * The JVM ends as soon as its hooks have returned, with the status of the signal: so this one
      * stays until all is answered, and then ends the process itself.
      */
-    private void endInOrder() {
-        if (failed) {
+    private void shutDownAndExit() {
+        if (listenFailed) {
             return;
         }
         shutDown();
         try {
-            ended.await();
+            terminated.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -152,120 +152,129 @@
     }
 
     /** Starts a proxy and returns once it listens. */
-    static ProxyServer start(ProxyConfig config, EventLog log, Module module)
-            throws ProxyConfig.BadConfig, InterruptedException {
-        ProxyServer server = create(config, log, module);
+    static ProxyServer start(ProxyConfig config, EventLog log, BalancerFactory balancerFactory)
+            throws ProxyConfig.InvalidConfigException, InterruptedException {
+        ProxyServer server = create(config, log, balancerFactory);
         server.listen(config);
         return server;
     }
 
     /** A proxy that asks discovery already, and can be told to end, but does not listen yet. */
-    static ProxyServer create(ProxyConfig config, EventLog log, Module module)
+    static ProxyServer create(ProxyConfig config, EventLog log, BalancerFactory balancerFactory)
             throws InterruptedException {
         ProxyServer server = new ProxyServer(config, log);
-        server.loop.submit(() -> server.build(config, module)).sync();
+        server.loop.submit(() -> server.build(config, balancerFactory)).sync();
         return server;
     }
 
-    void listen(ProxyConfig config) throws ProxyConfig.BadConfig, InterruptedException {
+    void listen(ProxyConfig config)
+            throws ProxyConfig.InvalidConfigException, InterruptedException {
         try {
-            address = clients.listen(config.listen());
+            address = frontend.listen(config.listenAddress());
             log.line("listening on " + address);
-            if (config.control() != null) {
-                control.listen(config.control());
+            if (config.controlAddress() != null) {
+                controlServer.listen(config.controlAddress());
             }
         } catch (IOException e) {
-            failed = true;
-            end();
-            throw new ProxyConfig.BadConfig("PROXY_LISTEN: " + e.getMessage());
+            listenFailed = true;
+            terminate();
+            throw new ProxyConfig.InvalidConfigException("PROXY_LISTEN: " + e.getMessage());
         }
     }
 
-    private void build(ProxyConfig config, Module module) {
+    private void build(ProxyConfig config, BalancerFactory balancerFactory) {
         Clock clock = new Clock();
-        if (config.control() != null && config.folder() != null) {
-            succession = new Succession(config.folder(), log);
+        if (config.controlAddress() != null && config.folder() != null) {
+            handover = new ProcessHandover(config.folder(), log);
         }
-        budget = new ByteBudget(config.memoryBytes() / BUDGET_PART);
-        pool =
+        bufferBudget = new BufferBudget(config.memoryBytes() / BUFFER_MEMORY_DIVISOR);
+        backendPool =
                 new BackendPool(
                         loop,
                         clock,
                         log,
-                        budget,
+                        bufferBudget,
                         config.connectTimeoutUs(),
                         config.settings().limits().keepaliveUs(),
-                        REST_US,
-                        descriptors);
-        HoldUps holdUps = new HoldUps(clock.nowUs());
-        beat(clock, holdUps);
-        proxy = new ProxyLoop(loop, clock, log, config, pool, holdUps, module);
-        clients =
+                        CONNECTION_REST_US,
+                        descriptorLimits);
+        StallDetector stallDetector = new StallDetector(clock.nowUs());
+        scheduleTick(clock, stallDetector);
+        proxyLoop =
+                new ProxyLoop(
+                        loop, clock, log, config, backendPool, stallDetector, balancerFactory);
+        frontend =
                 new ClientServer(
                         loop,
                         clock,
                         log,
                         new RequestParser(
-                                config.settings().classes(), config.classes(), config.tenants()),
-                        proxy,
-                        budget,
-                        descriptors,
-                        holdUps);
-        control = new Control(loop, log, this::ready, proxy::figures);
-        shareDescriptors();
-        warm = !twoRun();
-        if (!warm) {
+                                config.settings().classes(),
+                                config.classNames(),
+                                config.tenantNames()),
+                        proxyLoop,
+                        bufferBudget,
+                        descriptorLimits,
+                        stallDetector);
+        controlServer = new Control(loop, log, this::ready, proxyLoop::metricsText);
+        updateDescriptorLimit();
+        warmedUp = !otherProcessRuns();
+        if (!warmedUp) {
             loop.schedule(
                     () -> {
-                        warm = true;
+                        warmedUp = true;
                     },
                     WARM_UP_MS,
                     TimeUnit.MILLISECONDS);
         }
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                this::runMaintenance,
+                MAINTENANCE_INTERVAL_MS,
+                MAINTENANCE_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Each beat is timed from the one before, so that a hold-up shows once. */
-    private void beat(Clock clock, HoldUps holdUps) {
+    private void scheduleTick(Clock clock, StallDetector stallDetector) {
         loop.schedule(
                 () -> {
-                    holdUps.beat(clock.nowUs());
-                    beat(clock, holdUps);
+                    stallDetector.tick(clock.nowUs());
+                    scheduleTick(clock, stallDetector);
                 },
-                HoldUps.BEAT_US,
+                StallDetector.TICK_INTERVAL_US,
                 TimeUnit.MICROSECONDS);
     }
 
-    private void sweep() {
-        pool.closeStale();
-        shareDescriptors();
+    private void runMaintenance() {
+        backendPool.closeStale();
+        updateDescriptorLimit();
         ready();
-        clients.share(succeeded());
+        frontend.share(newerProcessRuns());
     }
 
     /** Whether this process is ready to serve; an older one may leave from its first yes on. */
     private boolean ready() {
-        boolean ready = clients.ready() && warm;
-        if (ready && succession != null) {
-            succession.ready();
+        boolean ready = frontend.ready() && warmedUp;
+        if (ready && handover != null) {
+            handover.recordReady();
         }
         return ready;
     }
 
-    private boolean twoRun() {
-        return succession != null && succession.twoRun();
+    private boolean otherProcessRuns() {
+        return handover != null && handover.otherProcessRuns();
     }
 
-    private boolean succeeded() {
-        return succession != null && succession.succeeded();
+    private boolean newerProcessRuns() {
+        return handover != null && handover.newerProcessRuns();
     }
 
     /**
      * The limit holds for all processes of this proxy together, and at a change of version there
      * are two.
      */
-    private void shareDescriptors() {
-        descriptors.limit(twoRun() ? sockets / 2 : sockets);
+    private void updateDescriptorLimit() {
+        descriptorLimits.setLimit(otherProcessRuns() ? maxDescriptors / 2 : maxDescriptors);
     }
 
     InetSocketAddress address() {
@@ -273,38 +282,39 @@
     }
 
     /** What is still held of requests and their connections; empty once nothing is out. */
-    String leftOver() throws InterruptedException {
+    String unreleasedResources() throws InterruptedException {
         StringBuilder text = new StringBuilder();
         loop.submit(
                         () -> {
-                            Map<String, Long> held =
+                            Map<String, Long> counts =
                                     new TreeMap<>(
                                             Map.of(
                                                     "requests",
-                                                    (long) proxy.held(),
+                                                    (long) proxyLoop.exchangesInMemory(),
                                                     "requests unanswered",
-                                                    (long) proxy.unanswered(),
+                                                    (long) proxyLoop.unanswered(),
                                                     "bytes",
-                                                    budget.held(),
+                                                    bufferBudget.bufferedBytes(),
                                                     "connections from clients",
-                                                    (long) descriptors.clients(),
+                                                    (long) descriptorLimits.clients(),
                                                     "connections to backends in use",
-                                                    (long) descriptors.backends() - pool.idle()));
-                            held.values().removeIf(n -> n == 0);
-                            text.append(held.isEmpty() ? "" : held);
+                                                    (long) descriptorLimits.backends()
+                                                            - backendPool.idle()));
+                            counts.values().removeIf(count -> count == 0);
+                            text.append(counts.isEmpty() ? "" : counts);
                         })
                 .sync();
         return text.toString();
     }
 
     /** Whether it has begun to end, in order or not. */
-    boolean ends() {
+    boolean isShuttingDown() {
         return loop.isShuttingDown();
     }
 
     /** Where operators ask; null where they cannot. */
     InetSocketAddress controlAddress() {
-        return control.address();
+        return controlServer.address();
     }
 
     /**
@@ -316,26 +326,29 @@
     void shutDown() {
         loop.execute(
                 () -> {
-                    boolean replaced = succession != null && succession.replaced();
-                    log.line("shutting down" + (replaced ? ", a newer process serves" : ""));
-                    EndPlan plan = EndPlan.of(longestDeadlineMs);
-                    clients.unready();
-                    proxy.answerWithin(TimeUnit.MILLISECONDS.toMicros(plan.answerMs()));
-                    if (replaced) {
-                        clients.stopListening();
-                        clients.sendAway();
+                    boolean newerProcessReady = handover != null && handover.newerProcessReady();
+                    log.line(
+                            "shutting down"
+                                    + (newerProcessReady ? ", a newer process serves" : ""));
+                    ShutdownSchedule schedule = ShutdownSchedule.of(longestDeadlineMs);
+                    frontend.unready();
+                    proxyLoop.limitResponseTime(
+                            TimeUnit.MILLISECONDS.toMicros(schedule.respondByMs()));
+                    if (newerProcessReady) {
+                        frontend.stopListening();
+                        frontend.sendAway();
                     } else {
                         loop.schedule(
-                                clients::stopListening,
-                                plan.stopListeningMs(),
+                                frontend::stopListening,
+                                schedule.stopListeningMs(),
                                 TimeUnit.MILLISECONDS);
                     }
                     loop.schedule(
                             () -> {
-                                clients.sendAway();
-                                endOnceDone();
+                                frontend.sendAway();
+                                terminateOnceCompleted();
                             },
-                            plan.leaveMs(),
+                            schedule.closeClientsMs(),
                             TimeUnit.MILLISECONDS);
                 });
     }
@@ -343,12 +356,15 @@
     /**
      * Ends when nothing is out any more; an answer that is long on its way may go on until SIGKILL.
      */
-    private void endOnceDone() {
-        clients.endIdle();
-        if (proxy.unanswered() == 0 && !clients.receiving() && !clients.ending()) {
-            end();
+    private void terminateOnceCompleted() {
+        frontend.endIdle();
+        if (proxyLoop.unanswered() == 0 && !frontend.receiving() && !frontend.ending()) {
+            terminate();
         } else {
-            loop.schedule(this::endOnceDone, DONE_CHECK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    this::terminateOnceCompleted,
+                    COMPLETION_CHECK_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -358,38 +374,38 @@
      * before it changed must not have its say after one that read it later.
      */
     synchronized void reload(Map<String, String> env) {
-        InetSocketAddress discovery;
+        InetSocketAddress discoveryAddress;
         try {
-            discovery = ProxyConfig.readDiscovery(env);
-        } catch (ProxyConfig.BadConfig bad) {
-            log.line("the configuration stays as it is: " + bad.getMessage());
+            discoveryAddress = ProxyConfig.readDiscoveryAddress(env);
+        } catch (ProxyConfig.InvalidConfigException invalid) {
+            log.line("the configuration stays as it is: " + invalid.getMessage());
             return;
         }
-        log.line("discovery is at " + discovery + " from now on");
-        loop.execute(() -> proxy.discoveryMoved(discovery));
+        log.line("discovery is at " + discoveryAddress + " from now on");
+        loop.execute(() -> proxyLoop.changeDiscoveryAddress(discoveryAddress));
     }
 
     /** Waits until its loop has done all that it was given so far. */
-    void awaitIdle() throws InterruptedException {
+    void awaitSubmittedTasks() throws InterruptedException {
         loop.submit(() -> {}).sync();
     }
 
     /** Waits until it has shut down. */
-    boolean awaitEnd(long ms) throws InterruptedException {
-        return ended.await(ms, TimeUnit.MILLISECONDS);
+    boolean awaitTermination(long timeoutMs) throws InterruptedException {
+        return terminated.await(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     /** Ends at once, whatever is out. */
     void stopNow() {
         if (!loop.isShuttingDown()) {
-            loop.execute(this::end);
+            loop.execute(this::terminate);
         }
     }
 
-    private void end() {
-        log.line("ending with " + proxy.unanswered() + " requests unanswered");
-        proxy.stop();
+    private void terminate() {
+        log.line("ending with " + proxyLoop.unanswered() + " requests unanswered");
+        proxyLoop.stop();
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
-                .addListener(done -> ended.countDown());
+                .addListener(done -> terminated.countDown());
     }
 }
--- a/src/main/java/passhatch/proxy/Rehearsal.java
+++ b/src/main/java/passhatch/proxy/Rehearsal.java
@@ -28,7 +28,7 @@
 public final class Rehearsal {
 
     private static final String LONG_BODY = "x".repeat(100_000);
-    private static final int PATIENCE_MS = 10_000;
+    private static final int TIMEOUT_MS = 10_000;
 
     private Rehearsal() {}
 
@@ -36,7 +36,7 @@
      * Plays it through; the build goes on without the archive, which only makes a start quicker, so
      * it says 0.
      */
-    public static int runOrSay(PrintStream err) {
+    public static int runAndReport(PrintStream err) {
         try {
             run(err);
         } catch (Exception e) {
@@ -47,9 +47,9 @@
 
     static void run(PrintStream err) throws Exception {
         Path config = Files.createTempFile("rehearsal", ".json");
-        try (ServerSocket backend = serve(Rehearsal::answerAsBackend);
+        try (ServerSocket backend = serve(Rehearsal::respondAsBackend);
                 ServerSocket discovery =
-                        serve((in, out) -> answerAsDiscovery(in, out, address(backend)))) {
+                        serve((in, out) -> respondAsDiscovery(in, out, address(backend)))) {
             Files.writeString(config, JSON.std.asString(config()));
             ProxyServer proxy =
                     ProxyServer.start(
@@ -68,20 +68,20 @@
                             new EventLog(err),
                             Logic::new);
             try {
-                play(proxy);
+                sendRequests(proxy);
             } finally {
                 proxy.stopNow();
-                proxy.awaitEnd(PATIENCE_MS);
+                proxy.awaitTermination(TIMEOUT_MS);
             }
         } finally {
             Files.delete(config);
         }
     }
 
-    private static void play(ProxyServer proxy) throws Exception {
-        long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-        while (!ask(proxy.controlAddress(), "check\n").startsWith("done")) {
-            if (System.nanoTime() > end) {
+    private static void sendRequests(ProxyServer proxy) throws Exception {
+        long timeoutNs = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+        while (!send(proxy.controlAddress(), "check\n").startsWith("done")) {
+            if (System.nanoTime() > timeoutNs) {
                 throw new IOException("it did not get ready");
             }
             Thread.sleep(10);
@@ -103,23 +103,23 @@
                         + LONG_BODY,
                 "200");
         expect(proxy, "GET /nowhere" + head + "d\r\n\r\n", "404");
-        if (!ask(proxy.controlAddress(), "vars\n").endsWith("end\n")) {
+        if (!send(proxy.controlAddress(), "vars\n").endsWith("end\n")) {
             throw new IOException("no figures");
         }
     }
 
     private static void expect(ProxyServer proxy, String request, String status)
             throws IOException {
-        String answer = ask(proxy.address(), request);
-        if (!answer.startsWith("HTTP/1.1 " + status)) {
+        String response = send(proxy.address(), request);
+        if (!response.startsWith("HTTP/1.1 " + status)) {
             throw new IOException(
-                    "not " + status + ": " + answer.lines().findFirst().orElse("nothing"));
+                    "not " + status + ": " + response.lines().findFirst().orElse("nothing"));
         }
     }
 
-    private static String ask(InetSocketAddress at, String text) throws IOException {
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
-            socket.setSoTimeout(PATIENCE_MS);
+    private static String send(InetSocketAddress address, String text) throws IOException {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
@@ -129,7 +129,7 @@
 
     /** Answers what it reads on one connection. */
     private interface Script {
-        void answer(BufferedReader in, OutputStream out) throws IOException;
+        void respond(BufferedReader in, OutputStream out) throws IOException;
     }
 
     private static String address(ServerSocket server) {
@@ -138,13 +138,13 @@
 
     private static ServerSocket serve(Script script) throws IOException {
         ServerSocket server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
-        daemon(
+        startDaemon(
                 () -> {
                     while (true) {
                         Socket socket = server.accept();
-                        daemon(
+                        startDaemon(
                                 () -> {
-                                    script.answer(
+                                    script.respond(
                                             new BufferedReader(
                                                     new InputStreamReader(
                                                             socket.getInputStream(),
@@ -157,13 +157,13 @@
         return server;
     }
 
-    private static void daemon(Callable<Void> body) {
+    private static void startDaemon(Callable<Void> body) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
                                 body.call();
-                            } catch (Exception over) {
+                            } catch (Exception failed) {
                                 // The rehearsal has ended and closed its sockets, or fails where it
                                 // asks.
                             }
@@ -173,13 +173,13 @@
     }
 
     /** Short answers to short requests, long ones to long ones. */
-    private static void answerAsBackend(BufferedReader in, OutputStream out) throws IOException {
+    private static void respondAsBackend(BufferedReader in, OutputStream out) throws IOException {
         int length = readHead(in);
         while (length >= 0) {
             for (int i = 0; i < length; i++) {
                 in.read();
             }
-            String body = length > RequestBody.MOST_KEPT ? LONG_BODY : "hi";
+            String body = length > RequestBody.MAX_REPLAYABLE_BYTES ? LONG_BODY : "hi";
             out.write(
                     ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.US_ASCII));
@@ -187,7 +187,7 @@
         }
     }
 
-    private static void answerAsDiscovery(BufferedReader in, OutputStream out, String backend)
+    private static void respondAsDiscovery(BufferedReader in, OutputStream out, String backend)
             throws IOException {
         readHead(in);
         String list =
@@ -246,7 +246,7 @@
                 "settings",
                 Map.of(
                         "categories",
-                        List.of(kind("look", "pure"), kind("buy", "token")),
+                        List.of(requestClass("look", "pure"), requestClass("buy", "token")),
                         "dcs",
                         List.of("a"),
                         "machineTypes",
@@ -283,7 +283,7 @@
                                 6_000_000)));
     }
 
-    private static Map<String, Object> kind(String name, String effect) {
+    private static Map<String, Object> requestClass(String name, String effect) {
         return Map.of(
                 "name",
                 name,
--- a/src/main/java/passhatch/proxy/backend/BackendPool.java
+++ b/src/main/java/passhatch/proxy/backend/BackendPool.java
@@ -35,14 +35,14 @@
 import passhatch.Balancer.LoadReport;
 import passhatch.Balancer.Outcome;
 import passhatch.proxy.base.Clock;
-import passhatch.proxy.base.Descriptors;
+import passhatch.proxy.base.DescriptorLimits;
 import passhatch.proxy.base.EventLog;
 import passhatch.proxy.base.LocalFailure;
-import passhatch.proxy.flow.AnswerStream;
-import passhatch.proxy.flow.ByteBudget;
-import passhatch.proxy.flow.HeldBytes;
+import passhatch.proxy.flow.BufferBudget;
+import passhatch.proxy.flow.BufferedBytes;
 import passhatch.proxy.flow.Relay;
 import passhatch.proxy.flow.RequestBody;
+import passhatch.proxy.flow.ResponseStream;
 
 /**
  * The connections to the backends. A connection carries one request at a time and is kept for the
@@ -95,7 +95,7 @@
         default void written() {}
 
         /** An answer begins that goes on as it comes; from now on the time-out is off. */
-        default void begun(AnswerStream answer) {}
+        default void begun(ResponseStream answer) {}
 
         /** It has ended, once. */
         void done(Result result);
@@ -128,7 +128,7 @@
     private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
-    private final ByteBudget budget;
+    private final BufferBudget budget;
     private final long idleUs;
     private final long restUs;
 
@@ -137,7 +137,7 @@
      */
     private long strayUntilUs = Long.MIN_VALUE;
 
-    private final Descriptors descriptors;
+    private final DescriptorLimits descriptors;
     private final Bootstrap bootstrap;
     private final Map<InetSocketAddress, Deque<Connection>> idle = new HashMap<>();
 
@@ -155,11 +155,11 @@
             EventLoop loop,
             Clock clock,
             EventLog log,
-            ByteBudget budget,
+            BufferBudget budget,
             long connectTimeoutUs,
             long keepaliveUs,
             long restUs,
-            Descriptors descriptors) {
+            DescriptorLimits descriptors) {
         this(
                 loop,
                 clock,
@@ -177,11 +177,11 @@
             EventLoop loop,
             Clock clock,
             EventLog log,
-            ByteBudget budget,
+            BufferBudget budget,
             long connectTimeoutUs,
             long keepaliveUs,
             long restUs,
-            Descriptors descriptors,
+            DescriptorLimits descriptors,
             ChannelFactory<BackendChannel> sockets) {
         this.loop = loop;
         this.clock = clock;
@@ -196,7 +196,7 @@
                         .channelFactory(sockets)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Relay.WATER_MARK)
-                        .option(ChannelOption.RECVBUF_ALLOCATOR, Relay.READS)
+                        .option(ChannelOption.RECVBUF_ALLOCATOR, Relay.READ_SIZES)
                         .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
@@ -312,7 +312,7 @@
         }
         c.channel = channel;
         call.connection = c;
-        descriptors.backend(1);
+        descriptors.addBackends(1);
         // Runs in a later step of the loop even where the connection fails at once.
         connecting.addListener(
                 done ->
@@ -320,13 +320,13 @@
                                 () -> {
                                     if (done.isSuccess()) {
                                         c.write(call);
-                                    } else if (LocalFailure.caused(done.cause())) {
+                                    } else if (LocalFailure.isLocal(done.cause())) {
                                         notSent(call, address, done.cause());
                                     } else {
                                         c.broken();
                                     }
                                 }));
-        c.channel.closeFuture().addListener(closed -> descriptors.backend(-1));
+        c.channel.closeFuture().addListener(closed -> descriptors.addBackends(-1));
     }
 
     /** Nothing of this is the backend's doing. */
@@ -404,7 +404,7 @@
                 ended = true;
                 stopClock();
                 if (outgoing.body() != null && !written) {
-                    outgoing.body().cut();
+                    outgoing.body().stopSending();
                 }
                 listener.done(result);
             }
@@ -588,23 +588,23 @@
     /** Hears how the body of a request went out. */
     private record BodyOut(Call call) implements Relay.Listener {
         @Override
-        public void passed() {
+        public void completed() {
             call.out();
         }
 
         @Override
-        public void broken() {
+        public void failed() {
             call.connection.channel.close();
         }
     }
 
     /** An answer while it comes in. */
-    private final class Incoming implements AnswerStream {
+    private final class Incoming implements ResponseStream {
         private final Connection connection;
         private final Call call;
         private final HttpResponse head;
         private final long length;
-        private final HeldBytes held = new HeldBytes(budget);
+        private final BufferedBytes held = new BufferedBytes(budget);
         private final Future<?> hold;
         private Future<?> stall;
 
@@ -626,7 +626,7 @@
             this.malformed =
                     head.decoderResult().isFailure()
                             || connection.decoder.malformed()
-                            || length > RequestBody.MOST;
+                            || length > RequestBody.MAX_BYTES;
             boolean mayBeLong = length < 0 || length > MOST_HELD;
             this.hold =
                     mayBeLong && head.status().equals(HttpResponseStatus.OK)
@@ -646,12 +646,12 @@
         void take(HttpContent content) {
             moved = true;
             size += content.content().readableBytes();
-            malformed |= content.decoderResult().isFailure() || size > RequestBody.MOST;
+            malformed |= content.decoderResult().isFailure() || size > RequestBody.MAX_BYTES;
             if (!single || malformed) {
                 return;
             }
             if (relay != null) {
-                relay.pass(content.content().retain());
+                relay.forward(content.content().retain());
             } else {
                 held.add(content.content());
             }
@@ -728,7 +728,7 @@
                             },
                             client,
                             listener);
-            relay.pass(Unpooled.wrappedBuffer(held.take()));
+            relay.forward(Unpooled.wrappedBuffer(held.take()));
             if (whole && relay != null) {
                 relay.finish();
             }
--- a/src/main/java/passhatch/proxy/base/Addresses.java
+++ b/src/main/java/passhatch/proxy/base/Addresses.java
@@ -23,8 +23,9 @@
         try {
             return new InetSocketAddress(
                     InetAddress.getByAddress(ip), Integer.parseInt(text.substring(colon + 1)));
-        } catch (IOException | IllegalArgumentException bad) {
-            throw new IllegalArgumentException("'" + text + "' is not an address and a port", bad);
+        } catch (IOException | IllegalArgumentException invalid) {
+            throw new IllegalArgumentException(
+                    "'" + text + "' is not an address and a port", invalid);
         }
     }
 }
--- a/src/main/java/passhatch/proxy/base/Descriptors.java
+++ b/src/main/java/passhatch/proxy/base/DescriptorLimits.java
@@ -5,16 +5,16 @@
  * backends are only as many as requests that are out and some that idle; all others are the
  * clients', as thousands may come and only a part of them ever sends a request.
  */
-public final class Descriptors {
+public final class DescriptorLimits {
 
     /** For the JVM's own files, the selector, the listeners and discovery. */
-    private static final int OWN = 24;
+    private static final int RESERVED_FOR_PROCESS = 24;
 
     /** The part for connections to backends: requests take a third at most, and some idle. */
-    private static final double BACKEND_PART = 0.375;
+    private static final double BACKEND_FRACTION = 0.375;
 
     /** Above this part of its connections a crowd is about. */
-    private static final double CROWDED_PART = 0.75;
+    private static final double SCARCE_FRACTION = 0.75;
 
     private final int reserved;
     private int limit;
@@ -24,23 +24,23 @@
     /**
      * None are held yet.
      *
-     * @param callers how many of operators' calls may be open at a time
+     * @param maxControlConnections how many of operators' calls may be open at a time
      */
-    public Descriptors(int callers) {
-        this.reserved = OWN + callers;
+    public DescriptorLimits(int maxControlConnections) {
+        this.reserved = RESERVED_FOR_PROCESS + maxControlConnections;
     }
 
     /** How many this process may hold from now on; those beyond go as new ones come. */
-    public void limit(int most) {
-        limit = most;
+    public void setLimit(int newLimit) {
+        limit = newLimit;
     }
 
-    public void client(int change) {
-        clients += change;
+    public void addClients(int delta) {
+        clients += delta;
     }
 
-    public void backend(int change) {
-        backends += change;
+    public void addBackends(int delta) {
+        backends += delta;
     }
 
     public int clients() {
@@ -53,16 +53,16 @@
 
     /** Whether one more connection to a backend needs another closed first. */
     public boolean backendsFull() {
-        return backends >= (int) (limit * BACKEND_PART);
+        return backends >= (int) (limit * BACKEND_FRACTION);
     }
 
     /** Whether more are held than may be. */
-    public boolean over() {
+    public boolean limitExceeded() {
         return clients + backends > limit - reserved;
     }
 
     /** Whether room gets scarce, so that no connection should stay without need. */
-    public boolean crowded() {
-        return clients + backends > (limit - reserved) * CROWDED_PART;
+    public boolean scarce() {
+        return clients + backends > (limit - reserved) * SCARCE_FRACTION;
     }
 }
--- a/src/main/java/passhatch/proxy/base/EventLog.java
+++ b/src/main/java/passhatch/proxy/base/EventLog.java
@@ -22,9 +22,9 @@
     }
 
     /** One step of a request: its take, its attempts, its end, the last byte of its answer. */
-    public void trace(String step, String id, Object what) {
+    public void trace(String step, String id, Object detail) {
         if (tracing) {
-            line("trace " + step + " " + id + " " + what);
+            line("trace " + step + " " + id + " " + detail);
         }
     }
 
--- a/src/main/java/passhatch/proxy/base/LingeringClose.java
+++ b/src/main/java/passhatch/proxy/base/LingeringClose.java
@@ -19,12 +19,12 @@
 public final class LingeringClose extends ChannelInboundHandlerAdapter {
 
     /** A peer that is still there has seen the end by then, over any distance. */
-    private static final long MOST_MS = 500;
+    private static final long MAX_LINGER_MS = 500;
 
     /** More than this is not read from a peer that goes on sending. */
-    private static final long MOST_BYTES = 1 << 20;
+    private static final long MAX_DROPPED_BYTES = 1 << 20;
 
-    private long bytes;
+    private long droppedBytes;
 
     private LingeringClose() {}
 
@@ -39,23 +39,23 @@
             channel.pipeline().addFirst(new LingeringClose());
             channel.config().setAutoRead(true);
             ((DuplexChannel) channel).shutdownOutput();
-            var patience =
+            var timeout =
                     channel.eventLoop()
                             .schedule(
                                     () -> {
                                         channel.close();
                                     },
-                                    MOST_MS,
+                                    MAX_LINGER_MS,
                                     TimeUnit.MILLISECONDS);
-            channel.closeFuture().addListener(closed -> patience.cancel(false));
+            channel.closeFuture().addListener(closed -> timeout.cancel(false));
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        bytes += message instanceof ByteBuf buffer ? buffer.readableBytes() : 0;
+        droppedBytes += message instanceof ByteBuf buffer ? buffer.readableBytes() : 0;
         ReferenceCountUtil.release(message);
-        if (bytes > MOST_BYTES) {
+        if (droppedBytes > MAX_DROPPED_BYTES) {
             ctx.close();
         }
     }
--- a/src/main/java/passhatch/proxy/base/LocalFailure.java
+++ b/src/main/java/passhatch/proxy/base/LocalFailure.java
@@ -13,7 +13,7 @@
      * Whether a connection failed for lack of descriptors, ports, buffers or a route here: the JDK
      * has classes of their own for all that the other side brings about, but for a reset.
      */
-    public static boolean caused(Throwable failure) {
+    public static boolean isLocal(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
             if (cause instanceof ConnectException || cause instanceof NoRouteToHostException) {
                 return false;
--- a/src/main/java/passhatch/proxy/base/NettyLog.java
+++ b/src/main/java/passhatch/proxy/base/NettyLog.java
@@ -13,7 +13,7 @@
  */
 public final class NettyLog extends Handler {
 
-    private static final long BETWEEN_LINES_NS = TimeUnit.SECONDS.toNanos(1);
+    private static final long LOG_INTERVAL_NS = TimeUnit.SECONDS.toNanos(1);
 
     /** The JDK holds loggers weakly, and their handlers with them. */
     private static final Logger NETTY = Logger.getLogger("io.netty");
@@ -26,18 +26,18 @@
     }
 
     /** From now on warnings and errors of Netty go to this log, at most one a second. */
-    public static void sendTo(EventLog log) {
+    public static void redirectTo(EventLog log) {
         NETTY.setUseParentHandlers(false);
         NETTY.addHandler(new NettyLog(log));
     }
 
     @Override
     public synchronized void publish(LogRecord entry) {
-        long now = System.nanoTime();
-        if (entry.getLevel().intValue() < Level.WARNING.intValue() || now - nextLineNs < 0) {
+        long nowNs = System.nanoTime();
+        if (entry.getLevel().intValue() < Level.WARNING.intValue() || nowNs - nextLineNs < 0) {
             return;
         }
-        nextLineNs = now + BETWEEN_LINES_NS;
+        nextLineNs = nowNs + LOG_INTERVAL_NS;
         Throwable cause = entry.getThrown();
         log.line("netty: " + entry.getMessage() + (cause == null ? "" : ": " + cause));
     }
--- a/src/main/java/passhatch/proxy/base/HangUp.java
+++ b/src/main/java/passhatch/proxy/base/ReloadSignal.java
@@ -7,9 +7,9 @@
  * class sun.misc.Signal, of the module jdk.unsupported, is reached by reflection, as a plain use of
  * it is a warning that nothing silences.
  */
-public final class HangUp {
+public final class ReloadSignal {
 
-    private HangUp() {}
+    private ReloadSignal() {}
 
     /**
      * Has this run, on a thread of the JVM's, at every SIGHUP from now on.
@@ -17,25 +17,26 @@
      * @return false where the process was started with SIGHUP ignored, as by nohup: the JVM leaves
      *     it ignored, and this never runs
      */
-    public static boolean handle(Runnable then) {
+    public static boolean handle(Runnable action) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object handling =
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            Object handlerInstance =
                     Proxy.newProxyInstance(
-                            handler.getClassLoader(),
-                            new Class<?>[] {handler},
+                            handlerClass.getClassLoader(),
+                            new Class<?>[] {handlerClass},
                             (self, method, args) -> {
-                                then.run();
+                                action.run();
                                 return null;
                             });
-            Object before =
-                    signal.getMethod("handle", signal, handler)
+            Object previousHandler =
+                    signalClass
+                            .getMethod("handle", signalClass, handlerClass)
                             .invoke(
                                     null,
-                                    signal.getConstructor(String.class).newInstance("HUP"),
-                                    handling);
-            return before != handler.getField("SIG_IGN").get(null);
+                                    signalClass.getConstructor(String.class).newInstance("HUP"),
+                                    handlerInstance);
+            return previousHandler != handlerClass.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("SIGHUP cannot be handled", e);
         }
--- a/src/main/java/passhatch/proxy/base/HoldUps.java
+++ b/src/main/java/passhatch/proxy/base/StallDetector.java
@@ -5,47 +5,47 @@
  * that from a beat that should come at a fixed distance. No clock of its own; times are
  * microseconds of one {@link Clock}.
  */
-public final class HoldUps {
+public final class StallDetector {
 
     /** How often the loop beats. */
-    public static final long BEAT_US = 10_000;
+    public static final long TICK_INTERVAL_US = 10_000;
 
     /** Lateness of a beat that says nothing: timers fire up to a millisecond or two late. */
-    private static final long BEAT_SLACK_US = 2_000;
+    private static final long TICK_MARGIN_US = 2_000;
 
     /**
      * A client takes an answer for half a second after its time before it counts the request as
      * lost: a hold-up of less than that needs no care. A tenth is for what the answer takes beside.
      */
-    private static final long SPARED_US = 400_000;
+    private static final long IGNORED_STALL_US = 400_000;
 
     /** A hold-up is taken to come again for so long: what fills the machine lasts for seconds. */
-    private static final long REMEMBERED_US = 10_000_000;
+    private static final long STALL_MEMORY_US = 10_000_000;
 
-    private long nextBeatUs;
-    private long heldUpUs;
-    private long worstUs;
-    private long worstAtUs;
+    private long nextTickUs;
+    private long stalledUs;
+    private long maxStallUs;
+    private long maxStallAtUs;
 
-    /** From now on a beat is due every {@link #BEAT_US}. */
-    public HoldUps(long nowUs) {
-        nextBeatUs = nowUs + BEAT_US;
-        worstAtUs = nowUs;
+    /** From now on a beat is due every {@link #TICK_INTERVAL_US}. */
+    public StallDetector(long nowUs) {
+        nextTickUs = nowUs + TICK_INTERVAL_US;
+        maxStallAtUs = nowUs;
     }
 
     /** The loop beats. */
-    public void beat(long nowUs) {
-        heldUpUs = lateUs(nowUs);
-        nextBeatUs = nowUs + BEAT_US;
-        if (heldUpUs >= worstUs || nowUs - worstAtUs > REMEMBERED_US) {
-            worstUs = heldUpUs;
-            worstAtUs = nowUs;
+    public void tick(long nowUs) {
+        stalledUs = tickDelayUs(nowUs);
+        nextTickUs = nowUs + TICK_INTERVAL_US;
+        if (stalledUs >= maxStallUs || nowUs - maxStallAtUs > STALL_MEMORY_US) {
+            maxStallUs = stalledUs;
+            maxStallAtUs = nowUs;
         }
     }
 
     /** How late the next beat is already, where that is more than timers commonly are. */
-    private long lateUs(long nowUs) {
-        return Math.max(0, nowUs - nextBeatUs - BEAT_SLACK_US);
+    private long tickDelayUs(long nowUs) {
+        return Math.max(0, nowUs - nextTickUs - TICK_MARGIN_US);
     }
 
     /**
@@ -54,7 +54,7 @@
      * what came meanwhile, so a beat's lateness counts until the next one.
      */
     public long unreadUs(long nowUs) {
-        return Math.max(heldUpUs, lateUs(nowUs));
+        return Math.max(stalledUs, tickDelayUs(nowUs));
     }
 
     /**
@@ -62,7 +62,7 @@
      * the longest of the last ten seconds does not make its client count it as lost; 0 where none
      * was that long.
      */
-    public long answerAheadUs() {
-        return Math.max(0, worstUs - SPARED_US);
+    public long responseMarginUs() {
+        return Math.max(0, maxStallUs - IGNORED_STALL_US);
     }
 }
--- a/src/main/java/passhatch/proxy/client/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/client/ClientConnection.java
@@ -26,9 +26,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import passhatch.proxy.base.LingeringClose;
-import passhatch.proxy.flow.AnswerStream;
 import passhatch.proxy.flow.Relay;
 import passhatch.proxy.flow.RequestBody;
+import passhatch.proxy.flow.ResponseStream;
 
 /** One client's connection. Answers leave in the order of the requests. */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
@@ -137,7 +137,7 @@
         boolean taken;
         boolean wantsContinue;
         Answer answer;
-        AnswerStream stream;
+        ResponseStream stream;
         Relay.Listener out;
         boolean streaming;
         boolean streamed;
@@ -155,7 +155,7 @@
         }
 
         @Override
-        public void stream(AnswerStream given, Relay.Listener told) {
+        public void stream(ResponseStream given, Relay.Listener told) {
             stream = given;
             out = told;
             connection.writeAnswers();
@@ -307,7 +307,7 @@
             return;
         }
         ProxyRequest request = server.parser().parse(head, server.body(head, this::readBody));
-        if (request.body().declared() > RequestBody.MOST) {
+        if (request.body().declaredLength() > RequestBody.MAX_BYTES) {
             throw tooLarge();
         }
         turn.request = request;
@@ -344,7 +344,7 @@
             throws RequestParser.BadRequest {
         RequestBody body = turn.request.body();
         body.add(content.content());
-        if (body.size() > RequestBody.MOST) {
+        if (body.size() > RequestBody.MAX_BYTES) {
             throw tooLarge();
         }
         if (last) {
@@ -507,10 +507,10 @@
                 channel,
                 new Relay.Listener() {
                     @Override
-                    public void passed() {
+                    public void completed() {
                         turn.streamed = true;
                         traceOut(turn, true);
-                        turn.out.passed();
+                        turn.out.completed();
                         if (keep) {
                             writeAnswers();
                         } else {
@@ -519,8 +519,8 @@
                     }
 
                     @Override
-                    public void broken() {
-                        turn.out.broken();
+                    public void failed() {
+                        turn.out.failed();
                     }
                 });
     }
--- a/src/main/java/passhatch/proxy/client/ClientServer.java
+++ b/src/main/java/passhatch/proxy/client/ClientServer.java
@@ -18,10 +18,10 @@
 import java.util.Set;
 import java.util.stream.Stream;
 import passhatch.proxy.base.Clock;
-import passhatch.proxy.base.Descriptors;
+import passhatch.proxy.base.DescriptorLimits;
 import passhatch.proxy.base.EventLog;
-import passhatch.proxy.base.HoldUps;
-import passhatch.proxy.flow.ByteBudget;
+import passhatch.proxy.base.StallDetector;
+import passhatch.proxy.flow.BufferBudget;
 import passhatch.proxy.flow.Relay;
 import passhatch.proxy.flow.RequestBody;
 
@@ -40,16 +40,16 @@
     private static final long IDLE_US = 2_000_000;
 
     /** As much as is kept of a body: the rest of most that do not fit, or some hundred requests. */
-    private static final int READ_AHEAD = RequestBody.MOST_KEPT;
+    private static final int READ_AHEAD = RequestBody.MAX_REPLAYABLE_BYTES;
 
     private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
     private final RequestParser parser;
     private final RequestHandler requests;
-    private final ByteBudget budget;
-    private final Descriptors descriptors;
-    private final HoldUps holdUps;
+    private final BufferBudget budget;
+    private final DescriptorLimits descriptors;
+    private final StallDetector holdUps;
 
     /** Connections that were served and have no request out, the longest idle first. */
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
@@ -83,9 +83,9 @@
             EventLog log,
             RequestParser parser,
             RequestHandler requests,
-            ByteBudget budget,
-            Descriptors descriptors,
-            HoldUps holdUps) {
+            BufferBudget budget,
+            DescriptorLimits descriptors,
+            StallDetector holdUps) {
         this.loop = loop;
         this.clock = clock;
         this.log = log;
@@ -110,7 +110,7 @@
                         .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Relay.WATER_MARK)
-                        .childOption(ChannelOption.RECVBUF_ALLOCATOR, Relay.READS)
+                        .childOption(ChannelOption.RECVBUF_ALLOCATOR, Relay.READ_SIZES)
                         .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                         .childHandler(
                                 new ChannelInitializer<SocketChannel>() {
@@ -172,7 +172,7 @@
      */
     boolean keepsClient() {
         answers++;
-        return !draining && !descriptors.crowded() && !(sharing && answers % SENT_AWAY == 0);
+        return !draining && !descriptors.scarce() && !(sharing && answers % SENT_AWAY == 0);
     }
 
     /**
@@ -238,9 +238,9 @@
     }
 
     void arrived(ClientConnection c) {
-        descriptors.client(1);
+        descriptors.addClients(1);
         strangers.add(c);
-        if (descriptors.over()) {
+        if (descriptors.limitExceeded()) {
             letOneGo(c);
         }
     }
@@ -276,7 +276,7 @@
     void left(ClientConnection c) {
         busy(c);
         ending.remove(c);
-        descriptors.client(-1);
+        descriptors.addClients(-1);
     }
 
     /**
--- a/src/main/java/passhatch/proxy/client/ReadAhead.java
+++ b/src/main/java/passhatch/proxy/client/ReadAhead.java
@@ -4,7 +4,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.util.ArrayDeque;
-import passhatch.proxy.flow.ByteBudget;
+import passhatch.proxy.flow.BufferBudget;
 
 /**
  * Reads on from a client while no more requests, or no more of a body, are wanted from it: that it
@@ -14,7 +14,7 @@
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
 
-    private final ByteBudget budget;
+    private final BufferBudget budget;
     private final int most;
     private final ArrayDeque<ByteBuf> held = new ArrayDeque<>();
     private ChannelHandlerContext context;
@@ -28,7 +28,7 @@
      * @param budget counts what is held
      * @param most bytes to hold before no more are read; one read may go beyond it
      */
-    ReadAhead(ByteBudget budget, int most) {
+    ReadAhead(BufferBudget budget, int most) {
         this.budget = budget;
         this.most = most;
     }
@@ -87,7 +87,7 @@
 
     private void regulate() {
         if (context.channel().isActive()) {
-            context.channel().config().setAutoRead(wanted || bytes < most && !budget.over());
+            context.channel().config().setAutoRead(wanted || bytes < most && !budget.exceeded());
         }
     }
 
--- a/src/main/java/passhatch/proxy/client/RequestHandler.java
+++ b/src/main/java/passhatch/proxy/client/RequestHandler.java
@@ -1,7 +1,7 @@
 package passhatch.proxy.client;
 
-import passhatch.proxy.flow.AnswerStream;
 import passhatch.proxy.flow.Relay;
+import passhatch.proxy.flow.ResponseStream;
 
 /** Where the callers' side takes its requests: each gets exactly one final answer. */
 public interface RequestHandler {
@@ -11,7 +11,7 @@
         void answer(Answer answer);
 
         /** Passes an answer on as it comes, and has told how that ended once. */
-        void stream(AnswerStream answer, Relay.Listener out);
+        void stream(ResponseStream answer, Relay.Listener out);
 
         /** What was begun to be passed on will not be whole. */
         void broken();
--- a/src/main/java/passhatch/proxy/control/Control.java
+++ b/src/main/java/passhatch/proxy/control/Control.java
@@ -31,49 +31,49 @@
 public final class Control {
 
     /** Callers at a time; for one more, the one that has been silent for longest is let go. */
-    public static final int MOST_CALLERS = 16;
+    public static final int MAX_CONNECTIONS = 16;
 
     private static final int BACKLOG = 128;
-    private static final int LONGEST_LINE = 256;
+    private static final int MAX_LINE_BYTES = 256;
 
     /** A caller that has sent no whole line by then is let go. */
-    private static final long LINE_WITHIN_MS = 5_000;
+    private static final long LINE_TIMEOUT_MS = 5_000;
 
     private final EventLoop loop;
     private final EventLog log;
     private final BooleanSupplier ready;
-    private final Supplier<String> figures;
-    private final UnaryOperator<String> more;
-    private final Set<Channel> callers = new LinkedHashSet<>();
+    private final Supplier<String> metrics;
+    private final UnaryOperator<String> extraCommands;
+    private final Set<Channel> connections = new LinkedHashSet<>();
     private Channel listener;
 
     /**
      * Not listening yet.
      *
      * @param ready whether this process is ready to serve
-     * @param figures the figures as they are now, a line each
+     * @param metrics the figures as they are now, a line each
      */
-    public Control(EventLoop loop, EventLog log, BooleanSupplier ready, Supplier<String> figures) {
-        this(loop, log, ready, figures, call -> null);
+    public Control(EventLoop loop, EventLog log, BooleanSupplier ready, Supplier<String> metrics) {
+        this(loop, log, ready, metrics, command -> null);
     }
 
     /**
      * The same for a process that answers further calls.
      *
-     * @param more the answer to a call that is neither {@code check} nor {@code vars}, or null
-     *     where it is none
+     * @param extraCommands the answer to a call that is neither {@code check} nor {@code vars}, or
+     *     null where it is none
      */
     public Control(
             EventLoop loop,
             EventLog log,
             BooleanSupplier ready,
-            Supplier<String> figures,
-            UnaryOperator<String> more) {
-        this.more = more;
+            Supplier<String> metrics,
+            UnaryOperator<String> extraCommands) {
+        this.extraCommands = extraCommands;
         this.loop = loop;
         this.log = log;
         this.ready = ready;
-        this.figures = figures;
+        this.metrics = metrics;
     }
 
     /**
@@ -96,12 +96,12 @@
                                         channel.pipeline()
                                                 .addLast(
                                                         new LineBasedFrameDecoder(
-                                                                LONGEST_LINE, true, true),
+                                                                MAX_LINE_BYTES, true, true),
                                                         new StringDecoder(
                                                                 StandardCharsets.US_ASCII),
                                                         new StringEncoder(
                                                                 StandardCharsets.US_ASCII),
-                                                        new Caller());
+                                                        new ConnectionHandler());
                                     }
                                 })
                         .bind(address)
@@ -118,44 +118,46 @@
         return listener == null ? null : (InetSocketAddress) listener.localAddress();
     }
 
-    private String answer(String call) {
-        return switch (call.strip()) {
+    private String responseTo(String command) {
+        return switch (command.strip()) {
             case "check" -> ready.getAsBoolean() ? "done\n" : "error not ready to serve\n";
-            case "vars" -> figures.get() + "end\n";
-            default -> Objects.requireNonNullElse(more.apply(call.strip()), "error no such call\n");
+            case "vars" -> metrics.get() + "end\n";
+            default ->
+                    Objects.requireNonNullElse(
+                            extraCommands.apply(command.strip()), "error no such call\n");
         };
     }
 
     /** One caller. */
-    private final class Caller extends SimpleChannelInboundHandler<String> {
-        private boolean answered;
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<String> {
+        private boolean responded;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            callers.add(ctx.channel());
-            if (callers.size() > MOST_CALLERS) {
-                callers.iterator().next().close();
+            connections.add(ctx.channel());
+            if (connections.size() > MAX_CONNECTIONS) {
+                connections.iterator().next().close();
             }
-            var patience =
+            var timeout =
                     loop.schedule(
                             () -> {
                                 ctx.close();
                             },
-                            LINE_WITHIN_MS,
+                            LINE_TIMEOUT_MS,
                             TimeUnit.MILLISECONDS);
             ctx.channel()
                     .closeFuture()
                     .addListener(
                             closed -> {
-                                patience.cancel(false);
-                                callers.remove(ctx.channel());
+                                timeout.cancel(false);
+                                connections.remove(ctx.channel());
                             });
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, String call) {
-            if (!answered) {
-                end(ctx, answer(call));
+        protected void channelRead0(ChannelHandlerContext ctx, String command) {
+            if (!responded) {
+                respondAndClose(ctx, responseTo(command));
             }
         }
 
@@ -163,21 +165,21 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof TooLongFrameException)) {
                 ctx.close();
-            } else if (!answered) {
-                end(ctx, "error the line is too long\n");
+            } else if (!responded) {
+                respondAndClose(ctx, "error the line is too long\n");
             }
         }
 
         /** Whatever else the caller has sent, or still sends, does not keep the answer from it. */
-        private void end(ChannelHandlerContext ctx, String answer) {
-            answered = true;
-            ctx.writeAndFlush(answer).addListener(written -> LingeringClose.begin(ctx.channel()));
+        private void respondAndClose(ChannelHandlerContext ctx, String response) {
+            responded = true;
+            ctx.writeAndFlush(response).addListener(written -> LingeringClose.begin(ctx.channel()));
         }
 
         /** A caller that ends its sending before it has asked will not ask. */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            if (event instanceof ChannelInputShutdownEvent && !answered) {
+            if (event instanceof ChannelInputShutdownEvent && !responded) {
                 ctx.close();
             }
         }
--- a/src/main/java/passhatch/proxy/discovery/Pauses.java
+++ b/src/main/java/passhatch/proxy/discovery/Backoff.java
@@ -7,33 +7,33 @@
  * watches of all proxies end together and must not all come back in the same moment; any success
  * takes them back.
  */
-final class Pauses {
+final class Backoff {
 
-    private static final long FIRST_MS = 50;
+    private static final long INITIAL_DELAY_MS = 50;
 
-    private final long longestMs;
+    private final long maxDelayMs;
     private final SplittableRandom random;
-    private long meanMs = FIRST_MS;
+    private long meanDelayMs = INITIAL_DELAY_MS;
 
     /**
      * As after a success.
      *
-     * @param longestMs no pause is longer; one under 50 ms counts as 50 ms
+     * @param maxDelayMs no pause is longer; one under 50 ms counts as 50 ms
      */
-    Pauses(long longestMs, long seed) {
-        this.longestMs = Math.max(FIRST_MS, longestMs);
+    Backoff(long maxDelayMs, long seed) {
+        this.maxDelayMs = Math.max(INITIAL_DELAY_MS, maxDelayMs);
         this.random = new SplittableRandom(seed);
     }
 
     /** The next pause, in milliseconds: half of its mean to one and a half. */
-    long next() {
-        long ms = Math.min(longestMs, (long) (meanMs * (0.5 + random.nextDouble())));
-        meanMs = Math.min(longestMs, meanMs * 2);
-        return ms;
+    long nextDelayMs() {
+        long delayMs = Math.min(maxDelayMs, (long) (meanDelayMs * (0.5 + random.nextDouble())));
+        meanDelayMs = Math.min(maxDelayMs, meanDelayMs * 2);
+        return delayMs;
     }
 
     /** Discovery has answered. */
     void reset() {
-        meanMs = FIRST_MS;
+        meanDelayMs = INITIAL_DELAY_MS;
     }
 }
--- a/src/main/java/passhatch/proxy/discovery/Discovery.java
+++ b/src/main/java/passhatch/proxy/discovery/DiscoveryClient.java
@@ -25,45 +25,45 @@
 import java.util.concurrent.TimeUnit;
 import passhatch.proxy.base.Clock;
 import passhatch.proxy.base.EventLog;
-import passhatch.proxy.base.HoldUps;
+import passhatch.proxy.base.StallDetector;
 
 /**
  * The connections to discovery. It carries what {@link ListWatch} decides, and tells it what comes;
  * to be used on its event loop only.
  */
-public final class Discovery implements ListWatch.Carrier {
+public final class DiscoveryClient implements ListWatch.Transport {
 
     private final EventLoop loop;
     private final Clock clock;
-    private final HoldUps holdUps;
+    private final StallDetector stallDetector;
     private final EventLog log;
     private final ListWatch watch;
     private final Map<Long, Channel> channels = new HashMap<>();
 
     /** A watch that has not begun; the seed is of the pauses between two calls. */
-    public Discovery(
+    public DiscoveryClient(
             EventLoop loop,
             Clock clock,
-            HoldUps holdUps,
+            StallDetector stallDetector,
             EventLog log,
-            ListWatch.Source source,
+            ListWatch.WatchConfig config,
             long seed,
             ListWatch.Listener listener) {
         this.loop = loop;
         this.clock = clock;
-        this.holdUps = holdUps;
+        this.stallDetector = stallDetector;
         this.log = log;
-        this.watch = new ListWatch(source, seed, this, listener, log::line);
+        this.watch = new ListWatch(config, seed, this, listener, log::line);
     }
 
     /** Goes on at another address; the watch at the old one is given up. */
-    public void moveTo(InetSocketAddress to) {
-        watch.moveTo(clock.nowUs(), to);
+    public void changeAddress(InetSocketAddress newAddress) {
+        watch.changeAddress(clock.nowUs(), newAddress);
     }
 
     /** Starts a watch unless one is out. */
-    public void watch() {
-        watch.watch(clock.nowUs());
+    public void startWatch() {
+        watch.startWatch(clock.nowUs());
     }
 
     /** Nothing is called any more. */
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void call(long call, InetSocketAddress address, String path) {
+    public void startCall(long call, InetSocketAddress address, String path) {
         Bootstrap bootstrap =
                 new Bootstrap()
                         .group(loop)
@@ -80,13 +80,15 @@
                         .option(ChannelOption.TCP_NODELAY, true)
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                Math.toIntExact(watch.connectMs()))
+                                Math.toIntExact(watch.connectTimeoutMs()))
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
                                         channel.pipeline()
-                                                .addLast(new HttpClientCodec(), new Answer(call));
+                                                .addLast(
+                                                        new HttpClientCodec(),
+                                                        new ResponseHandler(call));
                                     }
                                 });
         ChannelFuture connecting = bootstrap.connect(address);
@@ -94,8 +96,8 @@
             // The system gave no socket: there is no channel whose close would end the call.
             loop.execute(
                     () -> {
-                        watch.failed(call, "no socket: " + rootMessage(connecting.cause()));
-                        watch.closed(clock.nowUs(), call);
+                        watch.onFailed(call, "no socket: " + rootMessage(connecting.cause()));
+                        watch.onClosed(clock.nowUs(), call);
                     });
             return;
         }
@@ -104,7 +106,7 @@
         connecting.addListener(
                 done -> {
                     if (done.isSuccess()) {
-                        watch.connected(call);
+                        watch.onConnected(call);
                         channel.writeAndFlush(get(path));
                     }
                 });
@@ -113,9 +115,9 @@
                         closed -> {
                             channels.remove(call);
                             if (connecting.cause() != null) {
-                                watch.failed(call, connecting.cause().getMessage());
+                                watch.onFailed(call, connecting.cause().getMessage());
                             }
-                            watch.closed(clock.nowUs(), call);
+                            watch.onClosed(clock.nowUs(), call);
                         });
     }
 
@@ -135,7 +137,7 @@
     }
 
     @Override
-    public void hangUp(long call) {
+    public void closeCall(long call) {
         Channel channel = channels.get(call);
         if (channel != null) {
             channel.close();
@@ -145,36 +147,36 @@
     @Override
     public void wakeAt(long atUs) {
         loop.schedule(
-                () -> watch.time(clock.nowUs()),
+                () -> watch.onTimer(clock.nowUs()),
                 Math.max(0, atUs - clock.nowUs()),
                 TimeUnit.MICROSECONDS);
     }
 
     /** The answer to one call. */
-    private final class Answer extends SimpleChannelInboundHandler<HttpObject> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         private final long call;
 
-        Answer(long call) {
+        ResponseHandler(long call) {
             this.call = call;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
             if (message instanceof HttpResponse response) {
-                watch.answered(clock.nowUs(), call, response.status().code());
+                watch.onResponseHead(clock.nowUs(), call, response.status().code());
             }
             if (message instanceof HttpContent content) {
                 long nowUs = clock.nowUs();
-                watch.body(nowUs, nowUs - holdUps.unreadUs(nowUs), call, content.content());
+                watch.onBody(nowUs, nowUs - stallDetector.unreadUs(nowUs), call, content.content());
             }
             if (message instanceof LastHttpContent) {
-                watch.answerEnded(clock.nowUs(), call);
+                watch.onResponseEnd(clock.nowUs(), call);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            watch.failed(call, cause.toString());
+            watch.onFailed(call, cause.toString());
             ctx.close();
         }
     }
--- a/src/main/java/passhatch/proxy/discovery/EndpointList.java
+++ b/src/main/java/passhatch/proxy/discovery/EndpointList.java
@@ -32,24 +32,25 @@
      * @throws IllegalArgumentException where any of it is malformed: half a list would pass off the
      *     backends that it lacks as gone
      */
-    public static EndpointList of(
-            Map<String, Object> json, List<String> zones, List<String> models) {
+    public static EndpointList parse(
+            Map<String, Object> json, List<String> zoneNames, List<String> modelNames) {
         List<Endpoint> endpoints = new ArrayList<>();
-        for (Object item : typed(json, "endpoints", List.class)) {
+        for (Object item : requireValue(json, "endpoints", List.class)) {
             if (!(item instanceof Map<?, ?> line)) {
                 throw new IllegalArgumentException("an endpoint is not an object");
             }
-            endpoints.add(endpoint(line, zones, models));
+            endpoints.add(parseEndpoint(line, zoneNames, modelNames));
         }
         return new EndpointList(
-                typed(json, "index", Number.class).longValue(),
-                typed(json, "snapshot", Boolean.class),
+                requireValue(json, "index", Number.class).longValue(),
+                requireValue(json, "snapshot", Boolean.class),
                 endpoints);
     }
 
-    private static Endpoint endpoint(Map<?, ?> line, List<String> zones, List<String> models) {
+    private static Endpoint parseEndpoint(
+            Map<?, ?> line, List<String> zoneNames, List<String> modelNames) {
         ServerStatus status =
-                switch (typed(line, "status", String.class)) {
+                switch (requireValue(line, "status", String.class)) {
                     case "SERVING" -> ServerStatus.UP;
                     case "DRAINING" -> ServerStatus.DRAINING;
                     case "DELETED" -> ServerStatus.GONE;
@@ -59,16 +60,16 @@
                 };
         Server server =
                 new Server(
-                        typed(line, "name", String.class),
-                        Clock.fromUnixMs(typed(line, "since_ms", Number.class).longValue()),
-                        zones.indexOf(line.get("zone")),
+                        requireValue(line, "name", String.class),
+                        Clock.fromUnixMs(requireValue(line, "since_ms", Number.class).longValue()),
+                        zoneNames.indexOf(line.get("zone")),
                         line.get("group") instanceof Number n ? n.intValue() : 0,
                         status,
-                        models.indexOf(line.get("type")));
-        return new Endpoint(server, Addresses.parse(typed(line, "address", String.class)));
+                        modelNames.indexOf(line.get("type")));
+        return new Endpoint(server, Addresses.parse(requireValue(line, "address", String.class)));
     }
 
-    private static <T> T typed(Map<?, ?> json, String key, Class<T> type) {
+    private static <T> T requireValue(Map<?, ?> json, String key, Class<T> type) {
         Object value = json.get(key);
         if (!type.isInstance(value)) {
             throw new IllegalArgumentException(
--- a/src/main/java/passhatch/proxy/discovery/JsonValues.java
+++ b/src/main/java/passhatch/proxy/discovery/JsonObjectScanner.java
@@ -10,40 +10,40 @@
  * first byte that is no JSON; here reading goes on with the next line, as the changes after a bad
  * one still count.
  */
-final class JsonValues {
+final class JsonObjectScanner {
 
     /** Hears what is found, in its order. */
     interface Listener {
         /** A whole object, as its text; whether it is JSON inside is not checked. */
-        void object(String text);
+        void onObject(String text);
 
         /** A line with nothing on it, outside of any object. */
-        void emptyLine();
+        void onEmptyLine();
 
         /** What came instead of an object was passed over, up to the end of its line. */
-        void skipped(String why);
+        void onSkipped(String reason);
     }
 
-    private final int longest;
+    private final int maxObjectBytes;
     private final Listener listener;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     private int depth;
-    private boolean inText;
+    private boolean inString;
     private boolean escaped;
 
     /** Something stands on this line that is no start of an object: it is passed over. */
-    private boolean skipping;
+    private boolean skippingLine;
 
     /** Something has stood on this line. */
-    private boolean used;
+    private boolean lineNotEmpty;
 
     /**
      * Nothing read yet.
      *
-     * @param longest bytes of an object; a longer one is passed over
+     * @param maxObjectBytes bytes of an object; a longer one is passed over
      */
-    JsonValues(int longest, Listener listener) {
-        this.longest = longest;
+    JsonObjectScanner(int maxObjectBytes, Listener listener) {
+        this.maxObjectBytes = maxObjectBytes;
         this.listener = listener;
     }
 
@@ -57,67 +57,67 @@
         while (bytes.isReadable()) {
             byte b = bytes.readByte();
             if (depth > 0) {
-                inside(b);
+                readInsideObject(b);
             } else {
-                between(b);
+                readBetweenObjects(b);
             }
         }
     }
 
-    private void between(byte b) {
+    private void readBetweenObjects(byte b) {
         if (b == '\n') {
-            if (!used) {
-                listener.emptyLine();
+            if (!lineNotEmpty) {
+                listener.onEmptyLine();
             }
-            used = false;
-            skipping = false;
-        } else if (!skipping && b == '{') {
-            used = true;
+            lineNotEmpty = false;
+            skippingLine = false;
+        } else if (!skippingLine && b == '{') {
+            lineNotEmpty = true;
             depth = 1;
             object.write(b);
         } else if (b != ' ' && b != '\t' && b != '\r') {
-            used = true;
-            if (!skipping) {
+            lineNotEmpty = true;
+            if (!skippingLine) {
                 skip(b, "no object starts there");
             }
         }
     }
 
-    private void inside(byte b) {
-        if (object.size() >= longest) {
-            skip(b, "it is longer than " + longest + " bytes");
+    private void readInsideObject(byte b) {
+        if (object.size() >= maxObjectBytes) {
+            skip(b, "it is longer than " + maxObjectBytes + " bytes");
             return;
         }
         object.write(b);
         if (escaped) {
             escaped = false;
-        } else if (inText) {
+        } else if (inString) {
             escaped = b == '\\';
-            inText = b != '"';
+            inString = b != '"';
         } else if (b == '"') {
-            inText = true;
+            inString = true;
         } else if (b == '{' || b == '[') {
             depth++;
         } else if (b == '}' || b == ']') {
             depth--;
         }
-        if (inText && b == '\n') {
+        if (inString && b == '\n') {
             // No text of JSON goes over the end of a line: what began there was cut off.
             skip(b, "a text is cut off");
         } else if (depth == 0) {
             String text = object.toString(StandardCharsets.UTF_8);
             object.reset();
-            listener.object(text);
+            listener.onObject(text);
         }
     }
 
-    private void skip(byte last, String why) {
+    private void skip(byte last, String reason) {
         object.reset();
         depth = 0;
-        inText = false;
+        inString = false;
         escaped = false;
-        used = last != '\n';
-        skipping = used;
-        listener.skipped(why);
+        lineNotEmpty = last != '\n';
+        skippingLine = lineNotEmpty;
+        listener.onSkipped(reason);
     }
 }
--- a/src/main/java/passhatch/proxy/discovery/ListWatch.java
+++ b/src/main/java/passhatch/proxy/discovery/ListWatch.java
@@ -15,19 +15,19 @@
  * the whole list is fetched first.
  *
  * <p>A state machine without clock, socket or thread: events come in with their time, and what is
- * to be done goes to a {@link Carrier}. All times are microseconds of one clock.
+ * to be done goes to a {@link Transport}. All times are microseconds of one clock.
  */
 public final class ListWatch {
 
     /** More bytes than this are no list of backends. */
-    private static final int LONGEST_LIST = 1 << 22;
+    private static final int MAX_LIST_BYTES = 1 << 22;
 
     /** Where discovery is asked, a change may still be on its way this long after it was made. */
-    private static final long LATEST_CHANGE_US =
-            TimeUnit.MILLISECONDS.toMicros(WatchBudget.EMPTY_LINE_EVERY_MS);
+    private static final long MAX_CHANGE_DELAY_US =
+            TimeUnit.MILLISECONDS.toMicros(WatchBudget.EMPTY_LINE_INTERVAL_MS);
 
     /** A refusal that takes longer may be one of a discovery that is down. */
-    private static final long TURNED_AWAY_AT_ONCE_US = TimeUnit.SECONDS.toMicros(1);
+    private static final long IMMEDIATE_REJECTION_US = TimeUnit.SECONDS.toMicros(1);
 
     private static final int OK = 200;
 
@@ -35,80 +35,80 @@
     private static final int FIRST_SERVER_ERROR = 500;
 
     /** Does what is decided here. */
-    public interface Carrier {
+    public interface Transport {
         /** Opens a connection and asks for a path; the call's events name it by its number. */
-        void call(long call, InetSocketAddress address, String path);
+        void startCall(long call, InetSocketAddress address, String path);
 
         /** Closes the connection of a call; nothing more of it is to be told. */
-        void hangUp(long call);
+        void closeCall(long call);
 
-        /** Asks for {@link ListWatch#time} at this time or after it. */
+        /** Asks for {@link ListWatch#onTimer} at this time or after it. */
         void wakeAt(long atUs);
     }
 
     /** Hears what discovery says. */
     public interface Listener {
         /** The list, or changes to it, of which there may be none. */
-        void listed(EndpointList list, ListFreshness currency);
+        void onList(EndpointList list, ListFreshness freshness);
 
         /** A watch with nothing to tell has said so. */
-        void unchanged(ListFreshness currency);
+        void onUnchanged(ListFreshness freshness);
 
         /**
          * Something was begun to be told that is not taken in; it may never be.
          *
          * @param sinceUs when that was
          */
-        void pending(long sinceUs);
+        void onPending(long sinceUs);
 
         /** No watch is alive any more: changes may be missed. */
-        void lost();
+        void onWatchLost();
 
         /** A connection to it stands, whatever comes of it. */
-        void reached();
+        void onReached();
 
         /** It has turned a call away at once. */
-        void turnedAway();
+        void onRejected();
 
         /** It is found at another address from now on. */
-        void moved();
+        void onAddressChanged();
     }
 
     /**
      * What there is to watch.
      *
-     * @param known the list that is known already; empty where none is
+     * @param initialList the list that is known already; empty where none is
      * @param onRequest whether the module says when to ask again after a watch has ended
-     * @param zones names of the zones, by position
-     * @param models names of the machine kinds, by position
+     * @param zoneNames names of the zones, by position
+     * @param modelNames names of the machine kinds, by position
      * @param drainGraceUs how long a server that drains may be sent something, in microseconds
      */
-    public record Source(
+    public record WatchConfig(
             InetSocketAddress address,
-            EndpointList known,
+            EndpointList initialList,
             boolean onRequest,
-            List<String> zones,
-            List<String> models,
+            List<String> zoneNames,
+            List<String> modelNames,
             long drainGraceUs) {}
 
     private static final long NEVER = Long.MAX_VALUE;
 
-    private final Source source;
-    private final Carrier carrier;
+    private final WatchConfig config;
+    private final Transport transport;
     private final Listener listener;
     private final Consumer<String> log;
-    private final Pauses pauses;
+    private final Backoff backoff;
     private final WatchBudget budget;
 
     /** A call that has told nothing for so long is given up. */
-    private long answerWithinMs;
+    private long messageTimeoutMs;
 
     private long index;
-    private boolean whole;
+    private boolean fetchWhole;
     private boolean stopped;
     private InetSocketAddress address;
-    private long calls;
-    private long callAgainUs = NEVER;
+    private long callCount;
+    private long nextCallUs = NEVER;
     private long wakeAtUs = NEVER;
 
     /** The time of the event that is being handled. */
@@ -125,87 +125,91 @@
 
     /** A watch that has not begun; the seed is of the pauses between two calls. */
     public ListWatch(
-            Source source, long seed, Carrier carrier, Listener listener, Consumer<String> log) {
-        this.source = source;
-        this.carrier = carrier;
+            WatchConfig config,
+            long seed,
+            Transport transport,
+            Listener listener,
+            Consumer<String> log) {
+        this.config = config;
+        this.transport = transport;
         this.listener = listener;
         this.log = log;
-        this.address = source.address();
-        this.budget = WatchBudget.of(source.onRequest(), source.drainGraceUs());
-        this.answerWithinMs = budget.firstAnswerMs();
-        this.pauses = new Pauses(budget.longestPauseMs(), seed);
-        this.index = source.known().index();
+        this.address = config.address();
+        this.budget = WatchBudget.of(config.onRequest(), config.drainGraceUs());
+        this.messageTimeoutMs = budget.initialMessageTimeoutMs();
+        this.backoff = new Backoff(budget.maxBackoffMs(), seed);
+        this.index = config.initialList().index();
         // A list may well have the version 0: a watch from there is one call, a list and a watch
         // are two.
-        this.whole = index == 0 && source.known().endpoints().isEmpty();
+        this.fetchWhole = index == 0 && config.initialList().endpoints().isEmpty();
     }
 
     /** How long a connection may take to come up, in milliseconds. */
-    public long connectMs() {
-        return budget.connectMs();
+    public long connectTimeoutMs() {
+        return budget.connectTimeoutMs();
     }
 
     // ---- events
 
     /** Goes on at another address; the watch at the old one is given up. */
-    public void moveTo(long nowUs, InetSocketAddress to) {
+    public void changeAddress(long nowUs, InetSocketAddress newAddress) {
         this.nowUs = nowUs;
-        address = to;
-        Call old = current;
-        listener.moved();
-        pauses.reset();
+        address = newAddress;
+        Call oldCall = current;
+        listener.onAddressChanged();
+        backoff.reset();
         current = null;
-        watch(nowUs);
-        if (old != null) {
-            leave(old);
+        startWatch(nowUs);
+        if (oldCall != null) {
+            abandon(oldCall);
         }
     }
 
     /** Starts a watch unless one is out; one that ends is taken up again unless the module asks. */
-    public void watch(long nowUs) {
+    public void startWatch(long nowUs) {
         this.nowUs = nowUs;
         if (stopped || current != null) {
             return;
         }
-        callAgainUs = NEVER;
-        Call call = new Call(++calls, whole, nowUs);
+        nextCallUs = NEVER;
+        Call call = new Call(++callCount, fetchWhole, nowUs);
         current = call;
         log.accept("discovery: call from version " + index + " to " + address + " begins");
-        carrier.call(
+        transport.startCall(
                 call.number,
                 address,
-                call.fetch ? "/v1/endpoints" : "/v1/endpoints?watch=1&from=" + index);
-        awaitNews();
+                call.isFetch ? "/v1/endpoints" : "/v1/endpoints?watch=1&from=" + index);
+        checkSilence();
     }
 
     /** The connection of a call stands. */
-    public void connected(long call) {
+    public void onConnected(long call) {
         if (isCurrent(call)) {
-            listener.reached();
+            listener.onReached();
         }
     }
 
     /** The connection of a call failed; its end follows. */
-    public void failed(long call, String why) {
+    public void onFailed(long call, String reason) {
         if (isCurrent(call)) {
-            current.endReason = why;
+            current.endReason = reason;
         }
     }
 
     /** The head of an answer has come. */
-    public void answered(long nowUs, long call, int status) {
+    public void onResponseHead(long nowUs, long call, int status) {
         this.nowUs = nowUs;
         if (!isCurrent(call)) {
             return;
         }
-        current.ok = status == OK;
-        if (!current.ok) {
+        current.accepted = status == OK;
+        if (!current.accepted) {
             // It may no longer know the version asked for.
-            whole = status < FIRST_SERVER_ERROR;
-            if (nowUs - current.begunUs < TURNED_AWAY_AT_ONCE_US) {
-                listener.turnedAway();
+            fetchWhole = status < FIRST_SERVER_ERROR;
+            if (nowUs - current.startedUs < IMMEDIATE_REJECTION_US) {
+                listener.onRejected();
             }
-            giveUp("answered " + status);
+            abortCurrent("answered " + status);
         }
     }
 
@@ -214,55 +218,55 @@
      *
      * @param arrivedUs since when it may have stood unread; not after now
      */
-    public void body(long nowUs, long arrivedUs, long call, ByteBuf bytes) {
+    public void onBody(long nowUs, long arrivedUs, long call, ByteBuf bytes) {
         this.nowUs = nowUs;
-        boolean speaksAgain = current == null && isPrevious(call);
-        if (speaksAgain) {
+        boolean resumed = current == null && isPrevious(call);
+        if (resumed) {
             current = previous;
             previous = null;
             log.accept("discovery: a watch that was silent speaks again");
         }
-        Call heard = isPrevious(call) ? previous : current;
-        if (heard != null && heard.number == call && heard.ok) {
-            heard.read(Math.max(arrivedUs, heard.begunUs), bytes);
+        Call receiver = isPrevious(call) ? previous : current;
+        if (receiver != null && receiver.number == call && receiver.accepted) {
+            receiver.read(Math.max(arrivedUs, receiver.startedUs), bytes);
         }
-        if (speaksAgain && current != null) {
-            awaitNews();
+        if (resumed && current != null) {
+            checkSilence();
         }
     }
 
     /** An answer is whole. */
-    public void answerEnded(long nowUs, long call) {
+    public void onResponseEnd(long nowUs, long call) {
         this.nowUs = nowUs;
         if (isCurrent(call)) {
-            if (current.values.pending()) {
-                current.skipped("it is cut off by the end of the answer");
+            if (current.scanner.pending()) {
+                current.onSkipped("it is cut off by the end of the answer");
             } else {
-                giveUp("the answer ended");
+                abortCurrent("the answer ended");
             }
         }
     }
 
     /** The connection of a call is closed. */
-    public void closed(long nowUs, long call) {
+    public void onClosed(long nowUs, long call) {
         this.nowUs = nowUs;
         if (isCurrent(call)) {
-            ended();
+            finishCurrent();
         } else if (isPrevious(call)) {
             previous = null;
         }
     }
 
     /** Does what is due by now. */
-    public void time(long nowUs) {
+    public void onTimer(long nowUs) {
         this.nowUs = nowUs;
         if (wakeAtUs <= nowUs) {
             wakeAtUs = NEVER;
         }
         if (current != null) {
-            awaitNews();
-        } else if (callAgainUs <= nowUs) {
-            watch(nowUs);
+            checkSilence();
+        } else if (nextCallUs <= nowUs) {
+            startWatch(nowUs);
         }
     }
 
@@ -270,10 +274,10 @@
     public void stop() {
         stopped = true;
         if (current != null) {
-            carrier.hangUp(current.number);
+            transport.closeCall(current.number);
             current = null;
         }
-        hangUpPrevious();
+        closePrevious();
     }
 
     // ---- the call that is out
@@ -287,231 +291,241 @@
     }
 
     /** Gives a call up; a watch is listened to until another call is answered. */
-    private void leave(Call call) {
-        if (call.ok && !call.fetch && !call.values.pending()) {
-            hangUpPrevious();
+    private void abandon(Call call) {
+        if (call.accepted && !call.isFetch && !call.scanner.pending()) {
+            closePrevious();
             previous = call;
         } else {
-            carrier.hangUp(call.number);
+            transport.closeCall(call.number);
         }
     }
 
-    private void hangUpPrevious() {
+    private void closePrevious() {
         if (previous != null) {
             long number = previous.number;
             previous = null;
-            carrier.hangUp(number);
+            transport.closeCall(number);
         }
     }
 
     /** Bytes that tell nothing are no news, and neither is a list that has begun. */
-    private void awaitNews() {
-        long limitMs = current.heard ? budget.silenceMs() : answerWithinMs;
-        long overUs = current.heardUs + millisToMicros(limitMs);
-        if (nowUs < overUs) {
-            wakeAt(overUs);
-        } else if (current.values.pending()) {
-            current.skipped("it did not end");
+    private void checkSilence() {
+        long limitMs = current.messageReceived ? budget.silenceTimeoutMs() : messageTimeoutMs;
+        long timeoutAtUs = current.lastMessageUs + millisToMicros(limitMs);
+        if (nowUs < timeoutAtUs) {
+            wakeAt(timeoutAtUs);
+        } else if (current.scanner.pending()) {
+            current.onSkipped("it did not end");
         } else {
-            Call silent = current;
-            silent.endReason = "nothing was told for " + limitMs + " ms";
-            ended();
-            leave(silent);
+            Call silentCall = current;
+            silentCall.endReason = "nothing was told for " + limitMs + " ms";
+            finishCurrent();
+            abandon(silentCall);
         }
     }
 
     private void wakeAt(long atUs) {
         if (atUs < wakeAtUs) {
             wakeAtUs = atUs;
-            carrier.wakeAt(atUs);
+            transport.wakeAt(atUs);
         }
     }
 
-    private void giveUp(String why) {
+    private void abortCurrent(String reason) {
         long number = current.number;
-        current.endReason = why;
-        ended();
-        carrier.hangUp(number);
+        current.endReason = reason;
+        finishCurrent();
+        transport.closeCall(number);
     }
 
-    private void ended() {
+    private void finishCurrent() {
         Call call = current;
         current = null;
-        if (call.fetched) {
-            watch(nowUs);
+        if (call.listFetched) {
+            startWatch(nowUs);
             return;
         }
-        if (!call.heard && millis(nowUs - call.begunUs) >= answerWithinMs) {
-            answerWithinMs = Math.min(2 * answerWithinMs, budget.longestAnswerMs());
+        if (!call.messageReceived && microsToMillis(nowUs - call.startedUs) >= messageTimeoutMs) {
+            messageTimeoutMs = Math.min(2 * messageTimeoutMs, budget.maxMessageTimeoutMs());
         }
         log.accept(
                 "discovery: the watch from index "
                         + index
                         + " ended after "
-                        + millis(nowUs - call.begunUs)
+                        + microsToMillis(nowUs - call.startedUs)
                         + " ms, "
-                        + (call.heard
-                                ? "last heard " + millis(nowUs - call.heardUs) + " ms ago"
+                        + (call.messageReceived
+                                ? "last heard "
+                                        + microsToMillis(nowUs - call.lastMessageUs)
+                                        + " ms ago"
                                 : "with nothing heard")
                         + ": "
                         + call.endReason
-                        + (call.values.pending() ? ", within an object" : ""));
-        if (!source.onRequest()) {
-            callAgainUs = nowUs + millisToMicros(pauses.next());
-            wakeAt(callAgainUs);
+                        + (call.scanner.pending() ? ", within an object" : ""));
+        if (!config.onRequest()) {
+            nextCallUs = nowUs + millisToMicros(backoff.nextDelayMs());
+            wakeAt(nextCallUs);
         }
         // Where discovery has to be asked, the module hears of it and says when to ask again.
-        listener.lost();
+        listener.onWatchLost();
     }
 
     private static long millisToMicros(long ms) {
         return TimeUnit.MILLISECONDS.toMicros(ms);
     }
 
-    private static long millis(long us) {
+    private static long microsToMillis(long us) {
         return TimeUnit.MICROSECONDS.toMillis(us);
     }
 
     /** One answer of discovery: lists and changes as they come, or one whole list. */
-    private final class Call implements JsonValues.Listener {
+    private final class Call implements JsonObjectScanner.Listener {
         private final long number;
-        private final boolean fetch;
-        private final long askedFrom = index;
-        private final JsonValues values = new JsonValues(LONGEST_LIST, this);
-        private final long begunUs;
+        private final boolean isFetch;
+        private final long fromVersion = index;
+        private final JsonObjectScanner scanner = new JsonObjectScanner(MAX_LIST_BYTES, this);
+        private final long startedUs;
         private long arrivedUs;
-        private long objectBegunUs;
-        private boolean pendingSaid;
-        private long heardUs;
-        private boolean ok;
-        private boolean heard;
-        private boolean fetched;
+        private long objectStartedUs;
+        private boolean pendingReported;
+        private long lastMessageUs;
+        private boolean accepted;
+        private boolean messageReceived;
+        private boolean listFetched;
         private String endReason = "its connection was closed";
 
-        Call(long number, boolean fetch, long nowUs) {
+        Call(long number, boolean isFetch, long nowUs) {
             this.number = number;
-            this.fetch = fetch;
-            this.begunUs = nowUs;
-            this.heardUs = nowUs;
+            this.isFetch = isFetch;
+            this.startedUs = nowUs;
+            this.lastMessageUs = nowUs;
         }
 
         void read(long arrivedAtUs, ByteBuf bytes) {
             arrivedUs = arrivedAtUs;
-            if (!values.pending()) {
-                objectBegunUs = arrivedUs;
-                pendingSaid = false;
+            if (!scanner.pending()) {
+                objectStartedUs = arrivedUs;
+                pendingReported = false;
             }
-            values.read(bytes);
-            if (this == current && (values.pending() || heard)) {
+            scanner.read(bytes);
+            if (this == current && (scanner.pending() || messageReceived)) {
                 // What is written from now on is written here as well.
-                hangUpPrevious();
+                closePrevious();
             }
-            boolean listenedTo = this == current || this == previous;
-            if (listenedTo && values.pending() && !pendingSaid) {
-                pendingSaid = true;
-                listener.pending(objectBegunUs);
+            boolean open = this == current || this == previous;
+            if (open && scanner.pending() && !pendingReported) {
+                pendingReported = true;
+                listener.onPending(objectStartedUs);
             }
         }
 
         @Override
-        public void object(String text) {
+        public void onObject(String text) {
             if (this != current && this != previous) {
                 return;
             }
             EndpointList list;
             try {
-                list = EndpointList.of(JSON.std.mapFrom(text), source.zones(), source.models());
-            } catch (IOException | IllegalArgumentException bad) {
-                skipped(bad.getMessage().lines().findFirst().orElse(""));
+                list =
+                        EndpointList.parse(
+                                JSON.std.mapFrom(text), config.zoneNames(), config.modelNames());
+            } catch (IOException | IllegalArgumentException malformed) {
+                onSkipped(malformed.getMessage().lines().findFirst().orElse(""));
                 return;
             }
             if (list.index() < index) {
                 // Versions only grow: what was said since would be undone, such as that a server
                 // drains.
-                older(list);
+                skipOlder(list);
                 return;
             }
-            if (!heard && !list.whole() && askedFrom < index) {
+            if (!messageReceived && !list.whole() && fromVersion < index) {
                 // What changed back since then is not among the changes after the older version.
-                skipped("it is told from version " + askedFrom + ", and " + index + " is known");
+                onSkipped(
+                        "it is told from version " + fromVersion + ", and " + index + " is known");
                 return;
             }
-            ListFreshness currency = currency(objectBegunUs);
+            ListFreshness freshness = freshness(objectStartedUs);
             if (this == current) {
-                hear("version " + list.index());
+                recordMessage("version " + list.index());
             }
             index = list.index();
-            whole = false;
-            fetched = fetch;
-            pauses.reset();
-            listener.listed(list, currency);
+            fetchWhole = false;
+            listFetched = isFetch;
+            backoff.reset();
+            listener.onList(list, freshness);
         }
 
         /** Said once a call: a release brings several versions a second. */
-        private void hear(String what) {
-            if (!heard) {
+        private void recordMessage(String content) {
+            if (!messageReceived) {
                 log.accept(
-                        "discovery: " + what + " heard after " + millis(nowUs - begunUs) + " ms");
+                        "discovery: "
+                                + content
+                                + " heard after "
+                                + microsToMillis(nowUs - startedUs)
+                                + " ms");
             }
-            heard = true;
-            heardUs = arrivedUs;
-            answerWithinMs = budget.firstAnswerMs();
+            messageReceived = true;
+            lastMessageUs = arrivedUs;
+            messageTimeoutMs = budget.initialMessageTimeoutMs();
         }
 
         /** A watch with nothing to tell says so by an empty line. */
         @Override
-        public void emptyLine() {
+        public void onEmptyLine() {
             if (this != current) {
                 return;
             }
-            pauses.reset();
-            boolean first = !heard;
+            backoff.reset();
+            boolean first = !messageReceived;
             // The first may come while the call waits its turn.
-            ListFreshness currency = currency(first ? begunUs : arrivedUs);
-            hear("no change since version " + index);
+            ListFreshness freshness = freshness(first ? startedUs : arrivedUs);
+            recordMessage("no change since version " + index);
             if (!first) {
-                listener.unchanged(currency);
-            } else if (!fetch) {
-                listener.listed(new EndpointList(index, false, List.of()), currency);
+                listener.onUnchanged(freshness);
+            } else if (!isFetch) {
+                listener.onList(new EndpointList(index, false, List.of()), freshness);
             }
         }
 
         /** An answer has all that discovery had when it was begun; a watch may tell later. */
-        private ListFreshness currency(long toldUs) {
-            long asOfUs = heard && source.onRequest() ? toldUs - LATEST_CHANGE_US : toldUs;
+        private ListFreshness freshness(long sentUs) {
+            long asOfUs =
+                    messageReceived && config.onRequest() ? sentUs - MAX_CHANGE_DELAY_US : sentUs;
             return new ListFreshness(
                     asOfUs,
-                    fetch || this == previous
+                    isFetch || this == previous
                             ? asOfUs
-                            : arrivedUs + millisToMicros(budget.silenceMs()));
+                            : arrivedUs + millisToMicros(budget.silenceTimeoutMs()));
         }
 
-        private void older(EndpointList list) {
+        private void skipOlder(EndpointList list) {
             if (!list.whole()) {
                 // What it says of other servers is nowhere else.
-                whole = true;
+                fetchWhole = true;
             }
-            skipped("its version " + list.index() + " is older than " + index);
+            onSkipped("its version " + list.index() + " is older than " + index);
         }
 
         /**
          * What was told and cannot be read is asked for again: nothing after it makes up for it.
          */
         @Override
-        public void skipped(String why) {
+        public void onSkipped(String reason) {
             if (this == current || this == previous) {
-                log.accept("discovery: a list is skipped: " + why);
-                listener.pending(objectBegunUs);
-                hangUpPrevious();
-                end("a list was skipped");
+                log.accept("discovery: a list is skipped: " + reason);
+                listener.onPending(objectStartedUs);
+                closePrevious();
+                close("a list was skipped");
             }
         }
 
-        private void end(String why) {
+        private void close(String reason) {
             if (this == current) {
-                giveUp(why);
+                abortCurrent(reason);
             } else {
-                hangUpPrevious();
+                closePrevious();
             }
         }
     }
--- a/src/main/java/passhatch/proxy/flow/HeldBytes.java
+++ b/src/main/java/passhatch/proxy/flow/BufferedBytes.java
@@ -7,12 +7,12 @@
 /**
  * The start of a body, or all of a short one, that is held back for a while within the byte budget.
  */
-public final class HeldBytes {
+public final class BufferedBytes {
 
-    private final ByteBudget budget;
+    private final BufferBudget budget;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(0);
 
-    public HeldBytes(ByteBudget budget) {
+    public BufferedBytes(BufferBudget budget) {
         this.budget = budget;
     }
 
@@ -21,8 +21,8 @@
         budget.add(buffer.readableBytes());
         try {
             buffer.getBytes(buffer.readerIndex(), bytes, buffer.readableBytes());
-        } catch (IOException cannotBe) {
-            throw new IllegalStateException(cannotBe);
+        } catch (IOException impossible) {
+            throw new IllegalStateException(impossible);
         }
     }
 
--- a/src/main/java/passhatch/proxy/flow/Relay.java
+++ b/src/main/java/passhatch/proxy/flow/Relay.java
@@ -23,117 +23,118 @@
             new WriteBufferWaterMark(1 << 14, 1 << 16);
 
     /** What is read at a time, as all of it is held until it has gone on. */
-    public static final RecvByteBufAllocator READS =
+    public static final RecvByteBufAllocator READ_SIZES =
             new AdaptiveRecvByteBufAllocator(512, 2048, 1 << 14);
 
     /** Peers take seconds to read or write; one that does nothing for this long has gone. */
-    private static final long STALL_MS = 30_000;
+    private static final long PROGRESS_TIMEOUT_MS = 30_000;
 
     /** Where the bytes come from. */
     public interface Source {
-        void read(boolean on);
+        void setReading(boolean reading);
     }
 
     /** Hears how the passing on ended, once; not after {@link #stop}. */
     public interface Listener {
         /** All of it has gone out. */
-        void passed();
+        void completed();
 
         /** The channel broke, or nothing has moved for long. */
-        void broken();
+        void failed();
     }
 
     private final EventLoop loop;
-    private final ByteBudget budget;
-    private final Channel to;
+    private final BufferBudget budget;
+    private final Channel target;
     private final Listener listener;
     private Source source;
-    private long pending;
-    private boolean moved;
-    private boolean over;
-    private Future<?> watch;
+    private long pendingBytes;
+    private boolean progressed;
+    private boolean ended;
+    private Future<?> progressCheck;
 
-    public Relay(EventLoop loop, ByteBudget budget, Source source, Channel to, Listener listener) {
+    public Relay(
+            EventLoop loop, BufferBudget budget, Source source, Channel target, Listener listener) {
         this.loop = loop;
         this.budget = budget;
         this.source = source;
-        this.to = to;
+        this.target = target;
         this.listener = listener;
-        watch();
+        scheduleProgressCheck();
     }
 
-    private void watch() {
-        watch =
+    private void scheduleProgressCheck() {
+        progressCheck =
                 loop.schedule(
                         () -> {
-                            if (moved) {
-                                moved = false;
-                                watch();
+                            if (progressed) {
+                                progressed = false;
+                                scheduleProgressCheck();
                             } else {
                                 end(false);
                             }
                         },
-                        STALL_MS,
+                        PROGRESS_TIMEOUT_MS,
                         TimeUnit.MILLISECONDS);
     }
 
     /** Passes bytes on; the buffer is the relay's from now on. */
-    public void pass(ByteBuf bytes) {
-        if (over || !bytes.isReadable()) {
+    public void forward(ByteBuf bytes) {
+        if (ended || !bytes.isReadable()) {
             bytes.release();
             return;
         }
         int size = bytes.readableBytes();
-        moved = true;
-        pending += size;
+        progressed = true;
+        pendingBytes += size;
         budget.add(size);
-        to.writeAndFlush(new DefaultHttpContent(bytes))
+        target.writeAndFlush(new DefaultHttpContent(bytes))
                 .addListener(
                         written -> {
-                            pending -= size;
+                            pendingBytes -= size;
                             budget.remove(size);
-                            moved = true;
+                            progressed = true;
                             if (!written.isSuccess()) {
                                 end(false);
-                            } else if (!over) {
-                                regulate();
+                            } else if (!ended) {
+                                updateReading();
                             }
                         });
-        if (!over) {
-            regulate();
+        if (!ended) {
+            updateReading();
         }
     }
 
     /** The source has given all. */
     public void finish() {
-        if (over) {
+        if (ended) {
             return;
         }
         source = null;
-        to.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
+        target.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                 .addListener(written -> end(written.isSuccess()));
     }
 
     /** Nothing more is passed on, and nothing more is heard. */
     public void stop() {
-        over = true;
+        ended = true;
         source = null;
-        watch.cancel(false);
+        progressCheck.cancel(false);
     }
 
-    private void regulate() {
+    private void updateReading() {
         if (source != null) {
-            source.read(pending == 0 || to.isWritable() && !budget.over());
+            source.setReading(pendingBytes == 0 || target.isWritable() && !budget.exceeded());
         }
     }
 
-    private void end(boolean whole) {
-        if (!over) {
+    private void end(boolean success) {
+        if (!ended) {
             stop();
-            if (whole) {
-                listener.passed();
+            if (success) {
+                listener.completed();
             } else {
-                listener.broken();
+                listener.failed();
             }
         }
     }
--- a/src/main/java/passhatch/proxy/flow/RequestBody.java
+++ b/src/main/java/passhatch/proxy/flow/RequestBody.java
@@ -13,41 +13,42 @@
 public final class RequestBody {
 
     /** A body of up to this size is kept. */
-    public static final int MOST_KEPT = 1 << 16;
+    public static final int MAX_REPLAYABLE_BYTES = 1 << 16;
 
     /** There is none longer than this, in answers neither. */
-    public static final int MOST = 1 << 25;
+    public static final int MAX_BYTES = 1 << 25;
 
     private final EventLoop loop;
-    private final ByteBudget budget;
-    private final long declared;
+    private final BufferBudget budget;
+    private final long declaredLength;
     private final Relay.Source source;
-    private final HeldBytes held;
+    private final BufferedBytes buffered;
     private long size;
     private boolean ended;
 
     /** Its bytes have begun to go to a backend, or nobody wants them any more. */
-    private boolean spent;
+    private boolean consumed;
 
     private Relay relay;
 
     /**
      * A body of which nothing has come yet.
      *
-     * @param declared its length as its head says, or -1
+     * @param declaredLength its length as its head says, or -1
      * @param source the client's connection
      */
-    public RequestBody(EventLoop loop, ByteBudget budget, long declared, Relay.Source source) {
+    public RequestBody(
+            EventLoop loop, BufferBudget budget, long declaredLength, Relay.Source source) {
         this.loop = loop;
         this.budget = budget;
-        this.held = new HeldBytes(budget);
-        this.declared = declared;
+        this.buffered = new BufferedBytes(budget);
+        this.declaredLength = declaredLength;
         this.source = source;
     }
 
     /** The length that its head declares, or -1 where it tells none. */
-    public long declared() {
-        return declared;
+    public long declaredLength() {
+        return declaredLength;
     }
 
     /** How much has come so far. */
@@ -61,28 +62,28 @@
 
     /** Whether it is too long to be kept, as far as it has come. */
     public boolean isLong() {
-        return size > MOST_KEPT;
+        return size > MAX_REPLAYABLE_BYTES;
     }
 
     /** Whether a backend may still be sent all of it. */
     public boolean canBeSent() {
-        return !spent;
+        return !consumed;
     }
 
     /** All of a short body, once it has ended. */
-    public byte[] kept() {
-        return held.copy();
+    public byte[] replayableBytes() {
+        return buffered.copy();
     }
 
     /** Bytes that came from the client; they stay the caller's. */
     public void add(ByteBuf bytes) {
         size += bytes.readableBytes();
         if (relay != null) {
-            relay.pass(bytes.retain());
-        } else if (!spent) {
-            held.add(bytes);
+            relay.forward(bytes.retain());
+        } else if (!consumed) {
+            buffered.add(bytes);
             if (isLong()) {
-                source.read(false);
+                source.setReading(false);
             }
         }
     }
@@ -97,28 +98,28 @@
 
     /** Sends a long body to a backend from its first byte on, after the head. */
     public void sendTo(Channel backend, Relay.Listener listener) {
-        spent = true;
+        consumed = true;
         relay = new Relay(loop, budget, source, backend, listener);
-        relay.pass(Unpooled.wrappedBuffer(held.take()));
+        relay.forward(Unpooled.wrappedBuffer(buffered.take()));
         if (ended && relay != null) {
             relay.finish();
         }
     }
 
     /** The backend that it went to takes no more of it. */
-    public void cut() {
+    public void stopSending() {
         if (relay != null) {
             relay.stop();
             relay = null;
-            source.read(true);
+            source.setReading(true);
         }
     }
 
     /** Nobody wants it any more; what still comes is dropped. */
     public void drop() {
-        spent = true;
-        cut();
-        held.drop();
-        source.read(true);
+        consumed = true;
+        stopSending();
+        buffered.drop();
+        source.setReading(true);
     }
 }
--- a/src/main/java/passhatch/proxy/flow/AnswerStream.java
+++ b/src/main/java/passhatch/proxy/flow/ResponseStream.java
@@ -5,7 +5,7 @@
 /**
  * A 200 answer that goes on as it comes, as it is too long to be held. Nothing is read from it yet.
  */
-public interface AnswerStream {
+public interface ResponseStream {
 
     /** Its length, or -1 where its end will show. */
     long length();
--- a/src/test/java/passhatch/proxy/BodiesTest.java
+++ b/src/test/java/passhatch/proxy/BodiesTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpConnection.Message;
 
 /** Bodies of all lengths and forms, over loopback sockets. */
 @Timeout(60)
@@ -61,14 +61,14 @@
     }
 
     /** Reads byte by byte, so that what follows is still there. */
-    private static void readUpTo(Http client, String end) throws IOException {
+    private static void readUpTo(HttpConnection client, String end) throws IOException {
         StringBuilder read = new StringBuilder();
         while (!read.toString().endsWith(end)) {
             read.append((char) client.socket.getInputStream().read());
         }
     }
 
-    private static void answer(Http connection, byte[] body) throws IOException {
+    private static void answer(HttpConnection connection, byte[] body) throws IOException {
         connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
         connection.write(body);
     }
@@ -86,7 +86,7 @@
                         given.addAndGet(16_000);
                     }
                 });
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("r", ""));
         long before = -1;
         while (before != given.get() || before == 0) {
@@ -94,22 +94,22 @@
             Thread.sleep(300);
         }
         assertTrue(before < LONG, "all of it was taken from the backend");
-        rig.awaitFigure("inflight", 1);
+        rig.awaitMetric("inflight", 1);
         assertArrayEquals(body, client.read().body());
-        rig.awaitFigure("success{tier=\"board\"}", 1);
-        assertEquals(0, rig.figure("inflight"));
+        rig.awaitMetric("success{tier=\"board\"}", 1);
+        assertEquals(0, rig.metric("inflight"));
     }
 
     @Test
     void manyLongAnswersAtOnceComeWhole() throws Exception {
         byte[] body = random(4_000_000);
         with((connection, request) -> answer(connection, body));
-        Http[] clients = new Http[20];
+        HttpConnection[] clients = new HttpConnection[20];
         for (int i = 0; i < clients.length; i++) {
             clients[i] = rig.client();
             clients[i].write(Rig.get("r" + i, ""));
         }
-        for (Http client : clients) {
+        for (HttpConnection client : clients) {
             assertArrayEquals(body, client.read().body());
         }
     }
@@ -123,21 +123,21 @@
                 rig.backend(
                         (connection, request) -> {
                             got.add(request.body());
-                            connection.answer("200 OK", "done");
+                            connection.respond("200 OK", "done");
                         });
-        backend.onHead(first::countDown);
+        backend.setHeadAction(first::countDown);
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(post("Content-Length: " + LONG));
         client.write(Arrays.copyOf(body, 100_000));
         assertTrue(
-                first.await(Http.PATIENCE_MS, TimeUnit.MILLISECONDS),
+                first.await(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS),
                 "held back until it is whole");
-        assertEquals(0, rig.figure("inflight"), "not taken before its last byte");
+        assertEquals(0, rig.metric("inflight"), "not taken before its last byte");
         client.write(Arrays.copyOfRange(body, 100_000, LONG));
         assertEquals("done", client.read().text());
         assertArrayEquals(body, got.take());
-        assertEquals(1, rig.figure("backend_calls"));
+        assertEquals(1, rig.metric("backend_calls"));
         client.write(Rig.get("next", ""));
         assertEquals("done", client.read().text());
     }
@@ -150,9 +150,9 @@
         with(
                 (connection, request) -> {
                     got.add(request.body());
-                    connection.answer("200 OK", "done");
+                    connection.respond("200 OK", "done");
                 });
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(post("Transfer-Encoding: chunked\r\nExpect: 100-continue"));
         assertEquals(100, client.read().status());
         for (int at = 0; at < size; at += 50_000) {
@@ -179,9 +179,9 @@
             })
     void framingThatIsMalformedIsRefusedAndTheConnectionClosed(String framing) throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", ""));
+                rig.backend((connection, request) -> connection.respond("200 OK", ""));
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write("POST /move/1 HTTP/1.1\r\nHost: p\r\nX-Request-Id: r\r\n" + framing);
         assertEquals(400, client.read().status());
         assertNull(client.read());
@@ -193,36 +193,36 @@
     void aChunkThatIsMalformedAfterALongStartEndsTheAttempt() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", ""));
-        backend.onHead(first::countDown);
+                rig.backend((connection, request) -> connection.respond("200 OK", ""));
+        backend.setHeadAction(first::countDown);
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(post("Transfer-Encoding: chunked"));
         client.write("18000\r\n" + "x".repeat(0x18000) + "\r\n");
         first.await();
         client.write("nonsense\r\n");
         assertEquals(400, client.read().status());
-        backend.awaitEnded();
+        backend.awaitConnectionEnd();
         assertTrue(backend.received.isEmpty());
-        assertEquals(0, rig.figure("backend_calls"));
-        assertEquals(0, rig.figure("inflight"));
+        assertEquals(0, rig.metric("backend_calls"));
+        assertEquals(0, rig.metric("inflight"));
     }
 
     @Test
     void aClientThatBreaksOffInALongRequestEndsTheAttempt() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", ""));
-        backend.onHead(first::countDown);
+                rig.backend((connection, request) -> connection.respond("200 OK", ""));
+        backend.setHeadAction(first::countDown);
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(post("Content-Length: 900000"));
         client.write(random(300_000));
         first.await();
         client.reset();
-        backend.awaitEnded();
+        backend.awaitConnectionEnd();
         assertTrue(backend.received.isEmpty());
-        assertEquals(0, rig.figure("backend_calls"));
+        assertEquals(0, rig.metric("backend_calls"));
     }
 
     /** What has gone out is not kept, so a repeat would not be the same request. */
@@ -233,7 +233,7 @@
         rig.start(
                 Rig.entry("s", backend.address(), "SERVING"),
                 Rig.entry("t", other.address(), "SERVING"));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(
                 "POST /buy/1 HTTP/1.1\r\nHost: p\r\nX-Request-Id: r\r\nIdempotency-Key: k\r\n"
                         + "Content-Length: 200000\r\n\r\n");
@@ -245,17 +245,17 @@
     /** A backend that is full says so before it has read all. */
     @Test
     void anAnswerThatComesBeforeTheRequestIsWholeIsPassedOn() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
-        backend.answerAtHead("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
+        backend.respondAtHead("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(post("Content-Length: 5000000"));
         client.write(random(100_000));
         assertEquals(503, client.read().status());
         client.write(random(4_900_000));
         client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
         assertEquals(200, client.read().status(), "the rest of the body is read and dropped");
-        assertEquals(0, rig.figure("backend_calls"));
+        assertEquals(0, rig.metric("backend_calls"));
     }
 
     @Test
@@ -266,12 +266,12 @@
                     connection.write(random(200_000));
                     connection.close();
                 });
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("r", ""));
         assertThrows(EOFException.class, client::read);
-        rig.awaitFigure("failure{tier=\"board\"}", 1);
-        assertEquals(0, rig.figure("inflight"));
-        assertEquals(1, rig.figure("backend_calls"));
+        rig.awaitMetric("failure{tier=\"board\"}", 1);
+        assertEquals(0, rig.metric("inflight"));
+        assertEquals(1, rig.metric("backend_calls"));
     }
 
     /**
@@ -282,11 +282,11 @@
     @ValueSource(strings = {"Transfer-Encoding: chunked\r\n\r\n5\r\nbegun\r\n", "\r\nbegun"})
     void anAnswerThatNeverEndsIsBrokenOff(String begun) throws Exception {
         with((connection, request) -> connection.write("HTTP/1.1 200 OK\r\n" + begun));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("r", ""));
         assertThrows(EOFException.class, client::read);
-        rig.awaitFigure("failure{tier=\"board\"}", 1);
-        assertEquals(0, rig.figure("inflight"));
+        rig.awaitMetric("failure{tier=\"board\"}", 1);
+        assertEquals(0, rig.metric("inflight"));
     }
 
     /** Only its peer's own end of the connection ends an answer without a length. */
@@ -299,13 +299,13 @@
                     seen.await();
                     connection.reset();
                 });
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("r", ""));
         readUpTo(client, "begun\r\n");
         seen.countDown();
-        assertEquals("", client.rest(), "the empty chunk that ends an answer");
-        rig.awaitFigure("failure{tier=\"board\"}", 1);
-        assertEquals(0, rig.figure("inflight"));
+        assertEquals("", client.readAll(), "the empty chunk that ends an answer");
+        rig.awaitMetric("failure{tier=\"board\"}", 1);
+        assertEquals(0, rig.metric("inflight"));
     }
 
     /**
@@ -323,8 +323,8 @@
                     seen.await();
                     connection.write("e".repeat(50_000));
                 });
-        Http client = rig.client();
-        client.onHead(seen::countDown);
+        HttpConnection client = rig.client();
+        client.setHeadListener(seen::countDown);
         client.write(Rig.get("r", "X-Deadline: 150m\r\n"));
         assertEquals("b".repeat(50_000) + "e".repeat(50_000), client.read().text());
     }
@@ -342,12 +342,12 @@
                 };
         ScriptedServer broken = rig.backend(once);
         ScriptedServer good =
-                rig.backend((connection, request) -> connection.answer("200 OK", "good"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "good"));
         rig.start(
                 Rig.entry("s", broken.address(), "SERVING"),
                 Rig.entry("t", good.address(), "SERVING"));
         for (int i = 0; broken.received.isEmpty(); i++) {
-            assertEquals("good", rig.call(Rig.get("r" + i, "")).text());
+            assertEquals("good", rig.send(Rig.get("r" + i, "")).text());
         }
     }
 
@@ -356,13 +356,13 @@
         ScriptedServer backend =
                 rig.backend((connection, request) -> answer(connection, random(LONG)));
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("r", ""));
-        rig.awaitFigure("inflight", 1);
+        rig.awaitMetric("inflight", 1);
         client.reset();
-        backend.awaitEnded();
-        rig.awaitFigure("inflight", 0);
-        assertEquals(0, rig.figure("success{tier=\"board\"}"));
+        backend.awaitConnectionEnd();
+        rig.awaitMetric("inflight", 0);
+        assertEquals(0, rig.metric("success{tier=\"board\"}"));
     }
 
     @ParameterizedTest
@@ -385,7 +385,7 @@
                         connection.write("\r\n0\r\nX-Sum: 7\r\n\r\n");
                     }
                 });
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         for (String form : new String[] {"close", "chunks"}) {
             client.write(Rig.get(form, ""));
             assertArrayEquals(body, client.read().body());
@@ -403,7 +403,7 @@
                     seen.await();
                     connection.write("1\r\nb\r\n0\r\n\r\n");
                 });
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("r", ""));
         readUpTo(client, "\r\na\r\n");
         seen.countDown();
@@ -422,7 +422,7 @@
                             connection,
                             random(request.header("X-Request-Id").equals("a") ? 200_001 : 200_002));
                 });
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("a", "") + Rig.get("b", ""));
         assertArrayEquals(random(200_001), client.read().body());
         assertArrayEquals(random(200_002), client.read().body());
@@ -431,8 +431,8 @@
     /** A slow client has 2 s for its head; single bytes are as good as whole lines. */
     @Test
     void aHeadThatTakesTwoSecondsIsTaken() throws Exception {
-        with((connection, request) -> connection.answer("200 OK", "x"));
-        Http client = rig.client();
+        with((connection, request) -> connection.respond("200 OK", "x"));
+        HttpConnection client = rig.client();
         String head = Rig.get("r", "");
         for (int i = 0; i < head.length(); i++) {
             client.write(head.substring(i, i + 1));
@@ -445,8 +445,8 @@
     /** Slower than 64 kB a second in a body of 1 s at that speed: it is let go, not waited for. */
     @Test
     void aBodyThatStandsStillIsLetGo() throws Exception {
-        with((connection, request) -> connection.answer("200 OK", "x"));
-        Http client = rig.client();
+        with((connection, request) -> connection.respond("200 OK", "x"));
+        HttpConnection client = rig.client();
         client.write(post("Content-Length: 900000"));
         client.write(new byte[1_000]);
         long start = System.nanoTime();
--- a/src/test/java/passhatch/proxy/ClientConnectionTest.java
+++ b/src/test/java/passhatch/proxy/ClientConnectionTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpConnection.Message;
 
 /** Connections of clients: which are kept, which are closed, and what comes on them. */
 @Timeout(60)
@@ -48,7 +48,7 @@
     void aPeerThatSendsNoWholeRequestIsLetGoWithinThreeSeconds(String part) throws Exception {
         rig.start();
         long start = System.nanoTime();
-        Http peer = rig.client();
+        HttpConnection peer = rig.client();
         peer.write(part);
         assertNull(peer.read());
         assertTrue(System.nanoTime() - start < 3_000_000_000L);
@@ -57,9 +57,9 @@
     @Test
     void peersThatSendNothingDoNotPushAClientOut() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "x"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "x"));
         rig.start(up("s", backend));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("a", ""));
         assertEquals("x", client.read().text());
         for (int i = 0; i < 300; i++) {
@@ -74,16 +74,16 @@
     @Test
     void inACrowdNoClientIsKeptForANextRequest() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "x"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "x"));
         rig.start(up("s", backend));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("a", ""));
         assertNull(client.read().header("Connection"));
         for (int i = 0; i < 180; i++) {
             rig.client();
         }
         // Answered after those that came before it were taken.
-        assertEquals(200, rig.call("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n").status());
+        assertEquals(200, rig.send("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n").status());
         client.write(Rig.get("b", ""));
         assertEquals("close", client.read().header("Connection"));
     }
@@ -92,9 +92,9 @@
     @Test
     void aSlowHeadStaysWhileThousandsComeAndSayNothing() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "x"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "x"));
         rig.start(up("s", backend));
-        Http slow = rig.client();
+        HttpConnection slow = rig.client();
         String head = Rig.get("slow", "");
         for (int i = 0; i < head.length(); i++) {
             slow.write(head.substring(i, i + 1));
@@ -102,7 +102,7 @@
                 rig.client().close();
                 rig.client();
             }
-            assertEquals(200, rig.call("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n").status());
+            assertEquals(200, rig.send("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n").status());
         }
         rig.awaitLog("clients are connected");
         assertEquals("x", slow.read().text());
@@ -116,10 +116,10 @@
                             if (request.header("X-Request-Id").equals("long")) {
                                 Thread.sleep(3_000);
                             }
-                            connection.answer("200 OK", "late");
+                            connection.respond("200 OK", "late");
                         });
         rig.start(up("s", backend));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("long", ""));
         assertEquals("late", client.read().text());
         client.write(Rig.get("next", ""));
@@ -130,7 +130,7 @@
     @Test
     void nothingMoreIsTakenFromAPeerThatSentNoRequest() throws Exception {
         rig.start();
-        Http peer = rig.client();
+        HttpConnection peer = rig.client();
         peer.write(("GET /nothing HTTP/1.1\r\nHost: p\r\n\r\n").repeat(50));
         Message answer = peer.read();
         assertEquals(404, answer.status());
@@ -143,9 +143,9 @@
         ScriptedServer backend =
                 rig.backend(
                         (connection, request) ->
-                                connection.answer("200 OK", request.header("X-Request-Id")));
+                                connection.respond("200 OK", request.header("X-Request-Id")));
         rig.start(up("s", backend));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 10; i++) {
             all.append(Rig.get("p" + i, ""));
@@ -158,30 +158,30 @@
 
     @Test
     void aClientThatLeavesEndsItsAttempt() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.start(up("s", backend));
-        Http leaves = rig.client();
+        HttpConnection leaves = rig.client();
         leaves.write(Rig.get("a", ""));
-        backend.next();
+        backend.nextRequest();
         leaves.close();
-        backend.awaitEnded();
-        Http resets = rig.client();
+        backend.awaitConnectionEnd();
+        HttpConnection resets = rig.client();
         resets.write(Rig.get("b", ""));
-        backend.next();
+        backend.nextRequest();
         resets.reset();
-        backend.awaitEnded();
+        backend.awaitConnectionEnd();
     }
 
     @Test
     void aClientThatEndsItsSendingIsAnsweredAndLetGo() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.start(up("s", backend));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("a", ""));
-        backend.next();
+        backend.nextRequest();
         client.socket.shutdownOutput();
         assertEquals(502, client.read().status());
         assertNull(client.read());
-        backend.awaitEnded();
+        backend.awaitConnectionEnd();
     }
 }
--- a/src/test/java/passhatch/proxy/ClientLeavesTest.java
+++ b/src/test/java/passhatch/proxy/ClientLeavesTest.java
@@ -41,24 +41,24 @@
     enum Leaving {
         FIN {
             @Override
-            void leave(Http client) throws IOException {
+            void leave(HttpConnection client) throws IOException {
                 client.close();
             }
         },
         RESET {
             @Override
-            void leave(Http client) throws IOException {
+            void leave(HttpConnection client) throws IOException {
                 client.reset();
             }
         },
         HALF_CLOSE {
             @Override
-            void leave(Http client) throws IOException {
+            void leave(HttpConnection client) throws IOException {
                 client.socket.shutdownOutput();
             }
         };
 
-        abstract void leave(Http client) throws IOException;
+        abstract void leave(HttpConnection client) throws IOException;
     }
 
     @TempDir Path folder;
@@ -75,10 +75,10 @@
     void setUp() throws IOException {
         rig =
                 new Rig(folder)
-                        .module(
+                        .balancerFactory(
                                 (settings, seed, actions) ->
                                         overheard(new Logic(settings, seed, actions)));
-        server = rig.backend((connection, request) -> connection.answer("200 OK", "served"));
+        server = rig.backend((connection, request) -> connection.respond("200 OK", "served"));
     }
 
     @AfterEach
@@ -111,7 +111,9 @@
 
     private static void await(BlockingQueue<String> heard, int many) throws InterruptedException {
         for (int i = 0; i < many; i++) {
-            assertNotNull(heard.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS), i + " of " + many);
+            assertNotNull(
+                    heard.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                    i + " of " + many);
         }
     }
 
@@ -123,12 +125,13 @@
         lists.clear();
         rig.lines.add(Rig.list(9, true, Rig.entry("late", server.address(), "SERVING")));
         await(lists, 1);
-        assertEquals("served", rig.call(Rig.get("stays", "")).text());
-        assertEquals("stays", server.next().header("X-Request-Id"));
+        assertEquals("served", rig.send(Rig.get("stays", "")).text());
+        assertEquals("stays", server.nextRequest().header("X-Request-Id"));
         assertEquals(0, server.received.size());
     }
 
-    private void leavesAndNothingIsSentOn(Http client, Leaving how, int requests) throws Exception {
+    private void leavesAndNothingIsSentOn(HttpConnection client, Leaving how, int requests)
+            throws Exception {
         how.leave(client);
         await(gone, requests);
         nothingOfThemIsSentOn();
@@ -138,7 +141,7 @@
     @EnumSource
     void whileItsRequestWaitsInTheModule(Leaving how) throws Exception {
         rig.start();
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("left", ""));
         await(asked, 1);
         leavesAndNothingIsSentOn(client, how, 1);
@@ -155,9 +158,9 @@
                                                 + "X-Not-Run: 1\r\n"
                                                 + "Content-Length: 0\r\n\r\n"));
         rig.start(Rig.entry("full", full.address(), "SERVING"));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.post("/move", "left", ""));
-        full.next();
+        full.nextRequest();
         leavesAndNothingIsSentOn(client, how, 1);
     }
 
@@ -166,7 +169,7 @@
     @EnumSource
     void behindManyOnTheSameConnection(Leaving how) throws Exception {
         rig.start();
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         for (int i = 0; i < 4; i++) {
             client.write(Rig.get("left" + i, ""));
             await(asked, 1);
@@ -182,7 +185,7 @@
     @EnumSource
     void behindItsBody(Leaving how) throws Exception {
         rig.start();
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(
                 "POST /buy/1 HTTP/1.1\r\nHost: p\r\nX-Request-Id: left\r\nIdempotency-Key: k\r\n"
                         + "Content-Length: 110000\r\n\r\n"
@@ -214,7 +217,7 @@
                 waiting.add(new Socket(at.getAddress(), at.getPort()));
                 waiting.add(new Socket(at.getAddress(), at.getPort()));
                 rig.limit("cancel", cancel).start(Rig.entry("s", at, "SERVING"));
-                Http client = rig.client();
+                HttpConnection client = rig.client();
                 client.write(Rig.get("left", ""));
                 await(asked, 1);
                 how.leave(client);
@@ -250,9 +253,9 @@
     @Test
     void manyInABurst() throws Exception {
         rig.start();
-        List<Http> clients = new ArrayList<>();
+        List<HttpConnection> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            Http client = rig.client();
+            HttpConnection client = rig.client();
             client.write(Rig.get("left" + i, ""));
             clients.add(client);
         }
