--- a/src/test/java/passhatch/proxy/ClosesTest.java
+++ b/src/test/java/passhatch/proxy/ClosesTest.java
@@ -56,10 +56,10 @@
      */
     private void answersAfter(String id, Runnable crossing) throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", LONG));
-        rig.module(
+                rig.backend((connection, request) -> connection.respond("200 OK", LONG));
+        rig.balancerFactory(
                         (settings, seed, actions) ->
-                                Rig.scriptedModule(
+                                Rig.scriptedBalancer(
                                         (method, args) -> {
                                             if (method.equals("outcome")) {
                                                 served.countDown();
@@ -80,8 +80,8 @@
     }
 
     /** A client that was answered and has not read that: a reset would destroy it on its way. */
-    private Http clientWithAnAnswerOnItsWay() throws Exception {
-        Http client = Http.narrow(rig.proxy().address());
+    private HttpConnection clientWithAnAnswerOnItsWay() throws Exception {
+        HttpConnection client = HttpConnection.withSmallReceiveBuffer(rig.proxy().address());
         client.write(Rig.get("before", "X-Deadline: 9000m\r\n"));
         served.await();
         return client;
@@ -90,17 +90,17 @@
     /** A socket that was closed is given back to the system some turns of the loop later. */
     private void awaitTurns() throws InterruptedException {
         for (int turns = 0; turns < 3; turns++) {
-            rig.proxy().awaitIdle();
+            rig.proxy().awaitSubmittedTasks();
         }
     }
 
     /** Reads what is on its way, once all that the proxy did about its connection is done. */
-    private void readsOnlyNow(Http client) throws Exception {
+    private void readsOnlyNow(HttpConnection client) throws Exception {
         awaitTurns();
         assertEquals(LONG, client.read().text());
     }
 
-    private static void write(Http client, String text) {
+    private static void write(HttpConnection client, String text) {
         try {
             client.write(text);
         } catch (IOException e) {
@@ -119,7 +119,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"a request", "half a head", "nonsense"})
     void behindTheLastAnswer(String what) throws Exception {
-        BlockingQueue<Http> asks = new LinkedBlockingQueue<>();
+        BlockingQueue<HttpConnection> asks = new LinkedBlockingQueue<>();
         CountDownLatch crossed = new CountDownLatch(1);
         answersAfter(
                 "last",
@@ -127,7 +127,7 @@
                     write(asks.remove(), more(what));
                     crossed.countDown();
                 });
-        try (Http client = clientWithAnAnswerOnItsWay()) {
+        try (HttpConnection client = clientWithAnAnswerOnItsWay()) {
             asks.add(client);
             client.write(Rig.get("last", CLOSE));
             crossed.await();
@@ -152,8 +152,8 @@
                             connection.write("x".repeat(8_000_000));
                         });
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        Http client = rig.client();
-        client.onHead(
+        HttpConnection client = rig.client();
+        client.setHeadListener(
                 () -> {
                     client.write(Rig.get("behind", ""));
                     written.countDown();
@@ -177,12 +177,13 @@
                 () -> {
                     held.countDown();
                     // Longer than a process with short deadlines serves on.
-                    LockSupport.parkNanos(EndPlan.of(200).leaveMs() * 1_000_000 + 50_000_000);
+                    LockSupport.parkNanos(
+                            ShutdownSchedule.of(200).closeClientsMs() * 1_000_000 + 50_000_000);
                 });
-        try (Http resting = clientWithAnAnswerOnItsWay()) {
-            Http holds = rig.client();
+        try (HttpConnection resting = clientWithAnAnswerOnItsWay()) {
+            HttpConnection holds = rig.client();
             rig.proxy().shutDown();
-            rig.proxy().awaitIdle();
+            rig.proxy().awaitSubmittedTasks();
             holds.write(Rig.get("held", ""));
             held.await();
             resting.write(Rig.get("crossing", ""));
@@ -190,7 +191,7 @@
             readsOnlyNow(resting);
             assertNull(resting.read());
         }
-        assertTrue(rig.proxy().awaitEnd(Http.PATIENCE_MS));
+        assertTrue(rig.proxy().awaitTermination(HttpConnection.TIMEOUT_MS));
         assertEquals(List.of("before", "held"), asked);
     }
 
@@ -198,21 +199,22 @@
     @Test
     void aClientThatGoesOnSendingIsLetGo() throws Exception {
         answersAfter("last", () -> {});
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(Rig.get("last", CLOSE));
         assertEquals(503, client.read().status());
         assertNull(client.read());
-        assertEquals("", rig.leftOver(), "its side stays open, and is not waited for");
+        assertEquals("", rig.unreleasedResources(), "its side stays open, and is not waited for");
     }
 
     /** What operators are told arrives though they have sent more than the one line. */
     @Test
     void behindAnOperatorsCall() throws Exception {
         rig.control().safeClass("c".repeat(50_000)).start();
-        try (Http caller = Http.narrow(rig.proxy().controlAddress())) {
+        try (HttpConnection caller =
+                HttpConnection.withSmallReceiveBuffer(rig.proxy().controlAddress())) {
             caller.write("vars\n" + "x".repeat(60_000));
             awaitTurns();
-            String text = caller.rest();
+            String text = caller.readAll();
             assertTrue(text.endsWith("end\n"), () -> text.length() + " characters");
         }
     }
--- a/src/test/java/passhatch/proxy/ControlTest.java
+++ b/src/test/java/passhatch/proxy/ControlTest.java
@@ -39,19 +39,19 @@
     }
 
     @Test
-    void isReadyOnceTheListIsInAndNoLongerAfterTheOrderToEnd() throws Exception {
+    void isReadyOnceTheListIsReceivedAndNotAfterShutdownBegins() throws Exception {
         ProxyServer proxy =
                 ProxyServer.start(
                         ProxyConfig.read(rig.environment()),
                         new EventLog(System.err),
                         passhatch.Logic::new);
         try {
-            assertTrue(Rig.ask(proxy.controlAddress(), "check\n").startsWith("error"));
+            assertTrue(Rig.sendCommand(proxy.controlAddress(), "check\n").startsWith("error"));
             rig.lines.add(Rig.list(8, true));
             Rig.awaitReady(proxy.address());
-            assertEquals("done\n", Rig.ask(proxy.controlAddress(), "check\r\n"));
+            assertEquals("done\n", Rig.sendCommand(proxy.controlAddress(), "check\r\n"));
             proxy.shutDown();
-            assertTrue(Rig.ask(proxy.controlAddress(), "check\n").startsWith("error"));
+            assertTrue(Rig.sendCommand(proxy.controlAddress(), "check\n").startsWith("error"));
         } finally {
             proxy.stopNow();
         }
@@ -59,43 +59,43 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"\n", "chec\n", "check vars\n", "\0\7\n"})
-    void aWrongLineIsAnError(String line) throws Exception {
+    void anInvalidCommandIsAnError(String line) throws Exception {
         rig.start();
-        assertTrue(rig.ask(line).startsWith("error"));
+        assertTrue(rig.sendCommand(line).startsWith("error"));
     }
 
     @Test
-    void aLineThatIsTooLongIsAnErrorOrAClose() throws Exception {
+    void aLineThatIsTooLongIsAnError() throws Exception {
         rig.start();
-        try (Http caller = Http.to(rig.proxy().controlAddress())) {
+        try (HttpConnection caller = HttpConnection.connect(rig.proxy().controlAddress())) {
             caller.write("x".repeat(300));
-            assertTrue(caller.rest().startsWith("error"));
+            assertTrue(caller.readAll().startsWith("error"));
         }
-        assertEquals("done\n", rig.ask("check\n"));
+        assertEquals("done\n", rig.sendCommand("check\n"));
     }
 
     @Test
-    void aLineCutOffIsNoCall() throws Exception {
+    void anIncompleteLineIsNoCommand() throws Exception {
         rig.start();
-        try (Http caller = Http.to(rig.proxy().controlAddress())) {
+        try (HttpConnection caller = HttpConnection.connect(rig.proxy().controlAddress())) {
             caller.write("che");
             caller.socket.shutdownOutput();
-            assertEquals("", caller.rest());
+            assertEquals("", caller.readAll());
         }
-        assertEquals("done\n", rig.ask("check\n"));
+        assertEquals("done\n", rig.sendCommand("check\n"));
     }
 
     /** They hold descriptors, so only so many may stay; one that asks is answered beside them. */
     @Test
-    void callersThatSayNothingAreNoBurden() throws Exception {
+    void silentConnectionsDoNotBlockOthers() throws Exception {
         rig.start();
-        List<Http> silent = new ArrayList<>();
-        for (int i = 0; i < 5 * Control.MOST_CALLERS; i++) {
-            silent.add(Http.to(rig.proxy().controlAddress()));
+        List<HttpConnection> silent = new ArrayList<>();
+        for (int i = 0; i < 5 * Control.MAX_CONNECTIONS; i++) {
+            silent.add(HttpConnection.connect(rig.proxy().controlAddress()));
         }
-        assertEquals("done\n", rig.ask("check\n"));
-        for (Http caller : silent.subList(0, 4 * Control.MOST_CALLERS)) {
-            assertEquals("", caller.rest(), "not let go");
+        assertEquals("done\n", rig.sendCommand("check\n"));
+        for (HttpConnection caller : silent.subList(0, 4 * Control.MAX_CONNECTIONS)) {
+            assertEquals("", caller.readAll(), "not let go");
         }
     }
 
@@ -106,20 +106,20 @@
     }
 
     @Test
-    void anAddressThatCannotBeUsedIsSaidAndTheProxyServes() throws Exception {
+    void anUnusableAddressIsLoggedAndTheProxyServes() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             ScriptedServer backend =
-                    rig.backend((connection, request) -> connection.answer("200 OK", "x"));
+                    rig.backend((connection, request) -> connection.respond("200 OK", "x"));
             rig.control("127.0.0.1:" + taken.getLocalPort())
                     .start(Rig.entry("s", backend.address(), "SERVING"));
             rig.awaitLog("no control address: ");
-            assertEquals(200, rig.call(Rig.get("r", "")).status());
+            assertEquals(200, rig.send(Rig.get("r", "")).status());
         }
     }
 
     /** One request served at its second attempt, one refused, one failed, one whose client left. */
     @Test
-    void countsEachRequestOnceByItsEndAndEachAttempt() throws Exception {
+    void countsEachRequestOnceByItsResultAndEachAttempt() throws Exception {
         ScriptedServer backend =
                 rig.backend(
                         (connection, request) -> {
@@ -131,26 +131,26 @@
                                                         + "Content-Length: 0\r\n\r\n");
                                 case "silent" -> {}
                                 case "breaks" -> connection.reset();
-                                default -> connection.answer("200 OK", "x");
+                                default -> connection.respond("200 OK", "x");
                             }
                         });
-        ScriptedServer drains = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer drains = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.aimUs(300_000)
                 .start(
                         Rig.entry("s", backend.address(), "SERVING"),
                         Rig.entry("t", drains.address(), "DRAINING"));
-        assertEquals(2, rig.figure("hosts_listed"));
-        assertEquals(1, rig.figure("hosts_down"));
-        assertEquals(200, rig.call(Rig.get("served", "")).status());
-        assertEquals(503, rig.call(Rig.post("/move", "full", "")).status());
-        assertEquals(404, rig.call("GET /nothing HTTP/1.1\r\nHost: p\r\n\r\n").status());
-        try (Http leaves = rig.client()) {
+        assertEquals(2, rig.metric("hosts_listed"));
+        assertEquals(1, rig.metric("hosts_down"));
+        assertEquals(200, rig.send(Rig.get("served", "")).status());
+        assertEquals(503, rig.send(Rig.post("/move", "full", "")).status());
+        assertEquals(404, rig.send("GET /nothing HTTP/1.1\r\nHost: p\r\n\r\n").status());
+        try (HttpConnection leaves = rig.client()) {
             leaves.write(Rig.get("silent", ""));
-            rig.awaitFigure("inflight", 1);
-            rig.awaitFigure("backend_calls", 3);
+            rig.awaitMetric("inflight", 1);
+            rig.awaitMetric("backend_calls", 3);
         }
-        rig.awaitFigure("inflight", 0);
-        assertEquals(502, rig.call(Rig.post("/move", "breaks", "")).status());
+        rig.awaitMetric("inflight", 0);
+        assertEquals(502, rig.send(Rig.post("/move", "breaks", "")).status());
         assertEquals(
                 """
                 app_success{tier="board"} 1
@@ -168,14 +168,14 @@
                 app_hosts_down 2
                 end
                 """,
-                rig.ask("vars\n"));
+                rig.sendCommand("vars\n"));
     }
 
     /**
      * One that may ask at an address where a socket of its own stays open is never kept waiting.
      */
     @Test
-    void answersAndClosesThoughTheCallerStays() throws Exception {
+    void respondsAndClosesThoughTheCallerKeepsItsSocketOpen() throws Exception {
         rig.start();
         try (Socket caller =
                 new Socket(
--- a/src/test/java/passhatch/proxy/DeadlineTest.java
+++ b/src/test/java/passhatch/proxy/DeadlineTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static passhatch.proxy.Rig.scriptedModule;
+import static passhatch.proxy.Rig.scriptedBalancer;
 import static passhatch.proxy.Rig.up;
 
 import java.io.IOException;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import passhatch.Balancer;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpConnection.Message;
 
 /** Each request is answered before its deadline, which runs on during hold-ups. */
 @Timeout(60)
@@ -39,35 +39,37 @@
     }
 
     @Test
-    void answersBeforeTheDeadlineOnceAndGivesTheAttemptUp() throws Exception {
+    void respondsOnceBeforeTheDeadlineAndCancelsTheAttempt() throws Exception {
         ScriptedServer backend =
                 rig.backend(
                         (connection, request) -> {
                             if (request.header("X-Request-Id").equals("slow")) {
                                 connection.socket.getInputStream().read();
                             } else {
-                                connection.answer("200 OK", "quick");
+                                connection.respond("200 OK", "quick");
                             }
                         });
         rig.start(up("s", backend));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         long start = System.nanoTime();
         client.write(Rig.post("/move", "slow", "X-Deadline: 1500m\r\n"));
-        Message answer = client.read();
+        Message response = client.read();
         assertTrue((System.nanoTime() - start) / 1_000_000 < 1500);
         assertEquals(
-                502, answer.status(), "an unsafe request that may have run is failed, not refused");
-        backend.awaitEnded();
+                502,
+                response.status(),
+                "an unsafe request that may have run is failed, not refused");
+        backend.awaitConnectionEnd();
         client.write(Rig.get("next", ""));
         assertEquals("quick", client.read().text(), "nothing more was written for the first");
     }
 
     @Test
-    void answersItselfJustInTimeWhereTheModuleDoesNot() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
-        rig.module(
+    void respondsItselfJustInTimeIfTheModuleDoesNot() throws Exception {
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
+        rig.balancerFactory(
                         (settings, seed, actions) ->
-                                scriptedModule(
+                                scriptedBalancer(
                                         (method, args) -> {
                                             if (args[args.length - 1] instanceof Balancer.Request r
                                                     && r.id().equals("sent")) {
@@ -76,10 +78,10 @@
                                         }))
                 .start(up("s", backend));
         long start = System.nanoTime();
-        assertEquals(502, rig.call(Rig.post("/move", "sent", "X-Deadline: 900m\r\n")).status());
+        assertEquals(502, rig.send(Rig.post("/move", "sent", "X-Deadline: 900m\r\n")).status());
         assertTrue((System.nanoTime() - start) / 1_000_000 < 900);
         assertEquals(
-                503, rig.call(Rig.post("/move/held", "held", "X-Deadline: 300m\r\n")).status());
+                503, rig.send(Rig.post("/move/held", "held", "X-Deadline: 300m\r\n")).status());
     }
 
     /**
@@ -87,11 +89,11 @@
      * bears.
      */
     @Test
-    void requestsAfterALongHoldUpAreDueSooner() throws Exception {
+    void requestsAfterALongStallAreDueSooner() throws Exception {
         BlockingQueue<Long> left = new LinkedBlockingQueue<>();
-        rig.module(
+        rig.balancerFactory(
                         (settings, seed, actions) ->
-                                scriptedModule(
+                                scriptedBalancer(
                                         (method, args) -> {
                                             if (args[args.length - 1]
                                                     instanceof Balancer.Request r) {
@@ -103,27 +105,28 @@
                                             }
                                         }))
                 .start();
-        String four = "X-Deadline: 4000m\r\n";
-        rig.call(Rig.get("before", four));
-        rig.call(Rig.get("held", four));
+        String deadlineHeader = "X-Deadline: 4000m\r\n";
+        rig.send(Rig.get("before", deadlineHeader));
+        rig.send(Rig.get("held", deadlineHeader));
         // Until some beats have passed the request may have stood unread for as long: another
         // matter.
         Thread.sleep(200);
-        rig.call(Rig.get("after", four));
+        rig.send(Rig.get("after", deadlineHeader));
         assertTrue(left.take() > 3_800_000, "no hold-up was seen yet");
         left.take();
-        long after = left.take();
-        assertTrue(after < 3_600_000 && after > 2_500_000, after + " us are left");
+        long leftAfterUs = left.take();
+        assertTrue(
+                leftAfterUs < 3_600_000 && leftAfterUs > 2_500_000, leftAfterUs + " us are left");
     }
 
     /** What is kept back for the answer's way must not be a third of a short time. */
     @ParameterizedTest
     @CsvSource({"8, 6000", "60, 50000", "400, 370000"})
-    void leavesMostOfItsTimeToARequest(int deadlineMs, long leastUs) throws Exception {
+    void keepsBackOnlyASmallPartOfAShortDeadline(int deadlineMs, long minLeftUs) throws Exception {
         BlockingQueue<Long> left = new LinkedBlockingQueue<>();
-        rig.module(
+        rig.balancerFactory(
                         (settings, seed, actions) ->
-                                scriptedModule(
+                                scriptedBalancer(
                                         (method, args) -> {
                                             if (args[args.length - 1]
                                                     instanceof Balancer.Request r) {
@@ -133,28 +136,28 @@
                                         }))
                 .start();
         // A hold-up of this test's own machine takes of one request's time, and not of each.
-        long most = 0;
-        for (int i = 0; i < 50 && most < leastUs; i++) {
-            rig.call(Rig.get("r" + i, "X-Deadline: " + deadlineMs + "m\r\n"));
-            most = Math.max(most, left.take());
+        long maxLeftUs = 0;
+        for (int i = 0; i < 50 && maxLeftUs < minLeftUs; i++) {
+            rig.send(Rig.get("r" + i, "X-Deadline: " + deadlineMs + "m\r\n"));
+            maxLeftUs = Math.max(maxLeftUs, left.take());
         }
-        assertTrue(most >= leastUs, most + " us are left of " + deadlineMs + " ms");
+        assertTrue(maxLeftUs >= minLeftUs, maxLeftUs + " us are left of " + deadlineMs + " ms");
     }
 
     /** A request's time runs on while the loop is held up and reads nothing. */
     @Test
-    void theTimeThatARequestStoodUnreadIsTakenOff() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
-        CountDownLatch heldUp = new CountDownLatch(1);
+    void theTimeThatARequestWasUnreadIsSubtracted() throws Exception {
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
+        CountDownLatch stalled = new CountDownLatch(1);
         BlockingQueue<Long> left = new LinkedBlockingQueue<>();
-        rig.module(
+        rig.balancerFactory(
                         (settings, seed, actions) ->
-                                scriptedModule(
+                                scriptedBalancer(
                                         (method, args) -> {
                                             if (args[args.length - 1]
                                                     instanceof Balancer.Request r) {
                                                 if (r.id().equals("first")) {
-                                                    heldUp.countDown();
+                                                    stalled.countDown();
                                                     LockSupport.parkNanos(400_000_000);
                                                 } else {
                                                     left.add(r.timeLeftUs());
@@ -163,10 +166,10 @@
                                             }
                                         }))
                 .start(up("s", backend));
-        Http first = rig.client();
-        Http second = rig.client();
+        HttpConnection first = rig.client();
+        HttpConnection second = rig.client();
         first.write(Rig.get("first", ""));
-        heldUp.await();
+        stalled.await();
         second.write(Rig.get("second", "X-Deadline: 5000m\r\n"));
         assertEquals(503, second.read().status());
         assertTrue(left.take() < 4_800_000);
--- a/src/test/java/passhatch/proxy/DiscoveryWatchTest.java
+++ b/src/test/java/passhatch/proxy/DiscoveryWatchTest.java
@@ -31,14 +31,14 @@
     }
 
     @Test
-    void isReadyOnlyOnceTheListIsIn() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+    void isReadyOnlyOnceTheListIsReceived() throws Exception {
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         ProxyServer proxy =
                 ProxyServer.start(
                         ProxyConfig.read(rig.environment()),
                         new EventLog(System.err),
                         passhatch.Logic::new);
-        try (Http client = Http.to(proxy.address())) {
+        try (HttpConnection client = HttpConnection.connect(proxy.address())) {
             client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
             assertEquals(503, client.read().status());
             rig.lines.add(Rig.list(8, true, up("s", backend)));
@@ -49,12 +49,12 @@
     }
 
     @Test
-    void servesByTheListItWasGivenWhereDiscoveryCannotBeReached() throws Exception {
+    void servesWithTheInitialListIfDiscoveryIsUnreachable() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "known"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "known"));
         rig.discovery().close();
-        ProxyServer proxy = startUnheard(backend);
-        try (Http client = Http.to(proxy.address())) {
+        ProxyServer proxy = startWithInitialList(backend);
+        try (HttpConnection client = HttpConnection.connect(proxy.address())) {
             client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
             assertEquals(503, client.read().status());
             Rig.awaitReady(proxy.address());
@@ -66,12 +66,12 @@
     }
 
     @Test
-    void sendsNothingByTheListItWasGivenWhereDiscoveryIsReachedAndDoesNotAnswer() throws Exception {
+    void sendsNothingWithTheInitialListIfDiscoveryIsReachableButSilent() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "known"));
-        ProxyServer proxy = startUnheard(backend);
+                rig.backend((connection, request) -> connection.respond("200 OK", "known"));
+        ProxyServer proxy = startWithInitialList(backend);
         Rig.awaitReady(proxy.address());
-        try (Http client = Http.to(proxy.address())) {
+        try (HttpConnection client = HttpConnection.connect(proxy.address())) {
             client.write(Rig.get("r", "X-Deadline: 200m\r\n"));
             assertEquals(503, client.read().status());
             assertTrue(backend.received.isEmpty(), "sent by a list of unknown age");
@@ -80,9 +80,9 @@
         }
     }
 
-    private ProxyServer startUnheard(ScriptedServer known) throws Exception {
+    private ProxyServer startWithInitialList(ScriptedServer known) throws Exception {
         return ProxyServer.start(
-                ProxyConfig.read(rig.known(Rig.list(7, true, up("s", known))).environment()),
+                ProxyConfig.read(rig.initialList(Rig.list(7, true, up("s", known))).environment()),
                 new EventLog(System.err),
                 passhatch.Logic::new);
     }
@@ -92,7 +92,7 @@
      * line.
      */
     @Test
-    void isReadyWhereNothingHasChanged() throws Exception {
+    void isReadyIfNothingHasChanged() throws Exception {
         rig.lines.add("");
         ProxyServer proxy =
                 ProxyServer.start(
@@ -110,20 +110,20 @@
      * The old watch stays open and says nothing more: what drains meanwhile is heard on another.
      */
     @Test
-    void aWatchThatStallsIsGivenUpAndTheLastListServesMeanwhile() throws Exception {
+    void aStalledWatchIsAbandonedAndTheLastListIsUsedMeanwhile() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "x"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "x"));
         ScriptedServer next =
-                rig.backend((connection, request) -> connection.answer("200 OK", "next"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "next"));
         rig.start(up("s", backend));
-        rig.discovery().next();
+        rig.discovery().nextRequest();
         long start = System.nanoTime();
         while (rig.discovery().received.isEmpty()) {
-            assertEquals("x", rig.call(Rig.get("r" + System.nanoTime(), "")).text());
+            assertEquals("x", rig.send(Rig.get("r" + System.nanoTime(), "")).text());
             Thread.sleep(20);
         }
         assertTrue(System.nanoTime() - start < 5_000_000_000L, "too late to hear in time");
-        assertTrue(rig.discovery().next().start().contains("watch=1&from=8"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("watch=1&from=8"));
         String text = "x";
         for (int i = 0; !text.equals("next"); i++) {
             // The stalled watch may still take one of them.
@@ -133,45 +133,45 @@
                             false,
                             Rig.entry("s", backend.address(), "DRAINING"),
                             up("t", next)));
-            text = rig.call(Rig.get("s" + i, "")).text();
+            text = rig.send(Rig.get("s" + i, "")).text();
             Thread.sleep(5);
         }
         int served = backend.received.size();
         for (int i = 0; i < 5; i++) {
-            assertEquals("next", rig.call(Rig.get("t" + i, "")).text());
+            assertEquals("next", rig.send(Rig.get("t" + i, "")).text());
         }
         assertEquals(served, backend.received.size(), "sent to a backend that drains");
     }
 
     @Test
-    void takesABrokenWatchUpFromTheLastIndexAndSkipsBadLines() throws Exception {
+    void resumesABrokenWatchFromTheLastIndexAndSkipsMalformedLines() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "s"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "s"));
         rig.start(up("s", backend));
-        assertTrue(rig.discovery().next().start().contains("from=7"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=7"));
         rig.lines.add("{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":5}]}");
         rig.lines.add("not json");
         rig.lines.add(Rig.END_OF_WATCH);
         assertTrue(
-                rig.discovery().next().start().contains("from=8"),
+                rig.discovery().nextRequest().startLine().contains("from=8"),
                 "bad lines do not count as heard");
-        assertEquals("s", rig.call(Rig.get("a", "")).text(), "the last list stays");
+        assertEquals("s", rig.send(Rig.get("a", "")).text(), "the last list stays");
         ScriptedServer other =
-                rig.backend((connection, request) -> connection.answer("200 OK", "t"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "t"));
         rig.lines.add(
                 Rig.list(12, false, Rig.entry("s", backend.address(), "DELETED"), up("t", other)));
         rig.lines.add(Rig.END_OF_WATCH);
-        assertTrue(rig.discovery().next().start().contains("from=12"));
-        assertEquals("t", rig.call(Rig.get("b", "")).text());
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=12"));
+        assertEquals("t", rig.send(Rig.get("b", "")).text());
     }
 
     /** What an older version says of a server was undone since: that it drains stays as it is. */
     @Test
     void changesOfAnOlderVersionUndoNothing() throws Exception {
         ScriptedServer drains =
-                rig.backend((connection, request) -> connection.answer("200 OK", "drains"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "drains"));
         ScriptedServer stays =
-                rig.backend((connection, request) -> connection.answer("200 OK", "stays"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "stays"));
         rig.start(up("drains", drains));
         rig.lines.add(
                 Rig.list(
@@ -187,22 +187,22 @@
                         Rig.entry("stays", stays.address(), "DELETED")));
         rig.awaitLog("a list is skipped: its version 11 is older than 12");
         for (int i = 0; i < 4; i++) {
-            assertEquals("stays", rig.call(Rig.get("r" + i, "")).text());
+            assertEquals("stays", rig.send(Rig.get("r" + i, "")).text());
         }
     }
 
     /** A call may fall silent before its answer begins: what it misses counts as told 6 s later. */
     @Test
-    void asksAgainInTimeWhereACallGetsNoAnswerAtAll() throws Exception {
+    void callsAgainInTimeIfACallGetsNoResponse() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "s"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "s"));
         rig.start(up("s", backend));
-        rig.discovery().next();
+        rig.discovery().nextRequest();
         rig.lines.add(Rig.END_OF_WATCH);
-        rig.lines.add(Rig.UNANSWERED);
-        rig.discovery().next();
+        rig.lines.add(Rig.NO_RESPONSE);
+        rig.discovery().nextRequest();
         long silent = System.nanoTime();
-        rig.discovery().next();
+        rig.discovery().nextRequest();
         long ms = (System.nanoTime() - silent) / 1_000_000;
         assertTrue(ms > 2_500 && ms < 5_000, "asked again after " + ms + " ms");
     }
@@ -211,95 +211,99 @@
      * One that begins and does not end is no list, whatever comes of it: it is asked for once more.
      */
     @Test
-    void givesAListUpThatDoesNotEnd() throws Exception {
+    void abandonsAListThatDoesNotEnd() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "s"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "s"));
         rig.start(up("s", backend));
-        rig.discovery().next();
+        rig.discovery().nextRequest();
         rig.lines.add("{\"index\":9,");
         rig.awaitLog("a list is skipped: it did not end");
-        assertTrue(rig.discovery().next().start().contains("from=8"));
-        assertEquals(503, rig.call(Rig.get("a", "X-Deadline: 200m\r\n")).status());
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=8"));
+        assertEquals(503, rig.send(Rig.get("a", "X-Deadline: 200m\r\n")).status());
         assertTrue(backend.received.isEmpty(), "what was begun to be told counts as told");
         String text = "";
         for (int i = 0; !text.equals("s"); i++) {
             // Watches that were given up may still take some of them.
             rig.lines.add(Rig.list(9, false));
-            text = rig.call(Rig.get("b" + i, "X-Deadline: 200m\r\n")).text();
+            text = rig.send(Rig.get("b" + i, "X-Deadline: 200m\r\n")).text();
         }
     }
 
     /** Bytes go on coming, and none of them tells anything. */
     @Test
-    void linesThatTellNothingDoNotKeepAWatchAlive() throws Exception {
+    void malformedLinesDoNotKeepAWatchAlive() throws Exception {
         rig.start();
-        rig.discovery().next();
+        rig.discovery().nextRequest();
         long start = System.nanoTime();
         while (rig.discovery().received.isEmpty()) {
             rig.lines.add("no list");
             Thread.sleep(200);
             assertTrue(System.nanoTime() - start < 4_500_000_000L, "asked again too late");
         }
-        assertTrue(rig.discovery().next().start().contains("from=8"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=8"));
     }
 
     /**
      * A start asks discovery once, not twice, as all calls of all proxies wait there in one line.
      */
     @Test
-    void watchesAtOnceFromAKnownListWhoseVersionIsZero() throws Exception {
+    void startsAWatchFromAnInitialListOfVersionZero() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "s"));
-        rig.known(Rig.list(0, true, up("s", backend))).start(up("s", backend));
-        assertEquals("GET /v1/endpoints?watch=1&from=0 HTTP/1.1", rig.discovery().next().start());
-        assertEquals("s", rig.call(Rig.get("a", "")).text());
+                rig.backend((connection, request) -> connection.respond("200 OK", "s"));
+        rig.initialList(Rig.list(0, true, up("s", backend))).start(up("s", backend));
+        assertEquals(
+                "GET /v1/endpoints?watch=1&from=0 HTTP/1.1",
+                rig.discovery().nextRequest().startLine());
+        assertEquals("s", rig.send(Rig.get("a", "")).text());
     }
 
     /** With nothing known, not even a version, the whole list comes first. */
     @Test
-    void fetchesTheWholeListWhereNothingIsKnown() throws Exception {
+    void fetchesTheWholeListIfNothingIsKnown() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "s"));
-        rig.known(Rig.list(0, true)).start(up("s", backend));
-        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().next().start());
-        assertEquals("GET /v1/endpoints?watch=1&from=8 HTTP/1.1", rig.discovery().next().start());
+                rig.backend((connection, request) -> connection.respond("200 OK", "s"));
+        rig.initialList(Rig.list(0, true)).start(up("s", backend));
+        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().nextRequest().startLine());
+        assertEquals(
+                "GET /v1/endpoints?watch=1&from=8 HTTP/1.1",
+                rig.discovery().nextRequest().startLine());
     }
 
     /** Lists and changes may come indented, on a watch as in an answer. */
     @Test
-    void takesListsThatComeIndented() throws Exception {
+    void acceptsIndentedLists() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "s"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "s"));
         ScriptedServer other =
-                rig.backend((connection, request) -> connection.answer("200 OK", "t"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "t"));
         rig.indented().start(up("s", backend));
-        assertEquals("s", rig.call(Rig.get("a", "")).text());
+        assertEquals("s", rig.send(Rig.get("a", "")).text());
         rig.lines.add(
                 Rig.list(12, false, Rig.entry("s", backend.address(), "DELETED"), up("t", other)));
         rig.lines.add(Rig.END_OF_WATCH);
-        rig.lines.add(Rig.FORGOTTEN);
+        rig.lines.add(Rig.UNKNOWN_VERSION);
         rig.lines.add(Rig.list(40, true, up("t", other)));
-        assertTrue(rig.discovery().next().start().contains("from=7"));
-        assertTrue(rig.discovery().next().start().contains("from=12"));
-        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().next().start());
-        assertTrue(rig.discovery().next().start().contains("from=40"));
-        assertEquals("t", rig.call(Rig.get("b", "")).text());
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=7"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=12"));
+        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().nextRequest().startLine());
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=40"));
+        assertEquals("t", rig.send(Rig.get("b", "")).text());
     }
 
     @Test
-    void fetchesTheWholeListWhereTheVersionIsForgotten() throws Exception {
+    void fetchesTheWholeListIfDiscoveryNoLongerHasTheVersion() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "s"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "s"));
         rig.start(up("s", backend));
-        assertTrue(rig.discovery().next().start().contains("from=7"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=7"));
         ScriptedServer other =
-                rig.backend((connection, request) -> connection.answer("200 OK", "t"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "t"));
         rig.lines.add(Rig.END_OF_WATCH);
-        rig.lines.add(Rig.FORGOTTEN);
+        rig.lines.add(Rig.UNKNOWN_VERSION);
         rig.lines.add(Rig.list(40, true, up("t", other)));
-        assertTrue(rig.discovery().next().start().contains("from=8"));
-        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().next().start());
-        assertTrue(rig.discovery().next().start().contains("from=40"));
-        assertEquals("t", rig.call(Rig.get("b", "")).text());
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=8"));
+        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().nextRequest().startLine());
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=40"));
+        assertEquals("t", rig.send(Rig.get("b", "")).text());
     }
 }
--- a/src/test/java/passhatch/proxy/ForwardingTest.java
+++ b/src/test/java/passhatch/proxy/ForwardingTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static passhatch.proxy.Rig.scriptedModule;
+import static passhatch.proxy.Rig.scriptedBalancer;
 import static passhatch.proxy.Rig.up;
 
 import com.fasterxml.jackson.jr.ob.JSON;
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import passhatch.Balancer;
 import passhatch.Balancer.Outcome;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpConnection.Message;
 import passhatch.proxy.discovery.EndpointList;
 import passhatch.proxy.discovery.ListWatch;
 
@@ -61,7 +61,7 @@
                             connection.write(request.body());
                         });
         rig.start(up("s", backend));
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write(
                 "POST /buy/3?q=%20a HTTP/1.1\r\n"
                         + "Host: p\r\n"
@@ -76,8 +76,8 @@
         Message answer = client.read();
         assertEquals(200, answer.status());
         assertArrayEquals(body, answer.body());
-        Message sent = backend.next();
-        assertEquals("POST /buy/3?q=%20a HTTP/1.1", sent.start());
+        Message sent = backend.nextRequest();
+        assertEquals("POST /buy/3?q=%20a HTTP/1.1", sent.startLine());
         assertArrayEquals(body, sent.body());
         assertEquals("r1", sent.header("X-Request-Id"));
         assertEquals("k9", sent.header("Idempotency-Key"));
@@ -95,7 +95,7 @@
                                                 + "X-Not-Run: 1\r\n"
                                                 + "Content-Length: 0\r\n\r\n"));
         rig.aimUs(300_000).start(up("s", full));
-        Message answer = rig.call(Rig.post("/move", "r", "X-Deadline: 9000m\r\n"));
+        Message answer = rig.send(Rig.post("/move", "r", "X-Deadline: 9000m\r\n"));
         assertEquals(503, answer.status());
         assertEquals("2", answer.header("Retry-After"));
     }
@@ -106,7 +106,7 @@
         ScriptedServer a = rig.backend(breaks);
         ScriptedServer b = rig.backend(breaks);
         rig.start(up("a", a), up("b", b));
-        assertEquals(502, rig.call(Rig.post("/move", "r", "")).status());
+        assertEquals(502, rig.send(Rig.post("/move", "r", "")).status());
         assertEquals(1, a.received.size() + b.received.size());
     }
 
@@ -119,13 +119,13 @@
                                 "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
                     }
                 };
-        ScriptedServer good = ScriptedServer.saying("done");
+        ScriptedServer good = ScriptedServer.respondingWith("done");
         ScriptedServer full = rig.backend(once);
         try (good) {
             rig.start(up("full", full));
-            Http client = rig.client();
+            HttpConnection client = rig.client();
             client.write(Rig.post("/move", "r", ""));
-            full.next();
+            full.nextRequest();
             rig.lines.add(Rig.list(9, false, up("good", good)));
             assertEquals("done", client.read().text());
         }
@@ -138,10 +138,10 @@
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         try (ServerSocket late = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress at = (InetSocketAddress) late.getLocalSocketAddress();
-            rig.windowUs(300_000)
-                    .module(
+            rig.dedupWindowUs(300_000)
+                    .balancerFactory(
                             (settings, seed, actions) ->
-                                    scriptedModule(
+                                    scriptedBalancer(
                                             (method, args) -> {
                                                 if (method.equals("request")) {
                                                     actions.send(
@@ -160,9 +160,11 @@
                     .start(up("first", first), Rig.entry("late", at, "SERVING"));
             try (Socket a = new Socket(at.getAddress(), at.getPort());
                     Socket b = new Socket(at.getAddress(), at.getPort());
-                    Http client = rig.client()) {
+                    HttpConnection client = rig.client()) {
                 client.write(Rig.post("/buy/1", "r", "Idempotency-Key: k\r\n"));
-                assertEquals(Outcome.RESET, outcomes.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                assertEquals(
+                        Outcome.RESET,
+                        outcomes.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 assertTrue(a.isConnected() && b.isConnected());
                 // However late this is, it is after the window; with its queue full nothing comes
                 // up before.
@@ -173,7 +175,7 @@
                     assertEquals(502, client.read().status());
                     assertEquals(
                             Outcome.NOT_SENT,
-                            outcomes.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                            outcomes.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                     assertEquals(0, repeat.getInputStream().available());
                 }
             }
@@ -183,9 +185,9 @@
     /** Whatever the module throws, its request is answered and later ones are decided on. */
     @Test
     void decidesOnAfterAnErrorInTheModule() throws Exception {
-        rig.module(
+        rig.balancerFactory(
                         (settings, seed, actions) ->
-                                scriptedModule(
+                                scriptedBalancer(
                                         (method, args) -> {
                                             if (method.equals("request")) {
                                                 String id = ((Balancer.Request) args[1]).id();
@@ -196,15 +198,15 @@
                                             }
                                         }))
                 .start();
-        assertEquals(502, rig.call(Rig.get("bad", "X-Deadline: 9000m\r\n")).status());
-        assertEquals(503, rig.call(Rig.get("good", "")).status());
+        assertEquals(502, rig.send(Rig.get("bad", "X-Deadline: 9000m\r\n")).status());
+        assertEquals(503, rig.send(Rig.get("good", "")).status());
         rig.awaitLog("BUG in the decision module");
     }
 
     @Test
     void nothingIsWrittenToABackendThatDrainsWhileConnecting() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", ""));
+                rig.backend((connection, request) -> connection.respond("200 OK", ""));
         assertNotWrittenOnceListed(backend, Rig.entry("s", backend.address(), "DRAINING"));
     }
 
@@ -212,27 +214,27 @@
     @Test
     void nothingIsWrittenToAnAddressThatABackendLeftWhileConnecting() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", ""));
+                rig.backend((connection, request) -> connection.respond("200 OK", ""));
         ScriptedServer elsewhere =
-                rig.backend((connection, request) -> connection.answer("200 OK", ""));
+                rig.backend((connection, request) -> connection.respond("200 OK", ""));
         assertNotWrittenOnceListed(backend, up("s", elsewhere));
     }
 
     /** The list changes between the send and the moment the connection is up. */
     private void assertNotWrittenOnceListed(ScriptedServer backend, String entry) throws Exception {
         EndpointList changed =
-                EndpointList.of(
+                EndpointList.parse(
                         JSON.std.mapFrom(Rig.list(9, false, entry)), List.of("a"), List.of("m"));
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-        rig.module(
+        rig.balancerFactory(
                         (settings, seed, actions) ->
-                                scriptedModule(
+                                scriptedBalancer(
                                         (method, args) -> {
                                             if (method.equals("request")) {
                                                 actions.send(
                                                         ((Balancer.Request) args[1]).id(), "s", 0);
                                                 ((ListWatch.Listener) actions)
-                                                        .listed(
+                                                        .onList(
                                                                 changed,
                                                                 new Balancer.ListFreshness(0, 0));
                                             } else if (method.equals("outcome")) {
@@ -241,8 +243,9 @@
                                             }
                                         }))
                 .start(up("s", backend));
-        assertEquals(503, rig.call(Rig.post("/move", "r", "")).status());
-        assertEquals(Outcome.NOT_SENT, outcomes.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertEquals(503, rig.send(Rig.post("/move", "r", "")).status());
+        assertEquals(
+                Outcome.NOT_SENT, outcomes.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertTrue(backend.received.isEmpty());
     }
 
@@ -251,19 +254,19 @@
         ScriptedServer backend =
                 rig.backend(
                         (connection, request) ->
-                                connection.answer(
+                                connection.respond(
                                         "200 OK",
-                                        request.start().contains("/status/load")
+                                        request.startLine().contains("/status/load")
                                                 ? "TEXT inflight=0, queue=0, util=0.1"
                                                 : "served"));
         rig.limit("probes", true).start(up("s", backend));
-        assertEquals("served", rig.call(Rig.get("a", "")).text());
+        assertEquals("served", rig.send(Rig.get("a", "")).text());
         // A call goes out without the answer to its probe where that is slow, so either may come
         // first.
-        Message first = backend.next();
-        boolean probeFirst = first.start().contains("/status/load");
-        Message probe = probeFirst ? first : backend.next();
-        assertEquals("GET /status/load HTTP/1.1", probe.start());
+        Message first = backend.nextRequest();
+        boolean probeFirst = first.startLine().contains("/status/load");
+        Message probe = probeFirst ? first : backend.nextRequest();
+        assertEquals("GET /status/load HTTP/1.1", probe.startLine());
         assertNull(probe.header("X-Request-Id"), "a probe is no request");
     }
 }
--- a/src/test/java/passhatch/proxy/HandoverTest.java
+++ b/src/test/java/passhatch/proxy/HandoverTest.java
@@ -35,7 +35,7 @@
 
     /** Connections that the system holds for a socket are reset when it closes. */
     @Test
-    void takesWhatWaitsBeforeItCloses() throws Exception {
+    void acceptsWaitingConnectionsBeforeItCloses() throws Exception {
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             EventLoop loop = group.next();
@@ -68,7 +68,7 @@
                                     })
                             .get();
             for (Socket client : clients) {
-                client.setSoTimeout(Http.PATIENCE_MS);
+                client.setSoTimeout(HttpConnection.TIMEOUT_MS);
                 assertEquals('x', client.getInputStream().read());
                 client.close();
             }
@@ -90,51 +90,52 @@
     }
 
     @Test
-    void isTheOnlyOneWhereNoOtherRuns() throws Exception {
+    void findsNoOtherProcessIfNoneRuns() throws Exception {
         Process ended = new ProcessBuilder("true").start();
         ended.waitFor();
         Files.writeString(folder.resolve("passhatch.pid"), Long.toString(ended.pid()));
-        Succession own = new Succession(folder, new EventLog(System.err));
-        assertFalse(own.twoRun());
-        assertFalse(own.succeeded());
+        ProcessHandover handover = new ProcessHandover(folder, new EventLog(System.err));
+        assertFalse(handover.otherProcessRuns());
+        assertFalse(handover.newerProcessRuns());
     }
 
     @Test
-    void theOlderOneKnowsThatItIsSucceededUntilTheNewerEnds() throws Exception {
-        Succession own = new Succession(folder, new EventLog(System.err));
+    void theOlderProcessDetectsTheNewerUntilThatEnds() throws Exception {
+        ProcessHandover handover = new ProcessHandover(folder, new EventLog(System.err));
         Process newer = new ProcessBuilder("sleep", "60").start();
         try {
             Files.writeString(folder.resolve("passhatch.pid"), Long.toString(newer.pid()));
-            assertTrue(own.twoRun());
-            assertTrue(own.succeeded());
-            assertFalse(own.replaced(), "it has come, and is not ready");
+            assertTrue(handover.otherProcessRuns());
+            assertTrue(handover.newerProcessRuns());
+            assertFalse(handover.newerProcessReady(), "it has come, and is not ready");
             Files.writeString(folder.resolve("passhatch.ready"), Long.toString(newer.pid()));
-            assertTrue(own.replaced());
+            assertTrue(handover.newerProcessReady());
         } finally {
             newer.destroyForcibly().waitFor();
         }
-        assertFalse(own.twoRun());
-        assertFalse(own.succeeded(), "a successor that failed to start takes nothing over");
-        assertFalse(own.replaced());
+        assertFalse(handover.otherProcessRuns());
+        assertFalse(
+                handover.newerProcessRuns(), "a successor that failed to start takes nothing over");
+        assertFalse(handover.newerProcessReady());
     }
 
     @Test
-    void theNewerOneIsNotSucceededByTheOlder() throws Exception {
+    void theNewerProcessDoesNotTakeTheOlderForANewerOne() throws Exception {
         Process older = new ProcessBuilder("sleep", "60").start();
         try {
             Files.writeString(folder.resolve("passhatch.pid"), Long.toString(older.pid()));
             Files.writeString(folder.resolve("passhatch.ready"), Long.toString(older.pid()));
-            Succession own = new Succession(folder, new EventLog(System.err));
-            assertTrue(own.twoRun());
-            assertFalse(own.succeeded());
-            own.ready();
-            assertFalse(own.replaced());
+            ProcessHandover handover = new ProcessHandover(folder, new EventLog(System.err));
+            assertTrue(handover.otherProcessRuns());
+            assertFalse(handover.newerProcessRuns());
+            handover.recordReady();
+            assertFalse(handover.newerProcessReady());
             assertEquals(
                     Long.toString(ProcessHandle.current().pid()),
                     Files.readString(folder.resolve("passhatch.ready")));
         } finally {
             older.destroyForcibly().waitFor();
         }
-        assertFalse(new Succession(folder, new EventLog(System.err)).twoRun());
+        assertFalse(new ProcessHandover(folder, new EventLog(System.err)).otherProcessRuns());
     }
 }
--- a/src/test/java/passhatch/proxy/Http.java
+++ b/src/test/java/passhatch/proxy/HttpConnection.java
@@ -14,14 +14,14 @@
 import java.util.TreeMap;
 
 /** One end of an HTTP/1.1 connection, byte by byte as a test wants it. */
-public final class Http implements Closeable {
+public final class HttpConnection implements Closeable {
 
-    public static final int PATIENCE_MS = 20_000;
+    public static final int TIMEOUT_MS = 20_000;
 
     /** A request or an answer as it came. */
-    public record Message(String start, Map<String, String> headers, byte[] body) {
+    public record Message(String startLine, Map<String, String> headers, byte[] body) {
         int status() {
-            return Integer.parseInt(start.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
 
         String header(String name) {
@@ -35,33 +35,33 @@
 
     /** Something to do when the head of a message has been read. */
     interface HeadListener {
-        void headIn() throws IOException;
+        void headReceived() throws IOException;
     }
 
     public final Socket socket;
-    private HeadListener onHead = () -> {};
+    private HeadListener headListener = () -> {};
     private final InputStream in;
 
-    Http(Socket socket) throws IOException {
+    HttpConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         this.in = new BufferedInputStream(socket.getInputStream());
     }
 
-    static Http to(InetSocketAddress address) throws IOException {
-        return new Http(new Socket(address.getAddress(), address.getPort()));
+    static HttpConnection connect(InetSocketAddress address) throws IOException {
+        return new HttpConnection(new Socket(address.getAddress(), address.getPort()));
     }
 
     /**
      * One whose system takes next to nothing for it, so that what it does not read waits at its
      * peer.
      */
-    static Http narrow(InetSocketAddress address) throws IOException {
+    static HttpConnection withSmallReceiveBuffer(InetSocketAddress address) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(1);
         socket.connect(address);
-        return new Http(socket);
+        return new HttpConnection(socket);
     }
 
     public void write(String text) throws IOException {
@@ -73,27 +73,27 @@
         socket.getOutputStream().flush();
     }
 
-    public void answer(String status, String body) throws IOException {
+    public void respond(String status, String body) throws IOException {
         write("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    void onHead(HeadListener then) {
-        onHead = then;
+    void setHeadListener(HeadListener listener) {
+        headListener = listener;
     }
 
     /** Reads one message with its body; null at the end of the connection. */
     Message read() throws IOException {
-        String start = line();
+        String start = readLine();
         if (start == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String line = line(); line != null && !line.isEmpty(); line = line()) {
-            put(headers, line);
+        for (String line = readLine(); line != null && !line.isEmpty(); line = readLine()) {
+            putHeader(headers, line);
         }
-        onHead.headIn();
+        headListener.headReceived();
         if ("chunked".equals(headers.get("transfer-encoding"))) {
-            return new Message(start, headers, chunks(headers));
+            return new Message(start, headers, readChunks(headers));
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         byte[] body = in.readNBytes(length);
@@ -103,7 +103,7 @@
         return new Message(start, headers, body);
     }
 
-    private static void put(Map<String, String> headers, String line) {
+    private static void putHeader(Map<String, String> headers, String line) {
         int colon = line.indexOf(':');
         headers.put(
                 line.substring(0, colon).toLowerCase(Locale.ROOT),
@@ -111,20 +111,20 @@
     }
 
     /** Trailers are added to the headers. */
-    private byte[] chunks(Map<String, String> headers) throws IOException {
+    private byte[] readChunks(Map<String, String> headers) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        for (int size = chunkSize(); size > 0; size = chunkSize()) {
+        for (int size = readChunkSize(); size > 0; size = readChunkSize()) {
             body.write(in.readNBytes(size));
-            line();
+            readLine();
         }
-        for (String line = line(); line != null && !line.isEmpty(); line = line()) {
-            put(headers, line);
+        for (String line = readLine(); line != null && !line.isEmpty(); line = readLine()) {
+            putHeader(headers, line);
         }
         return body.toByteArray();
     }
 
-    private int chunkSize() throws IOException {
-        String line = line();
+    private int readChunkSize() throws IOException {
+        String line = readLine();
         if (line == null) {
             throw new EOFException("the chunks are cut off");
         }
@@ -132,11 +132,11 @@
     }
 
     /** All that still comes, up to the end of the connection. */
-    String rest() throws IOException {
+    String readAll() throws IOException {
         return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
--- a/src/test/java/passhatch/proxy/RehearsalTest.java
+++ b/src/test/java/passhatch/proxy/RehearsalTest.java
@@ -22,7 +22,7 @@
     @TempDir Path folder;
 
     @Test
-    void playsThrough() throws Exception {
+    void completesItsRequests() throws Exception {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         Rehearsal.run(new PrintStream(log, true, StandardCharsets.UTF_8));
         assertTrue(
@@ -31,13 +31,13 @@
 
     /** The flags that the script hands to java, for a proxy with this much memory. */
     private String flags(int memoryMb, String control, boolean archive) throws Exception {
-        return said(memoryMb, control, archive, "echo \"$@\"", "exec \"$@\"");
+        return outputOf(memoryMb, control, archive, "echo \"$@\"", "exec \"$@\"");
     }
 
     /**
      * What this program says in java's place, where a shell with these commands starts the script.
      */
-    private String said(
+    private String outputOf(
             int memoryMb, String control, boolean archive, String program, String starter)
             throws Exception {
         Path java = folder.resolve("java");
@@ -67,10 +67,10 @@
             shell.environment().put("PROXY_CONTROL", "127.0.0.1:9");
         }
         Process process = shell.redirectErrorStream(true).start();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(process.waitFor(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
-        assertEquals(0, process.exitValue(), said);
-        return said;
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertTrue(process.waitFor(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertEquals(0, process.exitValue(), output);
+        return output;
     }
 
     @Test
@@ -84,17 +84,18 @@
 
     /** A JVM leaves SIGHUP ignored where it finds it so, and then no new configuration is taken. */
     @Test
-    void theJvmIsStartedWithHangUpsNotIgnoredThoughTheParentIgnoresThem() throws Exception {
+    void theJvmStartsWithSighupNotIgnoredThoughTheParentIgnoresIt() throws Exception {
         String program =
                 "while read -r field value; do"
                         + " [ \"$field\" = SigIgn: ] && echo \"$value\";"
                         + " done < /proc/self/status; exit 0";
-        String ignored = said(144, "variable", false, program, "trap '' HUP; exec \"$@\"").strip();
+        String ignored =
+                outputOf(144, "variable", false, program, "trap '' HUP; exec \"$@\"").strip();
         assertEquals(0, Long.parseUnsignedLong(ignored, 16) & 1, ignored);
     }
 
     @Test
-    void theArchiveIsNamedOnlyWhereItIsThere() throws Exception {
+    void theArchiveIsUsedOnlyIfItExists() throws Exception {
         assertFalse(flags(144, "variable", false).contains("SharedArchiveFile"));
         assertTrue(
                 flags(144, "variable", true)
--- a/src/test/java/passhatch/proxy/RequestValidationTest.java
+++ b/src/test/java/passhatch/proxy/RequestValidationTest.java
@@ -36,7 +36,7 @@
     @Test
     void whatIsNotHttpIsTurnedDownAndTheConnectionClosed() throws Exception {
         rig.start();
-        Http client = rig.client();
+        HttpConnection client = rig.client();
         client.write("GET /board HTTP/9.x\r\nbad\r\n\r\n");
         assertEquals(400, client.read().status());
         assertNull(client.read());
@@ -60,14 +60,14 @@
     void turnsMalformedRequestsDownAndSendsNothing(int status, String start, String header)
             throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", ""));
+                rig.backend((connection, request) -> connection.respond("200 OK", ""));
         rig.start(up("s", backend));
         assertEquals(
                 status,
-                rig.call(start + "\r\nHost: p\r\nX-Request-Id: bad\r\n" + header + "\r\n\r\n")
+                rig.send(start + "\r\nHost: p\r\nX-Request-Id: bad\r\n" + header + "\r\n\r\n")
                         .status());
-        assertEquals(200, rig.call(Rig.get("good", "")).status());
-        assertEquals("good", backend.next().header("X-Request-Id"));
+        assertEquals(200, rig.send(Rig.get("good", "")).status());
+        assertEquals("good", backend.nextRequest().header("X-Request-Id"));
         assertTrue(backend.received.isEmpty());
     }
 
@@ -75,7 +75,7 @@
     @Test
     void aBodyThatIsTooLargeIsTurnedDownAtItsAnnouncement() throws Exception {
         rig.start();
-        Http peer = rig.client();
+        HttpConnection peer = rig.client();
         peer.write(
                 "POST /move HTTP/1.1\r\n"
                         + "Host: p\r\n"
@@ -87,11 +87,11 @@
 
     @Test
     void anIdStillHeldIsNotTakenTwice() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.start(up("s", backend));
         rig.client().write(Rig.get("same", ""));
-        backend.next();
-        assertEquals(400, rig.call(Rig.get("same", "")).status());
+        backend.nextRequest();
+        assertEquals(400, rig.send(Rig.get("same", "")).status());
         assertTrue(backend.received.isEmpty());
     }
 
@@ -100,15 +100,15 @@
     @CsvSource({"a class/ä+%, /a%20class%2F%C3%A4%2B%25/7", "board, /%62oard", "b+c, /b+c/1"})
     void takesAClassWhoseNameComesEscaped(String name, String path) throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.answer("200 OK", "x"));
+                rig.backend((connection, request) -> connection.respond("200 OK", "x"));
         rig.safeClass(name).start(up("s", backend));
         assertEquals(
                 200,
-                rig.call("GET " + path + " HTTP/1.1\r\nHost: p\r\nX-Request-Id: r\r\n\r\n")
+                rig.send("GET " + path + " HTTP/1.1\r\nHost: p\r\nX-Request-Id: r\r\n\r\n")
                         .status());
-        assertTrue(backend.next().start().contains(path), "the path goes on as it came");
+        assertTrue(backend.nextRequest().startLine().contains(path), "the path goes on as it came");
         assertEquals(
                 404,
-                rig.call("GET /%zz/1 HTTP/1.1\r\nHost: p\r\nX-Request-Id: s\r\n\r\n").status());
+                rig.send("GET /%zz/1 HTTP/1.1\r\nHost: p\r\nX-Request-Id: s\r\n\r\n").status());
     }
 }
--- a/src/test/java/passhatch/proxy/Rig.java
+++ b/src/test/java/passhatch/proxy/Rig.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.BiConsumer;
 import passhatch.Balancer;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpConnection.Message;
 import passhatch.proxy.base.EventLog;
 
 /**
@@ -53,41 +53,41 @@
     private final Path folder;
     private final ScriptedServer discovery;
     private int aimUs = 9_000_000;
-    private int windowUs = 9_000_000;
+    private int dedupWindowUs = 9_000_000;
     private int deadlineUs = 10_000_000;
-    private String safe = "board";
+    private String safeClassName = "board";
     private int sockets = 256;
     private String control;
     private boolean indented;
-    private String known = list(7, true);
+    private String initialList = list(7, true);
     private ProxyServer proxy;
-    private ProxyServer.Module module = passhatch.Logic::new;
+    private ProxyServer.BalancerFactory balancerFactory = passhatch.Logic::new;
 
     /** What the script puts into {@link #lines} to end a watch. */
     static final String END_OF_WATCH = "end";
 
     /** And to have the next watch turned down, as its version is no longer known. */
-    static final String FORGOTTEN = "forgotten";
+    static final String UNKNOWN_VERSION = "forgotten";
 
     /** And to have the next watch get no answer at all. */
-    static final String UNANSWERED = "unanswered";
+    static final String NO_RESPONSE = "unanswered";
 
     Rig(Path folder) throws IOException {
         this.folder = folder;
         this.discovery =
                 new ScriptedServer(
                         (connection, request) -> {
-                            if (!request.start().contains("watch=1")) {
-                                connection.answer("200 OK", laidOut(lines.take()));
+                            if (!request.startLine().contains("watch=1")) {
+                                connection.respond("200 OK", formatted(lines.take()));
                                 return;
                             }
-                            if (UNANSWERED.equals(lines.peek())) {
+                            if (NO_RESPONSE.equals(lines.peek())) {
                                 lines.take();
                                 return;
                             }
-                            if (FORGOTTEN.equals(lines.peek())) {
+                            if (UNKNOWN_VERSION.equals(lines.peek())) {
                                 lines.take();
-                                connection.answer("410 Gone", "");
+                                connection.respond("410 Gone", "");
                                 return;
                             }
                             connection.write(
@@ -95,7 +95,7 @@
                             for (String line = lines.take();
                                     !line.equals(END_OF_WATCH);
                                     line = lines.take()) {
-                                String text = laidOut(line) + "\n";
+                                String text = formatted(line) + "\n";
                                 connection.write(
                                         Integer.toHexString(text.length())
                                                 + "\r\n"
@@ -113,7 +113,7 @@
         return this;
     }
 
-    private String laidOut(String line) throws IOException {
+    private String formatted(String line) throws IOException {
         return indented && line.startsWith("{")
                 ? JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(JSON.std.mapFrom(line))
                 : line;
@@ -130,8 +130,8 @@
     }
 
     /** How long repeats by a key are dropped. */
-    Rig windowUs(int us) {
-        windowUs = us;
+    Rig dedupWindowUs(int us) {
+        dedupWindowUs = us;
         return this;
     }
 
@@ -143,12 +143,12 @@
 
     /** The name of the class that is safe to repeat. */
     Rig safeClass(String name) {
-        safe = name;
+        safeClassName = name;
         return this;
     }
 
-    Rig sockets(int most) {
-        sockets = most;
+    Rig sockets(int limit) {
+        sockets = limit;
         return this;
     }
 
@@ -162,21 +162,21 @@
         return this;
     }
 
-    Rig module(ProxyServer.Module other) {
-        module = other;
+    Rig balancerFactory(ProxyServer.BalancerFactory factory) {
+        balancerFactory = factory;
         return this;
     }
 
     /**
      * A decision module of the test's own, which is told the method and the arguments of each call.
      */
-    static Balancer scriptedModule(BiConsumer<String, Object[]> told) {
+    static Balancer scriptedBalancer(BiConsumer<String, Object[]> onCall) {
         return (Balancer)
                 Proxy.newProxyInstance(
                         Balancer.class.getClassLoader(),
                         new Class<?>[] {Balancer.class},
                         (self, method, args) -> {
-                            told.accept(method.getName(), args);
+                            onCall.accept(method.getName(), args);
                             return method.getReturnType() == boolean.class ? true : null;
                         });
     }
@@ -217,8 +217,8 @@
     }
 
     /** The list as the proxy last had it; else an empty one of index 7. */
-    Rig known(String list) {
-        known = list;
+    Rig initialList(String newList) {
+        initialList = newList;
         return this;
     }
 
@@ -233,14 +233,14 @@
                                 "limits",
                                 Map.of("sockets", sockets),
                                 "known",
-                                JSON.std.mapFrom(known),
+                                JSON.std.mapFrom(initialList),
                                 "settings",
                                 Map.of(
                                         "categories",
                                         List.of(
-                                                kind(safe, "pure"),
-                                                kind("buy", "token"),
-                                                kind("move", "side_effect")),
+                                                requestClass(safeClassName, "pure"),
+                                                requestClass("buy", "token"),
+                                                requestClass("move", "side_effect")),
                                         "tenants",
                                         List.of(Map.of("name", "acme", "quotaPerS", 0)),
                                         "dcs",
@@ -282,7 +282,7 @@
                 folder.toString());
     }
 
-    private Map<String, Object> kind(String name, String effect) {
+    private Map<String, Object> requestClass(String name, String effect) {
         return Map.of(
                 "name",
                 name,
@@ -295,13 +295,13 @@
                 "worth",
                 1,
                 "dedupWindowUs",
-                windowUs,
+                dedupWindowUs,
                 "group",
                 "all");
     }
 
     /** Writes the configuration anew, with discovery at another address. */
-    void nameDiscovery(InetSocketAddress address) throws IOException {
+    void writeDiscoveryAddress(InetSocketAddress address) throws IOException {
         Path file = folder.resolve("config.json");
         Map<String, Object> config = new HashMap<>(JSON.std.mapFrom(Files.readString(file)));
         config.put("discovery", "127.0.0.1:" + address.getPort());
@@ -317,15 +317,15 @@
                 ProxyServer.start(
                         ProxyConfig.read(environment()),
                         new EventLog(new PrintStream(log, true, StandardCharsets.UTF_8)),
-                        module);
+                        balancerFactory);
         awaitReady(proxy.address());
         return this;
     }
 
     static void awaitReady(InetSocketAddress address) throws IOException, InterruptedException {
-        long end = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+        long end = System.nanoTime() + HttpConnection.TIMEOUT_MS * 1_000_000L;
         while (System.nanoTime() < end) {
-            try (Http client = Http.to(address)) {
+            try (HttpConnection client = HttpConnection.connect(address)) {
                 client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
                 if (client.read().status() == 200) {
                     return;
@@ -338,7 +338,7 @@
 
     /** Waits until the log has a line with the text. */
     void awaitLog(String text) throws InterruptedException {
-        long end = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+        long end = System.nanoTime() + HttpConnection.TIMEOUT_MS * 1_000_000L;
         while (!log.toString(StandardCharsets.UTF_8).contains(text)) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("no line '" + text + "' in: " + log);
@@ -351,27 +351,27 @@
         return proxy;
     }
 
-    Http client() throws IOException {
-        Http client = Http.to(proxy.address());
+    HttpConnection client() throws IOException {
+        HttpConnection client = HttpConnection.connect(proxy.address());
         open.add(client);
         return client;
     }
 
     /** Asks as operators do, and returns all of the answer. */
-    String ask(String line) throws IOException {
-        return ask(proxy.controlAddress(), line);
+    String sendCommand(String line) throws IOException {
+        return sendCommand(proxy.controlAddress(), line);
     }
 
-    static String ask(InetSocketAddress control, String line) throws IOException {
-        try (Http caller = Http.to(control)) {
+    static String sendCommand(InetSocketAddress control, String line) throws IOException {
+        try (HttpConnection caller = HttpConnection.connect(control)) {
             caller.write(line);
-            return caller.rest();
+            return caller.readAll();
         }
     }
 
     /** One of the figures. */
-    long figure(String name) throws IOException {
-        return ask("vars\n")
+    long metric(String name) throws IOException {
+        return sendCommand("vars\n")
                 .lines()
                 .filter(line -> line.startsWith("app_" + name + " "))
                 .mapToLong(line -> Long.parseLong(line.substring(line.indexOf(' ') + 1)))
@@ -382,11 +382,11 @@
     /**
      * Waits until a figure has come to a value, as it may be counted just after the answer is out.
      */
-    void awaitFigure(String name, long value) throws IOException, InterruptedException {
-        long end = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
-        while (figure(name) != value) {
+    void awaitMetric(String name, long value) throws IOException, InterruptedException {
+        long end = System.nanoTime() + HttpConnection.TIMEOUT_MS * 1_000_000L;
+        while (metric(name) != value) {
             if (System.nanoTime() > end) {
-                throw new AssertionError(name + " is not " + value + ":\n" + ask("vars\n"));
+                throw new AssertionError(name + " is not " + value + ":\n" + sendCommand("vars\n"));
             }
             Thread.sleep(5);
         }
@@ -411,8 +411,8 @@
     }
 
     /** Sends one request on a connection of its own and returns the answer. */
-    Message call(String request) throws IOException {
-        try (Http client = Http.to(proxy.address())) {
+    Message send(String request) throws IOException {
+        try (HttpConnection client = HttpConnection.connect(proxy.address())) {
             client.write(request);
             return client.read();
         }
@@ -422,11 +422,11 @@
     @Override
     public void close() throws IOException {
         for (Closeable c : open) {
-            if (c instanceof Http) {
+            if (c instanceof HttpConnection) {
                 c.close();
             }
         }
-        String left = proxy == null ? "" : leftOver();
+        String left = proxy == null ? "" : unreleasedResources();
         if (proxy != null) {
             proxy.stopNow();
         }
@@ -442,13 +442,13 @@
      * What the proxy still holds after it had time to be done with all; empty where that is
      * nothing.
      */
-    String leftOver() {
-        long end = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+    String unreleasedResources() {
+        long end = System.nanoTime() + HttpConnection.TIMEOUT_MS * 1_000_000L;
         String left = "";
         try {
             do {
                 Thread.sleep(left.isEmpty() ? 0 : 5);
-                left = proxy.ends() ? "" : proxy.leftOver();
+                left = proxy.isShuttingDown() ? "" : proxy.unreleasedResources();
             } while (!left.isEmpty() && System.nanoTime() < end);
         } catch (RejectedExecutionException ended) {
             return "";
--- a/src/test/java/passhatch/proxy/ScriptedServer.java
+++ b/src/test/java/passhatch/proxy/ScriptedServer.java
@@ -9,36 +9,37 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpConnection.Message;
 
 /** A small backend, or discovery, on loopback that does with each request what its script says. */
 public final class ScriptedServer implements Closeable {
 
     /** What to do with one request. */
     public interface Script {
-        void handle(Http connection, Message request) throws IOException, InterruptedException;
+        void handle(HttpConnection connection, Message request)
+                throws IOException, InterruptedException;
     }
 
     /** Leaves the request without an answer. */
-    public static final Script SILENT = (connection, request) -> {};
+    public static final Script NO_RESPONSE = (connection, request) -> {};
 
     public final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
-    final BlockingQueue<Http> ended = new LinkedBlockingQueue<>();
+    final BlockingQueue<HttpConnection> endedConnections = new LinkedBlockingQueue<>();
     public final AtomicInteger connections = new AtomicInteger();
     private final ServerSocket listener;
     private final Script script;
-    private volatile Runnable onHead = () -> {};
-    private volatile String atHead;
+    private volatile Runnable headAction = () -> {};
+    private volatile String earlyResponse;
 
     public ScriptedServer(Script script) throws IOException {
         this.script = script;
         this.listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        daemon(this::accept);
+        startDaemon(this::accept);
     }
 
     /** A backend that answers every request with its own text. */
-    public static ScriptedServer saying(String text) throws IOException {
-        return new ScriptedServer((connection, request) -> connection.answer("200 OK", text));
+    public static ScriptedServer respondingWith(String text) throws IOException {
+        return new ScriptedServer((connection, request) -> connection.respond("200 OK", text));
     }
 
     public InetSocketAddress address() {
@@ -46,8 +47,8 @@
     }
 
     /** The next request received. */
-    public Message next() throws InterruptedException {
-        Message message = received.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    public Message nextRequest() throws InterruptedException {
+        Message message = received.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (message == null) {
             throw new AssertionError("no request came");
         }
@@ -55,44 +56,44 @@
     }
 
     /** Waits until the other side has ended a connection. */
-    public void awaitEnded() throws InterruptedException {
-        if (ended.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS) == null) {
+    public void awaitConnectionEnd() throws InterruptedException {
+        if (endedConnections.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS) == null) {
             throw new AssertionError("no connection was ended");
         }
     }
 
     /** Has this run as soon as the head of a request is in. */
-    void onHead(Runnable then) {
-        onHead = then;
+    void setHeadAction(Runnable action) {
+        headAction = action;
     }
 
     /** Answers so at the head of a request, before its body is read. */
-    void answerAtHead(String answer) {
-        atHead = answer;
+    void respondAtHead(String response) {
+        earlyResponse = response;
     }
 
-    private void headIn(Http connection) throws IOException {
-        onHead.run();
-        if (atHead != null) {
-            connection.write(atHead);
+    private void headReceived(HttpConnection connection) throws IOException {
+        headAction.run();
+        if (earlyResponse != null) {
+            connection.write(earlyResponse);
         }
     }
 
     private void accept() {
         try {
             while (true) {
-                Http connection = new Http(listener.accept());
+                HttpConnection connection = new HttpConnection(listener.accept());
                 connections.incrementAndGet();
-                daemon(() -> serve(connection));
+                startDaemon(() -> serve(connection));
             }
         } catch (IOException closed) {
             // The test is over.
         }
     }
 
-    private void serve(Http connection) {
+    private void serve(HttpConnection connection) {
         try {
-            connection.onHead(() -> headIn(connection));
+            connection.setHeadListener(() -> headReceived(connection));
             for (Message m = connection.read(); m != null; m = connection.read()) {
                 received.add(m);
                 script.handle(connection, m);
@@ -100,10 +101,10 @@
         } catch (IOException | InterruptedException broken) {
             // Tests look at what was received, not at how connections break.
         }
-        ended.add(connection);
+        endedConnections.add(connection);
     }
 
-    static void daemon(Runnable body) {
+    static void startDaemon(Runnable body) {
         Thread thread = new Thread(body);
         thread.setDaemon(true);
         thread.start();
--- a/src/test/java/passhatch/proxy/SignalTest.java
+++ b/src/test/java/passhatch/proxy/SignalTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpConnection.Message;
 import passhatch.proxy.base.EventLog;
 
 /** Signals, to a process of its own. */
@@ -35,14 +35,14 @@
     @TempDir Path folder;
 
     @Test
-    void answersWhatItHoldsAndWhatStillComesAndThenExitsWithZero() throws Exception {
+    void servesOpenAndNewRequestsAndThenExitsWithZero() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (Rig rig = new Rig(folder)) {
             ScriptedServer backend =
                     rig.backend(
                             (connection, request) -> {
                                 release.await();
-                                connection.answer("200 OK", request.header("X-Request-Id"));
+                                connection.respond("200 OK", request.header("X-Request-Id"));
                             });
             rig.lines.add(Rig.list(8, true, Rig.entry("s", backend.address(), "SERVING")));
             InetSocketAddress address = freeAddress();
@@ -50,13 +50,13 @@
             try {
                 awaitListening(address);
                 Rig.awaitReady(address);
-                Http held = Http.to(address);
-                held.write(Rig.get("held", ""));
-                backend.next();
-                Http kept = Http.to(address);
-                Http unused = Http.to(address);
-                unused.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
-                assertEquals(200, unused.read().status());
+                HttpConnection blockedClient = HttpConnection.connect(address);
+                blockedClient.write(Rig.get("held", ""));
+                backend.nextRequest();
+                HttpConnection openClient = HttpConnection.connect(address);
+                HttpConnection idleClient = HttpConnection.connect(address);
+                idleClient.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
+                assertEquals(200, idleClient.read().status());
                 process.toHandle().destroy();
                 BufferedReader log = process.errorReader(StandardCharsets.UTF_8);
                 for (String line = log.readLine();
@@ -64,20 +64,22 @@
                         line = log.readLine()) {
                     assertTrue(process.isAlive(), line);
                 }
-                Http late = Http.to(address);
-                late.write(Rig.get("late", ""));
-                backend.next();
-                kept.write(Rig.get("kept", ""));
-                backend.next();
+                HttpConnection lateClient = HttpConnection.connect(address);
+                lateClient.write(Rig.get("late", ""));
+                backend.nextRequest();
+                openClient.write(Rig.get("kept", ""));
+                backend.nextRequest();
                 awaitNotListening(address);
-                assertNull(unused.read(), "an idle connection is closed while others are served");
+                assertNull(
+                        idleClient.read(), "an idle connection is closed while others are served");
                 release.countDown();
-                for (Http client : new Http[] {held, late, kept}) {
-                    Message answer = client.read();
-                    assertEquals(200, answer.status());
-                    assertEquals("close", answer.header("Connection"));
+                for (HttpConnection client :
+                        new HttpConnection[] {blockedClient, lateClient, openClient}) {
+                    Message response = client.read();
+                    assertEquals(200, response.status());
+                    assertEquals("close", response.header("Connection"));
                 }
-                assertTrue(process.waitFor(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                assertTrue(process.waitFor(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 assertEquals(0, process.exitValue());
             } finally {
                 process.destroyForcibly();
@@ -87,7 +89,7 @@
 
     /** Each request on a new connection, while the process that serves is changed for another. */
     @Test
-    void aNewProcessTakesOverWithNoRequestLost() throws Exception {
+    void aNewProcessTakesOverWithoutLosingARequest() throws Exception {
         try (Rig rig = new Rig(folder).control()) {
             CountDownLatch release = new CountDownLatch(1);
             ScriptedServer backend =
@@ -96,7 +98,7 @@
                                 if (request.header("X-Request-Id").equals("held")) {
                                     release.await();
                                 }
-                                connection.answer("200 OK", request.header("X-Request-Id"));
+                                connection.respond("200 OK", request.header("X-Request-Id"));
                             });
             String list = Rig.list(8, true, Rig.entry("s", backend.address(), "SERVING"));
             InetSocketAddress address = freeAddress();
@@ -105,38 +107,38 @@
             Process first = serve(rig, address, firstControl);
             Process second = null;
             try {
-                awaitDone(firstControl, rig, list);
-                Http kept = Http.to(address);
-                kept.write(Rig.get("kept", ""));
-                assertEquals("kept", kept.read().text());
-                Http held = Http.to(address);
-                held.write(Rig.get("held", ""));
+                awaitReadyCheck(firstControl, rig, list);
+                HttpConnection openClient = HttpConnection.connect(address);
+                openClient.write(Rig.get("kept", ""));
+                assertEquals("kept", openClient.read().text());
+                HttpConnection blockedClient = HttpConnection.connect(address);
+                blockedClient.write(Rig.get("held", ""));
                 second = serve(rig, address, secondControl);
                 awaitListening(secondControl);
                 long listens = System.nanoTime();
-                awaitDone(secondControl, rig, list);
+                awaitReadyCheck(secondControl, rig, list);
                 assertTrue(System.nanoTime() - listens > 1_000_000_000L, "ready before it is warm");
-                awaitSentAway(address);
+                awaitConnectionClose(address);
                 first.toHandle().destroy();
-                while (Rig.ask(firstControl, "check\n").startsWith("done")) {
+                while (Rig.sendCommand(firstControl, "check\n").startsWith("done")) {
                     Thread.sleep(1);
                 }
-                kept.write(Rig.get("again", ""));
+                openClient.write(Rig.get("again", ""));
                 for (int i = 0; first.isAlive(); i++) {
-                    try (Http client = Http.to(address)) {
+                    try (HttpConnection client = HttpConnection.connect(address)) {
                         client.write(Rig.get("r" + i, ""));
                         assertEquals("r" + i, client.read().text());
                     }
                     if (i == 20) {
-                        Message away = kept.read();
-                        assertEquals("again", away.text());
-                        assertEquals("close", away.header("Connection"));
+                        Message lastResponse = openClient.read();
+                        assertEquals("again", lastResponse.text());
+                        assertEquals("close", lastResponse.header("Connection"));
                         release.countDown();
-                        assertEquals("held", held.read().text());
+                        assertEquals("held", blockedClient.read().text());
                     }
                 }
                 assertEquals(0, first.exitValue());
-                assertTrue(Rig.ask(secondControl, "check\n").startsWith("done"));
+                assertTrue(Rig.sendCommand(secondControl, "check\n").startsWith("done"));
             } finally {
                 first.destroyForcibly();
                 if (second != null) {
@@ -147,10 +149,10 @@
     }
 
     /** While two serve, clients are sent over to the newer one a few at a time. */
-    private static void awaitSentAway(InetSocketAddress address) throws IOException {
+    private static void awaitConnectionClose(InetSocketAddress address) throws IOException {
         String connection = null;
         for (int i = 0; connection == null; i++) {
-            try (Http client = Http.to(address)) {
+            try (HttpConnection client = HttpConnection.connect(address)) {
                 for (int n = 0; n < 10 && connection == null; n++) {
                     client.write(Rig.get("s" + i + "." + n, ""));
                     connection = client.read().header("Connection");
@@ -163,10 +165,10 @@
     /**
      * Any watch may get a list that is handed in, so more are handed in until this process has one.
      */
-    private static void awaitDone(InetSocketAddress control, Rig rig, String list)
+    private static void awaitReadyCheck(InetSocketAddress control, Rig rig, String list)
             throws InterruptedException, IOException {
         awaitListening(control);
-        while (!Rig.ask(control, "check\n").startsWith("done")) {
+        while (!Rig.sendCommand(control, "check\n").startsWith("done")) {
             rig.lines.add(list);
             Thread.sleep(10);
         }
@@ -179,25 +181,25 @@
 
     /** The order to end comes when all is set up, and nothing is listened for yet. */
     @Test
-    void listensNoMoreWhereTheOrderToEndCameBefore() throws Exception {
+    void stopsListeningIfTheSignalArrivedBeforeItListened() throws Exception {
         try (Rig rig = new Rig(folder).control()) {
             ProxyConfig config = ProxyConfig.read(rig.environment());
             ProxyServer server =
                     ProxyServer.create(config, new EventLog(System.err), passhatch.Logic::new);
             // The process that started this one stands for a newer one that serves.
-            newerProcess("passhatch.pid");
-            newerProcess("passhatch.ready");
+            writeNewerProcess("passhatch.pid");
+            writeNewerProcess("passhatch.ready");
             server.shutDown();
-            server.awaitIdle();
+            server.awaitSubmittedTasks();
             server.listen(config);
             awaitNotListening(server.address());
-            assertFalse(server.awaitEnd(0), "it stopped to listen by its end only");
-            assertTrue(server.awaitEnd(Http.PATIENCE_MS));
+            assertFalse(server.awaitTermination(0), "it stopped to listen by its end only");
+            assertTrue(server.awaitTermination(HttpConnection.TIMEOUT_MS));
         }
     }
 
     /** What the process that started this one would leave if it were a newer one that serves. */
-    private void newerProcess(String file) throws IOException {
+    private void writeNewerProcess(String file) throws IOException {
         Files.writeString(
                 folder.resolve(file),
                 String.valueOf(ProcessHandle.current().parent().orElseThrow().pid()));
@@ -208,20 +210,20 @@
      * alone.
      */
     @Test
-    void servesOnAtTheOrderToEndWhereTheNewerProcessIsNotReady() throws Exception {
+    void keepsServingAfterTheSignalIfTheNewerProcessIsNotReady() throws Exception {
         try (Rig rig = new Rig(folder).control()) {
             ScriptedServer backend =
-                    rig.backend((connection, request) -> connection.answer("200 OK", "s"));
+                    rig.backend((connection, request) -> connection.respond("200 OK", "s"));
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
-            newerProcess("passhatch.pid");
-            Http open = rig.client();
+            writeNewerProcess("passhatch.pid");
+            HttpConnection open = rig.client();
             rig.proxy().shutDown();
-            rig.proxy().awaitIdle();
+            rig.proxy().awaitSubmittedTasks();
             open.write(Rig.get("open", ""));
-            Message answer = open.read();
-            assertEquals("s", answer.text());
-            assertNull(answer.header("Connection"), "it has nowhere to go yet");
-            assertEquals("s", rig.call(Rig.get("new", "")).text());
+            Message response = open.read();
+            assertEquals("s", response.text());
+            assertNull(response.header("Connection"), "it has nowhere to go yet");
+            assertEquals("s", rig.send(Rig.get("new", "")).text());
         }
     }
 
@@ -230,12 +232,12 @@
      * read.
      */
     @Test
-    void aHangUpThatReadsLateDoesNotUndoANewerOne() throws Exception {
+    void aReloadThatReadsLateDoesNotUndoANewerOne() throws Exception {
         try (Rig rig = new Rig(folder)) {
             ScriptedServer backend =
-                    rig.backend((connection, request) -> connection.answer("200 OK", "s"));
-            ScriptedServer newer = rig.backend(ScriptedServer.SILENT);
-            ScriptedServer older = rig.backend(ScriptedServer.SILENT);
+                    rig.backend((connection, request) -> connection.respond("200 OK", "s"));
+            ScriptedServer newer = rig.backend(ScriptedServer.NO_RESPONSE);
+            ScriptedServer older = rig.backend(ScriptedServer.NO_RESPONSE);
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
             Path file = folder.resolve("config.json");
             Path pipe = folder.resolve("pipe");
@@ -257,7 +259,7 @@
             }
             first.join();
             second.join();
-            rig.proxy().awaitIdle();
+            rig.proxy().awaitSubmittedTasks();
             String last =
                     rig.log
                             .toString(StandardCharsets.UTF_8)
@@ -275,18 +277,18 @@
 
     /** A start that fails says so by its status, also with all handlers in place. */
     @Test
-    void endsWithItsStatusWhereItCannotListen() throws Exception {
+    void exitsWithItsStatusIfItCannotListen() throws Exception {
         try (Rig rig = new Rig(folder);
                 ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Process process = serve(rig, (InetSocketAddress) taken.getLocalSocketAddress());
-            assertTrue(process.waitFor(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             assertEquals(2, process.exitValue());
         }
     }
 
     /** None of those taken on one connection may be lost as an answer sends its client away. */
     @Test
-    void answersAllThatWereTakenOnAConnectionBeforeItsClientIsSentAway() throws Exception {
+    void servesAllAcceptedRequestsOfAConnectionBeforeItCloses() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (Rig rig = new Rig(folder)) {
             ScriptedServer backend =
@@ -295,44 +297,44 @@
                                 if (request.header("X-Request-Id").startsWith("held")) {
                                     release.await();
                                 }
-                                connection.answer("200 OK", request.header("X-Request-Id"));
+                                connection.respond("200 OK", request.header("X-Request-Id"));
                             });
             rig.limit("connectTimeoutUs", 2_000_000)
                     .start(
                             Rig.entry("s", backend.address(), "SERVING"),
                             Rig.entry("t", backend.address(), "SERVING"),
                             Rig.entry("u", backend.address(), "SERVING"));
-            Http open = rig.client();
+            HttpConnection open = rig.client();
             open.write(Rig.get("before", ""));
             assertEquals("before", open.read().text());
-            Http many = rig.client();
+            HttpConnection many = rig.client();
             for (int i = 0; i < 3; i++) {
                 many.write(Rig.get("held" + i, ""));
             }
             for (int i = 0; i < 4; i++) {
-                backend.next();
+                backend.nextRequest();
             }
             rig.proxy().shutDown();
-            for (int i = 0; servesOn(open, "r" + i); i++) {
+            for (int i = 0; staysOpen(open, "r" + i); i++) {
                 Thread.onSpinWait();
             }
             release.countDown();
             for (int i = 0; i < 3; i++) {
-                Message answer = many.read();
-                assertEquals("held" + i, answer.text());
-                assertEquals(i == 2 ? "close" : null, answer.header("Connection"));
+                Message response = many.read();
+                assertEquals("held" + i, response.text());
+                assertEquals(i == 2 ? "close" : null, response.header("Connection"));
             }
             assertNull(many.read());
-            assertTrue(rig.proxy().awaitEnd(Http.PATIENCE_MS));
+            assertTrue(rig.proxy().awaitTermination(HttpConnection.TIMEOUT_MS));
         }
     }
 
     /** Whether a client may go on; it is sent away with an answer, or between two. */
-    private static boolean servesOn(Http client, String id) {
+    private static boolean staysOpen(HttpConnection client, String id) {
         try {
             client.write(Rig.get(id, ""));
-            Message answer = client.read();
-            return answer != null && answer.header("Connection") == null;
+            Message response = client.read();
+            return response != null && response.header("Connection") == null;
         } catch (IOException closed) {
             return false;
         }
@@ -351,19 +353,20 @@
                 "{\"discovery\":7}",
                 "{\"discovery\":\"nowhere\"}"
             })
-    void aConfigurationThatCannotBeReadAtAHangUpChangesNothing(String written) throws Exception {
+    void anUnreadableConfigurationAtAReloadChangesNothing(String written) throws Exception {
         try (Rig rig = new Rig(folder)) {
             ScriptedServer backend =
-                    rig.backend((connection, request) -> connection.answer("200 OK", "s"));
+                    rig.backend((connection, request) -> connection.respond("200 OK", "s"));
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
-            rig.discovery().next();
+            rig.discovery().nextRequest();
             Files.writeString(folder.resolve("config.json"), written);
             rig.proxy().reload(Map.of("PROXY_CONFIG", folder.resolve("config.json").toString()));
             rig.awaitLog("the configuration stays as it is: ");
-            assertEquals("s", rig.call(Rig.get("a", "")).text());
+            assertEquals("s", rig.send(Rig.get("a", "")).text());
             rig.lines.add(Rig.END_OF_WATCH);
             assertTrue(
-                    rig.discovery().next().start().contains("from=8"), "discovery is where it was");
+                    rig.discovery().nextRequest().startLine().contains("from=8"),
+                    "discovery is where it was");
         }
     }
 
@@ -372,25 +375,25 @@
      * go.
      */
     @Test
-    void servesOpenConnectionsOnAfterItHasStoppedToListen() throws Exception {
+    void servesOpenConnectionsAfterItHasStoppedListening() throws Exception {
         try (Rig rig = new Rig(folder)) {
             ScriptedServer backend =
                     rig.backend(
                             (connection, request) ->
-                                    connection.answer("200 OK", request.header("X-Deadline")));
+                                    connection.respond("200 OK", request.header("X-Deadline")));
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
-            Http open = rig.client();
+            HttpConnection open = rig.client();
             open.write(Rig.get("before", ""));
             assertEquals(200, open.read().status());
             rig.proxy().shutDown();
             awaitNotListening(rig.proxy().address());
             open.write(Rig.get("after", ""));
-            Message answer = open.read();
-            assertNull(answer.header("Connection"), "let go though SIGKILL is far");
-            long leftUs = Long.parseLong(answer.text().replace("u", ""));
+            Message response = open.read();
+            assertNull(response.header("Connection"), "let go though SIGKILL is far");
+            long leftUs = Long.parseLong(response.text().replace("u", ""));
             assertTrue(leftUs < 3_700_000, "it would not be answered before SIGKILL: " + leftUs);
             assertNull(open.read(), "let go in the end");
-            assertTrue(rig.proxy().awaitEnd(Http.PATIENCE_MS));
+            assertTrue(rig.proxy().awaitTermination(HttpConnection.TIMEOUT_MS));
         }
     }
 
@@ -398,18 +401,18 @@
      * After SIGHUP discovery is where the configuration says now; what it had taken is answered.
      */
     @Test
-    void movesToAnotherDiscoveryAtAHangUpAndServesOn() throws Exception {
+    void changesTheAddressOfDiscoveryAtSighupAndKeepsServing() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (Rig rig = new Rig(folder)) {
             ScriptedServer old =
                     rig.backend(
                             (connection, request) -> {
                                 release.await();
-                                connection.answer("200 OK", "old");
+                                connection.respond("200 OK", "old");
                             });
             rig.lines.add(Rig.list(8, true, Rig.entry("s", old.address(), "SERVING")));
             ScriptedServer next =
-                    rig.backend((connection, request) -> connection.answer("200 OK", "next"));
+                    rig.backend((connection, request) -> connection.respond("200 OK", "next"));
             String list = Rig.list(9, true, Rig.entry("t", next.address(), "SERVING"));
             ScriptedServer other =
                     rig.backend(
@@ -425,22 +428,22 @@
             try {
                 awaitListening(address);
                 Rig.awaitReady(address);
-                rig.discovery().next();
-                Http held = Http.to(address);
-                held.write(Rig.get("held", ""));
-                old.next();
-                rig.nameDiscovery(other.address());
+                rig.discovery().nextRequest();
+                HttpConnection blockedClient = HttpConnection.connect(address);
+                blockedClient.write(Rig.get("held", ""));
+                old.nextRequest();
+                rig.writeDiscoveryAddress(other.address());
                 assertEquals(
                         0,
                         new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid()))
                                 .start()
                                 .waitFor());
-                assertTrue(other.next().start().contains("watch=1&from=8"));
+                assertTrue(other.nextRequest().startLine().contains("watch=1&from=8"));
                 release.countDown();
-                assertEquals("old", held.read().text());
+                assertEquals("old", blockedClient.read().text());
                 String served = "";
                 for (int i = 0; !served.equals("next"); i++) {
-                    try (Http client = Http.to(address)) {
+                    try (HttpConnection client = HttpConnection.connect(address)) {
                         client.write(Rig.get("r" + i, ""));
                         served = client.read().text();
                     }
@@ -454,7 +457,7 @@
 
     /** As under nohup: the JVM leaves the signal ignored, and operators have to be told. */
     @Test
-    void saysThatHangUpsAreIgnoredWhereItIsStartedSo() throws Exception {
+    void logsThatSighupIsIgnoredIfStartedSo() throws Exception {
         try (Rig rig = new Rig(folder)) {
             Map<String, String> env = new HashMap<>(rig.environment());
             InetSocketAddress address = freeAddress();
@@ -518,7 +521,7 @@
     }
 
     private static boolean listens(InetSocketAddress address) {
-        try (Http connection = Http.to(address)) {
+        try (HttpConnection connection = HttpConnection.connect(address)) {
             return connection.socket.isConnected();
         } catch (IOException refused) {
             return false;
--- a/src/test/java/passhatch/proxy/backend/BackendPoolTest.java
+++ b/src/test/java/passhatch/proxy/backend/BackendPoolTest.java
@@ -36,15 +36,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import passhatch.Balancer.Outcome;
-import passhatch.proxy.Http;
+import passhatch.proxy.HttpConnection;
 import passhatch.proxy.ScriptedServer;
 import passhatch.proxy.backend.BackendPool.Handle;
 import passhatch.proxy.backend.BackendPool.Outgoing;
 import passhatch.proxy.backend.BackendPool.Result;
 import passhatch.proxy.base.Clock;
-import passhatch.proxy.base.Descriptors;
+import passhatch.proxy.base.DescriptorLimits;
 import passhatch.proxy.base.EventLog;
-import passhatch.proxy.flow.ByteBudget;
+import passhatch.proxy.flow.BufferBudget;
 
 /** The pool against scripted backends: what each way to end on the wire counts as. */
 @Timeout(60)
@@ -56,14 +56,14 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Result> results = new LinkedBlockingQueue<>();
-    private final Descriptors descriptors = new Descriptors(0);
-    private final ByteBudget budget = new ByteBudget(1 << 20);
+    private final DescriptorLimits descriptors = new DescriptorLimits(0);
+    private final BufferBudget budget = new BufferBudget(1 << 20);
     private BackendPool pool;
 
     @BeforeEach
     void setUp() {
         // Room for two connections to backends.
-        descriptors.limit(6);
+        descriptors.setLimit(6);
         pool = pool(10_000_000, 0);
     }
 
@@ -151,7 +151,7 @@
     }
 
     private Outcome result() throws InterruptedException {
-        Result result = results.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        Result result = results.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertNotNull(result, "no result came");
         return result.outcome();
     }
@@ -236,8 +236,8 @@
                                                                                         .UTF_8)));
                                             }))
                     .get();
-            assertEquals("1", bodies.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
-            assertEquals("2", bodies.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertEquals("1", bodies.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            assertEquals("2", bodies.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
     }
 
@@ -247,12 +247,12 @@
         try (ScriptedServer backend =
                 new ScriptedServer(
                         (connection, request) -> {
-                            connection.answer("200 OK", "x");
+                            connection.respond("200 OK", "x");
                             results.take();
                             connection.write("stray");
                         })) {
             send(backend.address(), true, LONG_US);
-            backend.awaitEnded();
+            backend.awaitConnectionEnd();
         }
     }
 
@@ -260,48 +260,48 @@
     enum Crossing {
         END {
             @Override
-            void happen(Http connection, ScriptedServer backend) throws Exception {
+            void happen(HttpConnection connection, ScriptedServer backend) throws Exception {
                 connection.close();
-                backend.awaitEnded();
+                backend.awaitConnectionEnd();
             }
         },
         RESET {
             @Override
-            void happen(Http connection, ScriptedServer backend) throws Exception {
+            void happen(HttpConnection connection, ScriptedServer backend) throws Exception {
                 connection.reset();
                 // A socket that a thread reads from is closed by that thread.
-                backend.awaitEnded();
+                backend.awaitConnectionEnd();
             }
         },
         HALF_A_LINE {
             @Override
-            void happen(Http connection, ScriptedServer backend) throws Exception {
+            void happen(HttpConnection connection, ScriptedServer backend) throws Exception {
                 connection.write("HTTP/1.1 2");
             }
         },
         SECOND_ANSWER {
             @Override
-            void happen(Http connection, ScriptedServer backend) throws Exception {
-                connection.answer("200 OK", "stray");
+            void happen(HttpConnection connection, ScriptedServer backend) throws Exception {
+                connection.respond("200 OK", "stray");
             }
         };
 
-        abstract void happen(Http connection, ScriptedServer backend) throws Exception;
+        abstract void happen(HttpConnection connection, ScriptedServer backend) throws Exception;
     }
 
     /** The loop has not heard of it yet, as it takes the connection in the same turn. */
     @ParameterizedTest
     @EnumSource
     void aConnectionOnWhichSomethingHasJustComeIsNotUsedAgain(Crossing crossing) throws Exception {
-        BlockingQueue<Http> first = new LinkedBlockingQueue<>();
+        BlockingQueue<HttpConnection> first = new LinkedBlockingQueue<>();
         try (ScriptedServer backend =
                 new ScriptedServer(
                         (connection, request) -> {
-                            connection.answer("200 OK", "own");
+                            connection.respond("200 OK", "own");
                             first.add(connection);
                         })) {
             assertEquals(Outcome.OK, call(backend.address()));
-            Http kept = first.take();
+            HttpConnection kept = first.take();
             loop.submit(
                             () -> {
                                 crossing.happen(kept, backend);
@@ -309,7 +309,7 @@
                                         backend.address(), outgoing(true, LONG_US), results::add);
                             })
                     .get();
-            Result result = results.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            Result result = results.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertEquals(Outcome.OK, result.outcome());
             assertEquals("own", new String(result.body(), StandardCharsets.UTF_8));
             assertEquals(2, backend.connections.get());
@@ -332,22 +332,22 @@
         try (ScriptedServer twice = answeringTwice()) {
             assertEquals(Outcome.OK, call(twice.address()));
         }
-        BlockingQueue<Http> first = new LinkedBlockingQueue<>();
+        BlockingQueue<HttpConnection> first = new LinkedBlockingQueue<>();
         try (ScriptedServer backend =
                 new ScriptedServer(
                         (connection, request) -> {
                             if (first.isEmpty()) {
                                 first.add(connection);
-                                connection.answer("200 OK", "first");
+                                connection.respond("200 OK", "first");
                             } else {
-                                first.peek().answer("200 OK", "first");
+                                first.peek().respond("200 OK", "first");
                                 first.peek().socket.getInputStream().read();
-                                connection.answer("200 OK", "next");
+                                connection.respond("200 OK", "next");
                             }
                         })) {
             assertEquals(Outcome.OK, call(backend.address()));
             send(backend.address(), true, LONG_US);
-            Result result = results.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            Result result = results.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertEquals("next", new String(result.body(), StandardCharsets.UTF_8));
         }
     }
@@ -356,7 +356,7 @@
     @Test
     void connectionsNeedNoRestWhereAllAnswerOnce() throws Exception {
         pool = pool(10_000_000, 60_000_000);
-        try (ScriptedServer backend = ScriptedServer.saying("x")) {
+        try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
             assertEquals(Outcome.OK, call(backend.address()));
             assertEquals(Outcome.OK, call(backend.address()));
             assertEquals(1, backend.connections.get());
@@ -367,7 +367,7 @@
     @Test
     void aConnectionThatHasRestedIsUsedAgain() throws Exception {
         pool = pool(10_000_000, 1_000);
-        try (ScriptedServer backend = ScriptedServer.saying("x");
+        try (ScriptedServer backend = ScriptedServer.respondingWith("x");
                 ScriptedServer twice = answeringTwice()) {
             assertEquals(Outcome.OK, call(twice.address()));
             int calls = 0;
@@ -399,7 +399,7 @@
                             connection.reset();
                         })) {
             send(backend.address(), true, LONG_US);
-            while (loop.submit(budget::held).get() == 0) {
+            while (loop.submit(budget::bufferedBytes).get() == 0) {
                 Thread.onSpinWait();
             }
             read.countDown();
@@ -460,30 +460,30 @@
 
     @Test
     void silenceTimesOutAndEndsTheConnection() throws Exception {
-        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.SILENT)) {
+        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.NO_RESPONSE)) {
             send(backend.address(), true, 300_000);
-            backend.next();
+            backend.nextRequest();
             assertEquals(Outcome.TIMEOUT, result());
-            backend.awaitEnded();
+            backend.awaitConnectionEnd();
         }
     }
 
     @Test
     void aCancelledCallEndsOnceAndItsConnectionToo() throws Exception {
-        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.SILENT)) {
+        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.NO_RESPONSE)) {
             Handle call = send(backend.address(), true, LONG_US);
-            backend.next();
+            backend.nextRequest();
             loop.submit(call::cancel).get();
             loop.submit(call::cancel).get();
             assertEquals(Outcome.CANCELLED, result());
-            backend.awaitEnded();
+            backend.awaitConnectionEnd();
             assertTrue(results.isEmpty());
         }
     }
 
     @Test
     void whatIsNoLongerWantedIsNotWritten() throws Exception {
-        try (ScriptedServer backend = ScriptedServer.saying("hm")) {
+        try (ScriptedServer backend = ScriptedServer.respondingWith("hm")) {
             send(backend.address(), false, LONG_US);
             assertEquals(Outcome.NOT_SENT, result());
             assertEquals(Outcome.OK, call(backend.address()));
@@ -494,7 +494,7 @@
 
     @Test
     void keepsAConnectionAndOpensAnotherWhereItIsBusy() throws Exception {
-        try (ScriptedServer backend = ScriptedServer.saying("x")) {
+        try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
             assertEquals(Outcome.OK, call(backend.address()));
             assertEquals(Outcome.OK, call(backend.address()));
             assertEquals(1, backend.connections.get());
@@ -511,7 +511,7 @@
                                 connection.reset();
                             } else {
                                 connection.socket.setKeepAlive(true);
-                                connection.answer("200 OK", "first");
+                                connection.respond("200 OK", "first");
                             }
                         })) {
             assertEquals(Outcome.OK, call(backend.address()));
@@ -524,26 +524,26 @@
     @Test
     void closesIdleConnectionsBeforeTheBackendMay() throws Exception {
         pool = pool(1_000, 0);
-        try (ScriptedServer backend = ScriptedServer.saying("x")) {
+        try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
             assertEquals(Outcome.OK, call(backend.address()));
             Thread.sleep(1);
             loop.submit(pool::closeStale).get();
-            backend.awaitEnded();
+            backend.awaitConnectionEnd();
         }
     }
 
     @Test
     void closesIdleConnectionsWhenTold() throws Exception {
-        try (ScriptedServer backend = ScriptedServer.saying("x")) {
+        try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
             assertEquals(Outcome.OK, call(backend.address()));
             loop.submit(() -> pool.closeIdle(backend.address())).get();
-            backend.awaitEnded();
+            backend.awaitConnectionEnd();
         }
     }
 
     @Test
     void sendsNothingPastItsLimitOfConnections() throws Exception {
-        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.SILENT)) {
+        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.NO_RESPONSE)) {
             send(backend.address(), true, LONG_US);
             send(backend.address(), true, LONG_US);
             assertEquals(Outcome.NOT_SENT, call(backend.address()));
@@ -560,7 +560,7 @@
                                                 + "X-Load: TEXT inflight=7, queue=2, util=0.61\r\n"
                                                 + "Content-Length: 0\r\n\r\n"))) {
             send(backend.address(), true, LONG_US);
-            Result result = results.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            Result result = results.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertEquals(new passhatch.Balancer.LoadReport(7, 2, 0.61), result.report());
         } catch (IOException e) {
             throw new AssertionError(e);
--- a/src/test/java/passhatch/proxy/discovery/JsonValuesTest.java
+++ b/src/test/java/passhatch/proxy/discovery/JsonObjectScannerTest.java
@@ -16,41 +16,41 @@
 /**
  * Objects are found whatever their layout, however their bytes arrive, and after what is no JSON.
  */
-final class JsonValuesTest implements JsonValues.Listener {
+final class JsonObjectScannerTest implements JsonObjectScanner.Listener {
 
-    private static final int LONGEST = 400;
+    private static final int MAX_OBJECT_BYTES = 400;
 
-    private final List<String> heard = new ArrayList<>();
-    private JsonValues values = new JsonValues(LONGEST, this);
+    private final List<String> events = new ArrayList<>();
+    private JsonObjectScanner scanner = new JsonObjectScanner(MAX_OBJECT_BYTES, this);
 
     @Override
-    public void object(String text) {
-        heard.add(text);
+    public void onObject(String text) {
+        events.add(text);
     }
 
     @Override
-    public void emptyLine() {
-        heard.add("empty");
+    public void onEmptyLine() {
+        events.add("empty");
     }
 
     @Override
-    public void skipped(String why) {
-        heard.add("skipped");
+    public void onSkipped(String why) {
+        events.add("skipped");
     }
 
     private List<String> read(String text) {
-        heard.clear();
-        values.read(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-        return List.copyOf(heard);
+        events.clear();
+        scanner.read(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+        return List.copyOf(events);
     }
 
     /** Compact or indented, in pieces of any size, with texts full of what looks like structure. */
     @Test
-    void findsEachObjectInAnyLayoutAndInAnyPieces() throws Exception {
+    void findsEachObjectInAnyLayoutAndFragmentation() throws Exception {
         Random random = new Random(11);
         for (int round = 0; round < 300; round++) {
-            values = new JsonValues(LONGEST, this);
-            heard.clear();
+            scanner = new JsonObjectScanner(MAX_OBJECT_BYTES, this);
+            events.clear();
             List<Map<String, Object>> sent = new ArrayList<>();
             StringBuilder wire = new StringBuilder();
             for (int i = random.nextInt(4); i >= 0; i--) {
@@ -75,12 +75,12 @@
                         Math.min(
                                 bytes.length - at,
                                 1 + random.nextInt(random.nextBoolean() ? 3 : 200));
-                values.read(Unpooled.wrappedBuffer(bytes, at, piece));
+                scanner.read(Unpooled.wrappedBuffer(bytes, at, piece));
                 at += piece;
             }
-            assertFalse(values.pending());
+            assertFalse(scanner.pending());
             List<Map<String, Object>> found = new ArrayList<>();
-            for (String text : heard) {
+            for (String text : events) {
                 found.add(JSON.std.mapFrom(text));
             }
             assertEquals(sent, found, wire.toString());
@@ -88,30 +88,30 @@
     }
 
     @Test
-    void tellsEmptyLinesOnlyBetweenObjects() {
+    void reportsEmptyLinesOnlyBetweenObjects() {
         assertEquals(List.of("empty", "empty"), read("\n \r\n"));
         assertEquals(List.of("{\n\n}"), read("{\n\n}\n"));
         assertEquals(List.of("empty"), read("\n"));
     }
 
     @Test
-    void readsOnAfterWhatIsNoObjectAndAfterATextThatIsCutOff() {
+    void continuesAfterMalformedInputAndTruncatedStrings() {
         assertEquals(List.of("skipped", "{}"), read("not json {\n{}\n"));
         assertEquals(List.of("skipped", "{}"), read("{\"name\":\"a\n{}"));
         assertEquals(List.of("empty"), read("\n\n"), "the rest of the line, and one that is empty");
     }
 
     @Test
-    void passesOverWhatIsTooLongAndHoldsNoMoreOfIt() {
+    void skipsObjectsThatAreTooLongWithoutBufferingThem() {
         assertEquals(
                 List.of("skipped", "{}"),
-                read("{\"a\":\"" + "x".repeat(3 * LONGEST) + "\"}\n{}\n"));
-        assertEquals(List.of("skipped", "{}"), read("[".repeat(3 * LONGEST) + "\n{}\n"));
+                read("{\"a\":\"" + "x".repeat(3 * MAX_OBJECT_BYTES) + "\"}\n{}\n"));
+        assertEquals(List.of("skipped", "{}"), read("[".repeat(3 * MAX_OBJECT_BYTES) + "\n{}\n"));
     }
 
     @Test
-    void saysThatAnObjectIsNotWhole() {
+    void reportsAnIncompleteObject() {
         read("{\"index\":4,");
-        assertTrue(values.pending());
+        assertTrue(scanner.pending());
     }
 }
--- a/src/test/java/passhatch/proxy/discovery/ListWatchTest.java
+++ b/src/test/java/passhatch/proxy/discovery/ListWatchTest.java
@@ -20,20 +20,20 @@
     private static final long S = 1_000 * MS;
     private static final EndpointList KNOWN = new EndpointList(7, true, List.of());
 
-    private final List<String> called = new ArrayList<>();
-    private final List<Long> hungUp = new ArrayList<>();
+    private final List<String> requestedPaths = new ArrayList<>();
+    private final List<Long> closedCalls = new ArrayList<>();
     private final List<EndpointList> listed = new ArrayList<>();
-    private final List<ListFreshness> currencies = new ArrayList<>();
+    private final List<ListFreshness> freshnesses = new ArrayList<>();
     private final List<Long> pending = new ArrayList<>();
     private final List<String> log = new ArrayList<>();
-    private int lost;
-    private int turnedAway;
+    private int lostWatches;
+    private int rejections;
     private long now = 100 * S;
     private long call;
 
     private final ListWatch watch =
             new ListWatch(
-                    new ListWatch.Source(
+                    new ListWatch.WatchConfig(
                             new InetSocketAddress(0),
                             KNOWN,
                             true,
@@ -41,73 +41,73 @@
                             List.of("m"),
                             750 * MS),
                     1,
-                    new Carrier(),
-                    new Heard(),
+                    new RecordingTransport(),
+                    new RecordingListener(),
                     log::add);
 
-    private final class Carrier implements ListWatch.Carrier {
+    private final class RecordingTransport implements ListWatch.Transport {
         @Override
-        public void call(long number, InetSocketAddress address, String path) {
+        public void startCall(long number, InetSocketAddress address, String path) {
             call = number;
-            called.add(path);
+            requestedPaths.add(path);
         }
 
         @Override
-        public void hangUp(long number) {
-            hungUp.add(number);
-            watch.closed(now, number);
+        public void closeCall(long number) {
+            closedCalls.add(number);
+            watch.onClosed(now, number);
         }
 
         @Override
         public void wakeAt(long atUs) {}
     }
 
-    private final class Heard implements ListWatch.Listener {
+    private final class RecordingListener implements ListWatch.Listener {
         @Override
-        public void listed(EndpointList list, ListFreshness currency) {
+        public void onList(EndpointList list, ListFreshness currency) {
             listed.add(list);
-            currencies.add(currency);
+            freshnesses.add(currency);
         }
 
         @Override
-        public void unchanged(ListFreshness currency) {
-            currencies.add(currency);
+        public void onUnchanged(ListFreshness currency) {
+            freshnesses.add(currency);
         }
 
         @Override
-        public void pending(long sinceUs) {
+        public void onPending(long sinceUs) {
             pending.add(sinceUs);
         }
 
         @Override
-        public void lost() {
-            lost++;
+        public void onWatchLost() {
+            lostWatches++;
         }
 
         @Override
-        public void reached() {}
+        public void onReached() {}
 
         @Override
-        public void turnedAway() {
-            turnedAway++;
+        public void onRejected() {
+            rejections++;
         }
 
         @Override
-        public void moved() {}
+        public void onAddressChanged() {}
     }
 
-    private void begin() {
-        watch.watch(now);
-        watch.connected(call);
-        watch.answered(now, call, 200);
+    private void openWatch() {
+        watch.startWatch(now);
+        watch.onConnected(call);
+        watch.onResponseHead(now, call, 200);
     }
 
-    private void say(String line) {
-        say(line, now);
+    private void receive(String line) {
+        receive(line, now);
     }
 
-    private void say(String line, long arrivedUs) {
-        watch.body(now, arrivedUs, call, bytes(line));
+    private void receive(String line, long arrivedUs) {
+        watch.onBody(now, arrivedUs, call, bytes(line));
     }
 
     private static ByteBuf bytes(String line) {
@@ -127,194 +127,194 @@
 
     @Test
     void aWholeListOfAnOlderVersionUndoesNoDrain() {
-        begin();
-        say(message(8, true, entry("s", "SERVING")));
-        say(message(9, false, entry("s", "DRAINING")));
-        say(message(8, true, entry("s", "SERVING")));
+        openWatch();
+        receive(message(8, true, entry("s", "SERVING")));
+        receive(message(9, false, entry("s", "DRAINING")));
+        receive(message(8, true, entry("s", "SERVING")));
         assertEquals(2, listed.size());
-        assertTrue(hungUp.contains(1L), "a discovery that is behind is listened to");
-        begin();
-        say(message(8, true, entry("s", "SERVING")));
+        assertTrue(closedCalls.contains(1L), "a discovery that is behind is listened to");
+        openWatch();
+        receive(message(8, true, entry("s", "SERVING")));
         assertEquals(2, listed.size());
-        assertEquals("/v1/endpoints?watch=1&from=9", called.get(1));
+        assertEquals("/v1/endpoints?watch=1&from=9", requestedPaths.get(1));
     }
 
     @Test
-    void aChangeThatCameBrokenIsAskedForAgainAndNothingAfterItConfirmsTheList() {
-        begin();
-        say(message(8, true, entry("s", "SERVING")));
+    void aMalformedChangeIsRequestedAgainAndNothingAfterItConfirmsTheList() {
+        openWatch();
+        receive(message(8, true, entry("s", "SERVING")));
         now += 5 * S;
-        say("{\"index\":9,\"snapshot\":false,\"endpoints\":[{\"name\":\"s");
-        say(message(10, false, entry("t", "SERVING")));
-        say("");
+        receive("{\"index\":9,\"snapshot\":false,\"endpoints\":[{\"name\":\"s");
+        receive(message(10, false, entry("t", "SERVING")));
+        receive("");
         assertEquals(1, listed.size());
         assertEquals(List.of(now), pending);
-        assertTrue(hungUp.contains(1L), "the watch goes on");
-        begin();
-        assertEquals("/v1/endpoints?watch=1&from=8", called.get(1));
+        assertTrue(closedCalls.contains(1L), "the watch goes on");
+        openWatch();
+        assertEquals("/v1/endpoints?watch=1&from=8", requestedPaths.get(1));
     }
 
     @Test
-    void aChangeThatHasBegunCountsAsToldSinceThen() {
-        begin();
-        say(message(8, true, entry("s", "SERVING")));
+    void aChangeIsPendingFromItsFirstByte() {
+        openWatch();
+        receive(message(8, true, entry("s", "SERVING")));
         now += S;
-        say("{\"index\":9,");
-        long begunUs = now;
+        receive("{\"index\":9,");
+        long startedUs = now;
         now += S;
-        say("\"snapshot\":false,");
-        assertEquals(List.of(begunUs), pending);
-        say("\"endpoints\":[" + entry("s", "DRAINING") + "]}");
+        receive("\"snapshot\":false,");
+        assertEquals(List.of(startedUs), pending);
+        receive("\"endpoints\":[" + entry("s", "DRAINING") + "]}");
         assertEquals(2, listed.size());
     }
 
     /** What the older one says of other servers is nowhere else. */
     @Test
     void afterAChangeOfAnOlderVersionTheWholeListIsFetched() {
-        begin();
-        say(message(8, true, entry("s", "SERVING"), entry("t", "SERVING")));
-        say(message(10, false, entry("t", "DRAINING")));
-        say(message(9, false, entry("s", "DRAINING")));
+        openWatch();
+        receive(message(8, true, entry("s", "SERVING"), entry("t", "SERVING")));
+        receive(message(10, false, entry("t", "DRAINING")));
+        receive(message(9, false, entry("s", "DRAINING")));
         assertEquals(2, listed.size());
         assertEquals(List.of(now), pending);
-        begin();
-        assertEquals("/v1/endpoints", called.get(1));
+        openWatch();
+        assertEquals("/v1/endpoints", requestedPaths.get(1));
     }
 
     /** A connection may be closed within the call that closes it. */
     @Test
-    void aCallThatIsGivenUpEndsOnceAndNotTheOneThatFollowsIt() {
-        begin();
-        say(message(8, true));
-        watch.answerEnded(now, call);
-        assertEquals(1, lost);
-        begin();
+    void anAbandonedCallEndsOnceWithoutEndingTheNextOne() {
+        openWatch();
+        receive(message(8, true));
+        watch.onResponseEnd(now, call);
+        assertEquals(1, lostWatches);
+        openWatch();
         now += 6 * S;
-        watch.time(now);
-        assertEquals(2, lost);
+        watch.onTimer(now);
+        assertEquals(2, lostWatches);
     }
 
     /** A watch was seen to bring one 1.1 s after discovery had a change that it had not told. */
     @Test
-    void anEmptyLineDoesNotProveThatNothingChangedInTheTwoSecondsItStandsFor() {
-        begin();
-        say(message(8, true, entry("s", "SERVING")));
+    void anEmptyLineProvesNothingAboutTheTwoSecondsBeforeIt() {
+        openWatch();
+        receive(message(8, true, entry("s", "SERVING")));
         assertEquals(now, lastAsOfUs());
         now += 5 * S;
-        say("");
+        receive("");
         assertEquals(now - 2 * S, lastAsOfUs());
-        say(message(9, false, entry("t", "SERVING")));
+        receive(message(9, false, entry("t", "SERVING")));
         assertEquals(now - 2 * S, lastAsOfUs());
     }
 
     /** It may come while the call waits its turn. */
     @Test
-    void anEmptyLineBeforeTheAnswerProvesNothingSinceTheCallWasMade() {
-        begin();
+    void anEmptyLineBeforeTheListProvesNothingAfterTheStartOfTheCall() {
+        openWatch();
         long calledUs = now;
         now += 3 * S;
-        say("");
+        receive("");
         assertEquals(calledUs, lastAsOfUs());
     }
 
     /** A process that was paused reads what was written long ago. */
     @Test
-    void whatStoodUnreadIsAsOldAsItMayBe() {
-        begin();
-        say(message(8, true, entry("s", "SERVING")));
+    void unreadMessagesCountFromTheirEarliestArrival() {
+        openWatch();
+        receive(message(8, true, entry("s", "SERVING")));
         now += 10 * S;
         long arrivedUs = now - 9 * S;
-        say("", arrivedUs);
-        ListFreshness last = currencies.get(currencies.size() - 1);
+        receive("", arrivedUs);
+        ListFreshness last = freshnesses.get(freshnesses.size() - 1);
         assertEquals(arrivedUs - 2 * S, last.asOfUs());
         assertTrue(last.watchedUntilUs() < now, "its silence begins anew");
     }
 
     /** What was written counts as told, read or not, and more may be on its way. */
     @Test
-    void whatAWatchStillTellsAfterAMoveIsTakenInUntilTheNextAnswers() {
-        begin();
-        say(message(8, true, entry("s", "SERVING")));
-        long old = call;
-        watch.moveTo(now, new InetSocketAddress(1));
-        watch.body(now, now, old, bytes(message(9, false, entry("s", "DRAINING"))));
+    void messagesOfTheOldWatchAreUsedAfterAnAddressChangeUntilTheNextResponds() {
+        openWatch();
+        receive(message(8, true, entry("s", "SERVING")));
+        long oldCall = call;
+        watch.changeAddress(now, new InetSocketAddress(1));
+        watch.onBody(now, now, oldCall, bytes(message(9, false, entry("s", "DRAINING"))));
         assertEquals(9, listed.get(listed.size() - 1).index());
-        assertFalse(hungUp.contains(old));
-        watch.answered(now, call, 200);
-        say(message(9, false));
-        assertTrue(hungUp.contains(old));
+        assertFalse(closedCalls.contains(oldCall));
+        watch.onResponseHead(now, call, 200);
+        receive(message(9, false));
+        assertTrue(closedCalls.contains(oldCall));
     }
 
     @Test
-    void aSilentWatchThatSpeaksAgainIsHeardUntilTheNextAnswers() {
-        begin();
-        say(message(8, true, entry("s", "SERVING")));
-        long old = call;
+    void aSilentWatchThatResumesIsReadUntilTheNextResponds() {
+        openWatch();
+        receive(message(8, true, entry("s", "SERVING")));
+        long oldCall = call;
         now += 3 * S;
-        watch.time(now);
-        watch.watch(now);
-        watch.body(now, now, old, bytes(message(9, false, entry("s", "DRAINING"))));
+        watch.onTimer(now);
+        watch.startWatch(now);
+        watch.onBody(now, now, oldCall, bytes(message(9, false, entry("s", "DRAINING"))));
         assertEquals(9, listed.get(listed.size() - 1).index());
-        watch.answered(now, call, 200);
-        say(message(9, false));
-        assertTrue(hungUp.contains(old));
+        watch.onResponseHead(now, call, 200);
+        receive(message(9, false));
+        assertTrue(closedCalls.contains(oldCall));
     }
 
     /** What was written on it is told and unread: an older watch says nothing of that. */
     @Test
-    void aSilentWatchIsNotHeardAnyMoreOnceALaterOneBroughtSomethingBroken() {
-        begin();
-        say(message(8, true, entry("s", "SERVING")));
-        long old = call;
+    void aSilentWatchIsIgnoredOnceALaterOneSentAMalformedMessage() {
+        openWatch();
+        receive(message(8, true, entry("s", "SERVING")));
+        long oldCall = call;
         now += 3 * S;
-        watch.time(now);
-        begin();
-        say("{\"index\":9,\"endpoints\":[{\"name\":\"s");
-        int words = currencies.size();
-        watch.body(now, now, old, bytes(""));
-        assertEquals(words, currencies.size());
+        watch.onTimer(now);
+        openWatch();
+        receive("{\"index\":9,\"endpoints\":[{\"name\":\"s");
+        int confirmations = freshnesses.size();
+        watch.onBody(now, now, oldCall, bytes(""));
+        assertEquals(confirmations, freshnesses.size());
     }
 
     /** A pause that is counted from the last byte would be over at once. */
     @Test
-    void anObjectThatDoesNotEndIsGivenUpAtTheTimeOfThat() {
-        begin();
-        say(message(8, true));
-        say("{\"index\":9,");
+    void anObjectThatDoesNotEndIsAbandonedAtTheCurrentTime() {
+        openWatch();
+        receive(message(8, true));
+        receive("{\"index\":9,");
         now += 3 * S;
-        watch.time(now);
+        watch.onTimer(now);
         assertTrue(log.stream().anyMatch(l -> l.contains("ended after 3000 ms")), log::toString);
     }
 
     /** It drained, served and drained again: of that the changes after version 8 have nothing. */
     @Test
-    void changesAfterAnOlderVersionThanTheOneKnownAreAskedForAnew() {
-        begin();
-        say(message(8, true, entry("s", "DRAINING")));
-        long old = call;
-        watch.moveTo(now, new InetSocketAddress(1));
-        watch.body(now, now, old, bytes(message(9, false, entry("s", "SERVING"))));
-        watch.answered(now, call, 200);
-        say(message(10, false));
+    void changesFromAnOlderVersionThanTheKnownOneAreRequestedAgain() {
+        openWatch();
+        receive(message(8, true, entry("s", "DRAINING")));
+        long oldCall = call;
+        watch.changeAddress(now, new InetSocketAddress(1));
+        watch.onBody(now, now, oldCall, bytes(message(9, false, entry("s", "SERVING"))));
+        watch.onResponseHead(now, call, 200);
+        receive(message(10, false));
         assertEquals(9, listed.get(listed.size() - 1).index());
         assertEquals(List.of(now), pending);
-        begin();
-        assertTrue(called.get(2).endsWith("from=9"), called::toString);
+        openWatch();
+        assertTrue(requestedPaths.get(2).endsWith("from=9"), requestedPaths::toString);
     }
 
     /** One that is down has a call wait for seconds before it is turned away. */
     @Test
-    void aCallThatIsTurnedAwayAtOnceShowsThatDiscoveryIsThere() {
-        watch.watch(now);
-        watch.answered(now + 20 * MS, call, 503);
-        assertEquals(1, turnedAway);
+    void aCallRejectedAtOnceShowsThatDiscoveryIsUp() {
+        watch.startWatch(now);
+        watch.onResponseHead(now + 20 * MS, call, 503);
+        assertEquals(1, rejections);
         now += S;
-        watch.watch(now);
-        watch.answered(now + 2 * S, call, 503);
-        assertEquals(1, turnedAway);
+        watch.startWatch(now);
+        watch.onResponseHead(now + 2 * S, call, 503);
+        assertEquals(1, rejections);
     }
 
     private long lastAsOfUs() {
-        return currencies.get(currencies.size() - 1).asOfUs();
+        return freshnesses.get(freshnesses.size() - 1).asOfUs();
     }
 }
--- a/src/test/java/passhatch/proxy/discovery/WatchBudgetTest.java
+++ b/src/test/java/passhatch/proxy/discovery/WatchBudgetTest.java
@@ -7,54 +7,68 @@
 /** The waits add up to less than the bounds that the operators state. */
 final class WatchBudgetTest {
 
-    private static final long TOLD_MS = 6_000;
-    private static final long HOLD_UP_MS = 150;
+    private static final long NOTIFY_TIMEOUT_MS = 6_000;
+    private static final long MAX_STALL_MS = 150;
 
     /** The module's first pause, at its longest. */
-    private static final long FIRST_PAUSE_MS = 375;
+    private static final long MAX_FIRST_RETRY_DELAY_MS = 375;
 
     private static final long[] GRACES_MS = {300, 500, 750, 2_000};
 
     @Test
-    void aWatchThatFallsSilentLeavesTimeForAnAnswerThatWaitsItsTurn() {
+    void aSilentWatchLeavesTimeForAQueuedResponse() {
         for (long graceMs : GRACES_MS) {
             WatchBudget budget = WatchBudget.of(true, graceMs * 1_000);
-            long spentMs = budget.silenceMs() + FIRST_PAUSE_MS + budget.connectMs();
-            assertTrue(spentMs + 2_000 <= TOLD_MS + graceMs - 2 * HOLD_UP_MS, "" + spentMs);
+            long spentMs =
+                    budget.silenceTimeoutMs()
+                            + MAX_FIRST_RETRY_DELAY_MS
+                            + budget.connectTimeoutMs();
+            assertTrue(
+                    spentMs + 2_000 <= NOTIFY_TIMEOUT_MS + graceMs - 2 * MAX_STALL_MS,
+                    "" + spentMs);
         }
     }
 
     @Test
-    void aCallThatIsLostLeavesTimeForAnotherAnswer() {
+    void aLostCallLeavesTimeForAnotherResponse() {
         for (long graceMs : GRACES_MS) {
             WatchBudget budget = WatchBudget.of(true, graceMs * 1_000);
-            long spentMs = budget.firstAnswerMs() + FIRST_PAUSE_MS + budget.connectMs();
-            assertTrue(spentMs + 1_000 <= TOLD_MS + graceMs - 2 * HOLD_UP_MS, "" + spentMs);
+            long spentMs =
+                    budget.initialMessageTimeoutMs()
+                            + MAX_FIRST_RETRY_DELAY_MS
+                            + budget.connectTimeoutMs();
+            assertTrue(
+                    spentMs + 1_000 <= NOTIFY_TIMEOUT_MS + graceMs - 2 * MAX_STALL_MS,
+                    "" + spentMs);
         }
     }
 
     @Test
-    void whereChangesArePushedAReturnFromAnOutageFitsIntoTheGrace() {
+    void withPushedChangesTheRecoveryFromAnOutageFitsIntoTheGrace() {
         for (long graceMs : GRACES_MS) {
             WatchBudget budget = WatchBudget.of(false, graceMs * 1_000);
-            long spentMs = 2 * budget.longestPauseMs() + budget.connectMs();
-            assertTrue(spentMs + HOLD_UP_MS <= graceMs, graceMs + ": " + spentMs);
+            long spentMs = 2 * budget.maxBackoffMs() + budget.connectTimeoutMs();
+            assertTrue(spentMs + MAX_STALL_MS <= graceMs, graceMs + ": " + spentMs);
         }
     }
 
     @Test
-    void anEmptyLineThatComesLateKeepsAWatchAlive() {
+    void aLateEmptyLineKeepsAWatchAlive() {
         WatchBudget budget = WatchBudget.of(true, 750_000);
-        assertTrue(budget.silenceMs() >= WatchBudget.EMPTY_LINE_EVERY_MS + 2 * HOLD_UP_MS);
+        assertTrue(
+                budget.silenceTimeoutMs() >= WatchBudget.EMPTY_LINE_INTERVAL_MS + 2 * MAX_STALL_MS);
     }
 
     /** A call may have been made in an outage and never be answered. */
     @Test
-    void whereChangesArePushedNoCallIsWaitedForLongerThanASilentWatchMay() {
+    void withPushedChangesALostCallIsReplacedWithinTheNotifyTimeout() {
         for (long graceMs : GRACES_MS) {
             WatchBudget budget = WatchBudget.of(false, graceMs * 1_000);
-            long spentMs = budget.longestAnswerMs() + budget.longestPauseMs() + budget.connectMs();
-            assertTrue(spentMs <= TOLD_MS, graceMs + ": " + spentMs);
+            long spentMs =
+                    budget.maxMessageTimeoutMs()
+                            + budget.maxBackoffMs()
+                            + budget.connectTimeoutMs();
+            assertTrue(spentMs <= NOTIFY_TIMEOUT_MS, graceMs + ": " + spentMs);
         }
     }
 }
--- a/src/test/java/passhatch/proxy/flow/RelayTest.java
+++ b/src/test/java/passhatch/proxy/flow/RelayTest.java
@@ -31,11 +31,11 @@
         }
     }
 
-    private final ByteBudget budget = new ByteBudget(1_000);
+    private final BufferBudget budget = new BufferBudget(1_000);
     private final Peer peer = new Peer();
     private final EmbeddedChannel channel = new EmbeddedChannel(peer);
-    private boolean reads = true;
-    private String heard = "";
+    private boolean reading = true;
+    private String result = "";
 
     private Relay relay(EmbeddedChannel to) {
         to.config()
@@ -45,17 +45,17 @@
         return new Relay(
                 to.eventLoop(),
                 budget,
-                on -> reads = on,
+                on -> reading = on,
                 to,
                 new Relay.Listener() {
                     @Override
-                    public void passed() {
-                        heard += "passed";
+                    public void completed() {
+                        result += "passed";
                     }
 
                     @Override
-                    public void broken() {
-                        heard += "broken";
+                    public void failed() {
+                        result += "broken";
                     }
                 });
     }
@@ -65,62 +65,62 @@
     }
 
     @Test
-    void theSourceWaitsWhileTooMuchIsHeldAndSomeOfItIsItsOwn() {
+    void theSourceIsPausedWhileTooMuchIsBufferedAndSomeOfItIsItsOwn() {
         Relay relay = relay(channel);
-        relay.pass(bytes(600));
-        assertTrue(reads);
-        relay.pass(bytes(600));
-        assertFalse(reads, "1200 of 1000 are held");
+        relay.forward(bytes(600));
+        assertTrue(reading);
+        relay.forward(bytes(600));
+        assertFalse(reading, "1200 of 1000 are held");
         peer.writes.poll().setSuccess();
-        assertTrue(reads);
-        assertEquals(600, budget.held());
+        assertTrue(reading);
+        assertEquals(600, budget.bufferedBytes());
     }
 
     /** Else those that hold much could stop all the others, and wait for them in turn. */
     @Test
-    void aSourceWithNothingOnItsWayIsReadThoughOthersHoldTooMuch() {
+    void aSourceWithoutBufferedBytesIsReadThoughOthersBufferTooMuch() {
         budget.add(5_000);
         Relay relay = relay(channel);
-        relay.pass(bytes(1));
-        assertFalse(reads);
+        relay.forward(bytes(1));
+        assertFalse(reading);
         peer.writes.poll().setSuccess();
-        assertTrue(reads);
+        assertTrue(reading);
     }
 
     @Test
-    void endsOnceAndGivesBackWhatItHeld() {
+    void completesOnceAndReleasesItsBufferedBytes() {
         Relay relay = relay(channel);
-        relay.pass(bytes(10));
+        relay.forward(bytes(10));
         relay.finish();
-        assertEquals("", heard);
+        assertEquals("", result);
         peer.writes.poll().setSuccess();
         peer.writes.poll().setSuccess();
         relay.finish();
-        assertEquals("passed", heard);
-        assertEquals(0, budget.held());
+        assertEquals("passed", result);
+        assertEquals(0, budget.bufferedBytes());
     }
 
     @Test
-    void aWriteThatFailsBreaksIt() {
+    void aFailedWriteEndsTheRelay() {
         Relay relay = relay(channel);
-        relay.pass(bytes(10));
+        relay.forward(bytes(10));
         peer.writes.poll().setFailure(new java.io.IOException("gone"));
-        relay.pass(bytes(10));
-        assertEquals("broken", heard);
-        assertEquals(0, budget.held());
+        relay.forward(bytes(10));
+        assertEquals("broken", result);
+        assertEquals(0, budget.bufferedBytes());
     }
 
     @Test
-    void oneThatDoesNotMoveForLongIsBroken() {
+    void aRelayWithoutProgressFails() {
         EmbeddedChannel slow = new EmbeddedChannel(new Peer());
         slow.freezeTime();
         Relay relay = relay(slow);
-        relay.pass(bytes(10));
+        relay.forward(bytes(10));
         slow.advanceTimeBy(40, TimeUnit.SECONDS);
         slow.runScheduledPendingTasks();
-        assertEquals("", heard, "it moved within the first 30 s");
+        assertEquals("", result, "it moved within the first 30 s");
         slow.advanceTimeBy(40, TimeUnit.SECONDS);
         slow.runScheduledPendingTasks();
-        assertEquals("broken", heard);
+        assertEquals("broken", result);
     }
 }
