--- a/src/main/java/passhatch/proxy/BackendRequests.java
+++ b/src/main/java/passhatch/proxy/BackendRequests.java
@@ -11,15 +11,16 @@
 import passhatch.proxy.client.ProxyRequest;
 import passhatch.proxy.flow.RequestBody;
 
-/** What goes out to backends. */
+/** Builds the HTTP requests that are sent to backends. */
 final class BackendRequests {
 
     private BackendRequests() {}
 
     /**
-     * A request as it goes to a backend, or its head where its body follows as it comes.
+     * Returns a client's request as it is sent to a backend; for a body that is streamed, only its
+     * head.
      *
-     * @param timeLeftUs how long it is waited for, in microseconds
+     * @param timeLeftUs how long the proxy waits for the response, in microseconds
      */
     static HttpRequest request(ProxyRequest request, long timeLeftUs) {
         RequestBody body = request.body();
@@ -53,7 +54,7 @@
         return message;
     }
 
-    /** Asks a backend for its load. */
+    /** Returns the request that asks a backend for its load. */
     static HttpRequest probe() {
         HttpRequest message =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/status/load");
--- a/src/main/java/passhatch/proxy/BackendTable.java
+++ b/src/main/java/passhatch/proxy/BackendTable.java
@@ -11,20 +11,20 @@
 import passhatch.proxy.discovery.EndpointList;
 
 /**
- * The backends' addresses and what the list says of them. An address stays known also when its
- * backend has left the list: the module may still name it.
+ * The addresses of the backends and their status in the list of servers. The address of a backend
+ * that has left the list is kept, as the decision module may still name it.
  */
 final class BackendTable {
 
-    /** One backend. */
+    /** The address and the status of one backend. */
     private record Entry(InetSocketAddress address, ServerStatus status) {}
 
     private final Map<String, Entry> byName = new HashMap<>();
 
     /**
-     * Takes a list, or changes to it.
+     * Applies a whole list or changes to it.
      *
-     * @return addresses at which a backend of that name is no longer found
+     * @return former addresses of the backends whose address has changed
      */
     List<InetSocketAddress> update(EndpointList list) {
         if (list.whole()) {
@@ -50,19 +50,22 @@
         return formerAddresses;
     }
 
-    /** Null where no list has named it. */
+    /** Returns the address of a backend, or null if no list has contained it. */
     InetSocketAddress address(String name) {
         Entry backend = byName.get(name);
         return backend == null ? null : backend.address();
     }
 
-    /** Whether it may be sent something new there; false where it drains, has gone or moved. */
+    /**
+     * Whether a new request may be sent to this backend at this address; false if the backend
+     * drains, was removed or has another address now.
+     */
     boolean isUpAt(InetSocketAddress address, String name) {
         Entry backend = byName.get(name);
         return backend.status() == ServerStatus.UP && backend.address().equals(address);
     }
 
-    /** How many are in the list, those that drain too. */
+    /** Returns the number of backends in the list, draining ones included. */
     int listedCount() {
         return (int)
                 byName.values().stream()
--- a/src/main/java/passhatch/proxy/Exchange.java
+++ b/src/main/java/passhatch/proxy/Exchange.java
@@ -14,16 +14,16 @@
     final Responder responder;
     final List<Attempt> attempts = new ArrayList<>(2);
 
-    /** When it must be answered; not known before all of it has come. */
+    /** When the response is due; unknown until the whole request has been received. */
     long deadlineUs = Long.MAX_VALUE;
 
     Future<?> fallbackTimer;
     boolean uploading;
 
-    /** Its final answer is settled. */
+    /** The final response has been chosen. */
     boolean responseChosen;
 
-    /** And given, or its client has left. */
+    /** The final response has been sent, or the client has left. */
     boolean completed;
 
     Exchange(ProxyRequest request, Responder responder) {
@@ -36,18 +36,18 @@
                 .anyMatch(attempt -> attempt.outcome == null || !attempt.outcome.provesNotRun);
     }
 
-    /** One attempt; its handle is null where it was never sent. */
+    /** One attempt to send the request to a backend. Its handle is null if it was never sent. */
     static final class Attempt {
         final int number;
         final String server;
 
-        /** When it was sent; where its body went out as it came, when that had all gone. */
+        /** When it was sent; for a streamed body, when the body had been written completely. */
         long sentAtUs;
 
-        /** When all of it had been written; 0 before. */
+        /** When the whole message had been written; 0 before that. */
         long writtenAtUs;
 
-        /** Its answer is passed on as it comes. */
+        /** The response is forwarded to the client as it arrives. */
         boolean streaming;
 
         BackendPool.Handle handle;
@@ -59,7 +59,10 @@
             this.sentAtUs = sentAtUs;
         }
 
-        /** Whether it was written whole, and nothing that came back proves that it did not run. */
+        /**
+         * Whether the message was written completely and its outcome does not prove that it never
+         * ran.
+         */
         boolean mayHaveRun() {
             return writtenAtUs > 0 && (outcome == null || !outcome.provesNotRun);
         }
--- a/src/main/java/passhatch/proxy/ProcessHandover.java
+++ b/src/main/java/passhatch/proxy/ProcessHandover.java
@@ -7,9 +7,9 @@
 import passhatch.proxy.base.EventLog;
 
 /**
- * Which processes of this proxy run: at a change of version the new one starts beside the old, and
- * both share one folder. The newest leaves its number there, and again once it has said that it is
- * ready.
+ * Tracks the processes of this proxy: during an upgrade the new process starts beside the old one,
+ * and both share one folder. The newest process writes its process id there at its start, and into
+ * a second file once it is ready.
  */
 final class ProcessHandover {
 
@@ -20,7 +20,7 @@
     private final long ownPid = ProcessHandle.current().pid();
     private Optional<ProcessHandle> otherProcess = Optional.empty();
 
-    /** Looks for a process that runs already, and says in the folder that this one has come. */
+    /** Looks for a process that is already running and records this one in the folder. */
     ProcessHandover(Path folder, EventLog log) {
         this.log = log;
         this.pidFile = folder.resolve("passhatch.pid");
@@ -33,12 +33,15 @@
         try {
             Files.writeString(file, Long.toString(ownPid));
         } catch (IOException failure) {
-            // It serves all the same; the older one takes itself for the only one at its end.
-            log.line("a successor would not be noticed: " + failure);
+            // This process serves anyway; the older one behaves at its shutdown as if it were
+            // alone.
+            log.line(
+                    "cannot write the process id, other processes will not notice this one: "
+                            + failure);
         }
     }
 
-    /** This process is ready; to be told as often as it is asked. */
+    /** Records that this process is ready; may be called repeatedly. */
     void recordReady() {
         if (!readyRecorded) {
             readyRecorded = true;
@@ -46,7 +49,7 @@
         }
     }
 
-    /** Looks again whether another process of this proxy runs. */
+    /** Checks again whether another process of this proxy is running. */
     boolean otherProcessRuns() {
         if (otherProcess.isEmpty()) {
             readOtherProcess();
@@ -55,14 +58,12 @@
         return otherProcess.isPresent();
     }
 
-    /** Whether a newer process has come, ready or not. */
+    /** Whether a newer process is running, ready or not. */
     boolean newerProcessRuns() {
         return processNamedIn(pidFile).isPresent();
     }
 
-    /**
-     * Whether the newer process has said that it is ready, so that this one may leave all to it.
-     */
+    /** Whether the newer process is ready, so that this one may leave all requests to it. */
     boolean newerProcessReady() {
         Optional<ProcessHandle> newerProcess = processNamedIn(pidFile);
         return newerProcess.isPresent() && newerProcess.equals(processNamedIn(readyFile));
@@ -72,7 +73,7 @@
         otherProcess = processNamedIn(pidFile);
     }
 
-    /** The process that a file names, where it runs and is not this one. */
+    /** Returns the process that a file names, if it is running and is not this one. */
     private Optional<ProcessHandle> processNamedIn(Path file) {
         try {
             long pid = Long.parseLong(Files.readString(file).strip());
--- a/src/main/java/passhatch/proxy/ProxyConfig.java
+++ b/src/main/java/passhatch/proxy/ProxyConfig.java
@@ -15,18 +15,18 @@
 import passhatch.proxy.discovery.EndpointList;
 
 /**
- * What this proxy is told at its start, checked.
+ * The validated configuration of this proxy.
  *
- * @param classNames names of the request classes, by position
- * @param tenantNames names of the tenants, by position; empty where there are none
- * @param zoneNames names of the zones, by position
- * @param modelNames names of the machine kinds, by position
- * @param connectTimeoutUs a connection that takes longer counts as not to be had
- * @param maxDescriptors file descriptors that this proxy's processes may hold together
- * @param memoryBytes that this proxy's processes may take together
- * @param initialList the list as this proxy last had it
- * @param controlAddress where operators ask, or null
- * @param folder of this proxy's processes, or null
+ * @param classNames names of the request classes, by index
+ * @param tenantNames names of the tenants, by index; empty if there are none
+ * @param zoneNames names of the zones, by index
+ * @param modelNames names of the machine types, by index
+ * @param connectTimeoutUs an attempt to connect that takes longer than this has failed
+ * @param maxDescriptors maximum number of file descriptors of all processes of this proxy together
+ * @param memoryBytes maximum memory of all processes of this proxy together
+ * @param initialList the list of servers as this proxy last had it
+ * @param controlAddress the address for operators' commands, or null
+ * @param folder shared by the processes of this proxy, or null
  */
 record ProxyConfig(
         String name,
@@ -49,7 +49,7 @@
     private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
     private static final long DEFAULT_MEMORY_MB = 144;
 
-    /** The configuration cannot be used; the message is one plain line. */
+    /** The configuration is invalid; the message is a single line. */
     static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Reads the environment and the file it names. */
+    /** Reads the environment variables and the file that PROXY_CONFIG names. */
     static ProxyConfig read(Map<String, String> env) throws InvalidConfigException {
         String name = requireVariable(env, "PROXY_NAME");
         InetSocketAddress listenAddress =
@@ -107,7 +107,7 @@
                 folder(env.get("TMPDIR")));
     }
 
-    /** Without an address nothing listens for operators. */
+    /** Without an address the control server is not started. */
     private static InetSocketAddress controlAddress(String variable, Object configured)
             throws InvalidConfigException {
         if (variable != null && !variable.isBlank()) {
@@ -122,7 +122,7 @@
         return name == null || name.isBlank() ? null : Path.of(name);
     }
 
-    /** The address of discovery that the configuration file names now. */
+    /** Reads the address of discovery from the configuration file as it is now. */
     static InetSocketAddress readDiscoveryAddress(Map<String, String> env)
             throws InvalidConfigException {
         if (readFile(requireVariable(env, "PROXY_CONFIG")).get("discovery")
@@ -154,7 +154,7 @@
         try {
             Map<String, Object> file = JSON.std.mapFrom(Files.readString(Path.of(path)));
             if (file == null) {
-                throw new InvalidConfigException("PROXY_CONFIG: " + path + " holds no object");
+                throw new InvalidConfigException("PROXY_CONFIG: " + path + " is not a JSON object");
             }
             return file;
         } catch (IOException | IllegalArgumentException invalid) {
@@ -163,7 +163,7 @@
         }
     }
 
-    /** The seed is sixteen hex digits, or a number. */
+    /** The seed is a text of sixteen hexadecimal digits or a number. */
     private static long seed(Object seed) throws InvalidConfigException {
         try {
             return seed instanceof Number n
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -39,38 +39,45 @@
 import passhatch.proxy.flow.ResponseStream;
 
 /**
- * The only caller of the decision module: tells it what happens and does what it asks. It holds the
- * state of the requests taken and sees to it that each gets exactly one final answer in time.
+ * Drives the decision module: reports events to it and carries out its actions. Holds the state of
+ * the accepted requests and guarantees that each gets exactly one final response in time.
  */
 final class ProxyLoop implements Actions, ListWatch.Listener, RequestHandler {
 
     /**
-     * How long before its client's time is up a request ends here: the answer has to travel, and
-     * the loop may be late. Of a short time it is a part only.
+     * A response is due this long before the client's deadline, for the time on the network and for
+     * delays of the event loop. For a short deadline only a fraction of it is kept back.
      */
     private static final long RESPONSE_MARGIN_US = 20_000;
 
     private static final long RESPONSE_MARGIN_DIVISOR = 8;
 
-    /** One part in so many of a client's time is the most that hold-ups may take of it. */
+    /** The allowance for stalls is at most the client's time divided by this. */
     private static final long STALL_ALLOWANCE_DIVISOR = 4;
 
-    /** How long after that the answer is given here if the module has given none. */
+    /**
+     * If the decision module has given no response at its due time, the proxy responds this much
+     * later.
+     */
     private static final long FALLBACK_DELAY_US = 5_000;
 
     /**
-     * A probe is given up after this: a load that old is no longer true, and the module takes the
-     * time of each answer into the mean that it waits for.
+     * Timeout of a probe. A load report that took longer is out of date, and the module includes
+     * the time of each reply in the mean that it waits for.
      */
     private static final long PROBE_TIMEOUT_US = 50_000;
 
-    /** A message may be so long on its way, with the handshake of a new connection before it. */
+    /**
+     * The maximum time for a message to reach its server, with the handshake of a new connection.
+     */
     private static final long MAX_TRANSIT_US = 100_000;
 
-    /** A timer that is set now fires after what the loop is at. */
+    /** A timer that is set now fires after the current pass of the event loop. */
     private static final long CATCH_UP_DELAY_MS = 1;
 
-    /** A body that has not come whole by then never will: the slowest is sent at 64 kB a second. */
+    /**
+     * An upload that takes longer than this never ends: the slowest clients send 64 kB per second.
+     */
     private static final long MAX_UPLOAD_US = 600_000_000;
 
     private final EventLoop loop;
@@ -88,23 +95,25 @@
     private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
     private boolean dispatching;
 
-    /** The loop was held up and has not looked at all connections since. */
+    /** The event loop was stalled and has not read from all connections since. */
     private boolean catchingUp;
 
     private boolean listReceived;
 
-    /** When requests should come here though no list has come in. */
+    /** When requests are accepted although no list has been received. */
     private final long useInitialListAtUs;
 
     private int unanswered;
 
-    /** Of these, requests whose bodies are still coming. */
+    /** The number of unanswered requests whose bodies are still being received. */
     private int uploading;
 
-    /** What is taken from now on is answered by then. */
+    /** Every request accepted from now on gets its response by this time. */
     private long latestDeadlineUs = Long.MAX_VALUE;
 
-    /** Something to tell the module. */
+    /**
+     * An event that the decision module is notified of; the exchange is null if it concerns none.
+     */
     private record Event(Exchange exchange, Runnable notification) {}
 
     ProxyLoop(
@@ -149,13 +158,16 @@
         }
     }
 
-    /** Whether a list of backends has come in since the start, or the one given then has to do. */
+    /**
+     * Whether a list of backends has been received since the start, or enough time has passed to
+     * use the initial list without it.
+     */
     @Override
     public boolean ready() {
         return listReceived || clock.nowUs() >= useInitialListAtUs;
     }
 
-    /** Has all that is taken from now on answered within this time. */
+    /** Sets the time within which every request accepted from now on gets its response. */
     void limitResponseTime(long timeoutUs) {
         latestDeadlineUs = clock.nowUs() + timeoutUs;
     }
@@ -164,18 +176,21 @@
         return unanswered;
     }
 
-    /** Requests that are remembered, those too of which an attempt is still out. */
+    /**
+     * Returns the number of requests in memory, including those that only wait for an attempt to
+     * end.
+     */
     int exchangesInMemory() {
         return exchanges.size();
     }
 
-    /** What operators are told, a line each. */
+    /** Returns the metrics in text form, one per line. */
     String metricsText() {
         return metrics.text(
                 unanswered - uploading, backends.listedCount(), balancer.hostsDown(clock.nowUs()));
     }
 
-    /** Discovery is found at another address from now on. */
+    /** Continues with discovery at another address. */
     void changeDiscoveryAddress(InetSocketAddress newAddress) {
         discovery.changeAddress(newAddress);
     }
@@ -184,7 +199,7 @@
         discovery.stop();
     }
 
-    // ---- what happens
+    // ---- events
 
     private void applyInitialList(EndpointList initialList) {
         updateBackends(initialList);
@@ -310,8 +325,8 @@
 
     private void startDeadline(Exchange exchange, long unreadUs) {
         long nowUs = clock.nowUs();
-        // A process that is held up now and then cannot tell when: it answers so much sooner, if
-        // time allows.
+        // A stall cannot be predicted: after recent stalls the response is due that much sooner, if
+        // the deadline allows it.
         long budgetUs = exchange.request.budgetUs();
         long marginUs =
                 Math.min(RESPONSE_MARGIN_US, budgetUs / RESPONSE_MARGIN_DIVISOR)
@@ -351,13 +366,13 @@
         }
     }
 
-    /**
-     * Guards against a request that the module holds too long: it is answered here, just in time.
-     */
+    /** Responds just before the deadline if the decision module has given no response. */
     private void respondIfOverdue(Exchange exchange) {
         if (!exchange.responseChosen) {
             log.line(
-                    "request " + exchange.request.id() + " was not answered in time by the module");
+                    "request "
+                            + exchange.request.id()
+                            + ": no response from the decision module in time");
             sendResponse(exchange, exchange.mayHaveRun() ? Answer.failed() : Answer.refused(0));
             notifyBalancer(
                     exchange, () -> balancer.clientGone(clock.nowUs(), exchange.request.id()));
@@ -365,7 +380,7 @@
         }
     }
 
-    /** What was begun is the final answer: no other attempt counts from now on. */
+    /** Makes a streamed response the final one; the results of other attempts no longer count. */
     private void onResponseStarted(
             Exchange exchange, Exchange.Attempt attempt, ResponseStream stream) {
         if (exchange.responseChosen) {
@@ -446,9 +461,9 @@
     }
 
     /**
-     * Tells the module of an event, after those before it. The module must not be called from
-     * within one of its actions, so what an action brings about at once waits here until the module
-     * has returned.
+     * Notifies the decision module of an event, after those before it. The module must not be
+     * called from within one of its own actions, so events that an action causes are queued until
+     * the module has returned.
      */
     private void notifyBalancer(Exchange exchange, Runnable notification) {
         pendingEvents.add(new Event(exchange, notification));
@@ -461,8 +476,8 @@
             try {
                 event.notification().run();
             } catch (RuntimeException | Error error) {
-                // Whatever it was, the events behind it are still to be told, and so are all later
-                // ones.
+                // An error must not prevent the queued events and all later ones from being
+                // processed.
                 log.bug("in the decision module", error);
                 if (event.exchange() != null && !event.exchange().responseChosen) {
                     sendResponse(event.exchange(), Answer.failed());
@@ -474,9 +489,9 @@
     }
 
     /**
-     * After a hold-up what discovery told meanwhile may stand unread behind what is decided now. It
-     * has been read once the loop has looked at all connections again: of two timers, one set by
-     * the other, the second fires after that.
+     * Reports a stall to the module: messages of discovery may have arrived meanwhile and may not
+     * have been read before the next decision. They have been read once the event loop has polled
+     * all connections again, which is certain after two timers, of which the first sets the second.
      */
     private void reportStall() {
         long nowUs = clock.nowUs();
@@ -502,7 +517,7 @@
         }
     }
 
-    // ---- what the module asks for
+    // ---- actions of the decision module
 
     @Override
     public void send(String id, String server, long timeoutUs) {
@@ -510,20 +525,15 @@
         Exchange exchange = exchanges.get(id);
         InetSocketAddress backend = backends.address(server);
         if (exchange == null || backend == null) {
-            log.line(
-                    "send of "
-                            + id
-                            + " to "
-                            + server
-                            + ": the request or the backend is not known");
+            log.line("send of " + id + " to " + server + ": unknown request or backend");
             return;
         }
         Exchange.Attempt attempt = new Exchange.Attempt(exchange.attempts.size(), server, nowUs);
         exchange.attempts.add(attempt);
         log.trace("attempt", id, server);
         RequestBody body = exchange.request.body();
-        // The time of one that is still coming runs once it has come; until then its progress is
-        // watched.
+        // The deadline of an upload starts when its body is complete; until then its progress is
+        // monitored.
         long timeLeftUs = exchange.uploading ? MAX_UPLOAD_US : exchange.deadlineUs - nowUs;
         long attemptTimeoutUs =
                 timeoutUs == 0 || exchange.uploading ? timeLeftUs : Math.min(timeoutUs, timeLeftUs);
@@ -568,8 +578,8 @@
                             }
 
                             @Override
-                            public void begun(ResponseStream answer) {
-                                onResponseStarted(exchange, attempt, answer);
+                            public void begun(ResponseStream stream) {
+                                onResponseStarted(exchange, attempt, stream);
                             }
 
                             @Override
@@ -580,16 +590,16 @@
     }
 
     /**
-     * Guards against a connection that comes up late: one to a backend that drains or has gone by
-     * then, or may have, is sent nothing.
+     * Guards against a connection that is established late: nothing is sent to a backend that
+     * drains or was removed meanwhile, or that may have been.
      */
     private boolean isUpAt(InetSocketAddress backend, String server) {
         return backends.isUpAt(backend, server) && balancer.mayReach(clock.nowUs(), server);
     }
 
     /**
-     * And so is a repeat by a key that its server would no longer drop: the module asked for it in
-     * time, but its connection may have come up after that.
+     * Guards against a repeat of a keyed request that its server would no longer recognize as a
+     * duplicate: the module asks for it in time, but the connection may be established after that.
      */
     private boolean mayStillRepeat(Exchange exchange) {
         RequestClass requestClass = classes.get(exchange.request.requestClass());
@@ -701,7 +711,7 @@
 
     // ---- requests
 
-    /** Gives the one final answer. */
+    /** Sends the final response. */
     private void sendResponse(Exchange exchange, Answer response) {
         markResponseChosen(exchange);
         complete(exchange, resultOf(response));
@@ -716,7 +726,7 @@
                         : ProxyMetrics.RequestResult.FAILED;
     }
 
-    /** The final answer is settled, though it may still be on its way. */
+    /** Marks the final response as chosen, though it may not be sent completely yet. */
     private static void markResponseChosen(Exchange exchange) {
         exchange.responseChosen = true;
         if (exchange.fallbackTimer != null) {
@@ -724,7 +734,7 @@
         }
     }
 
-    /** The one place where a request ends; with null where its client has left. */
+    /** Completes a request. Every request ends here; the result is null if the client has left. */
     private void complete(Exchange exchange, ProxyMetrics.RequestResult result) {
         exchange.completed = true;
         log.trace("ended", exchange.request.id(), result);
@@ -736,9 +746,7 @@
         unanswered--;
     }
 
-    /**
-     * A request is remembered until its last attempt has ended, as the module is told of that too.
-     */
+    /** Removes a request once its last attempt has ended, as the module is notified of that too. */
     private void removeIfCompleted(Exchange exchange) {
         if (exchange.completed
                 && exchange.attempts.stream().allMatch(attempt -> attempt.outcome != null)) {
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -28,33 +28,31 @@
 import passhatch.proxy.control.Control;
 import passhatch.proxy.flow.BufferBudget;
 
-/** One real proxy, from its start to its end. */
+/** A proxy process, from start to shutdown. */
 public final class ProxyServer {
 
     private static final long MAINTENANCE_INTERVAL_MS = 250;
 
-    /**
-     * A second answer to one request comes some milliseconds after the first, where there is one.
-     */
+    /** Some backends send a second response to one request, some milliseconds after the first. */
     private static final long CONNECTION_REST_US = 20_000;
 
     /**
-     * Where an older process serves, a new one takes its part of the new connections for this long
-     * before it says that it is ready: it is slow at first, and all of the traffic at once would
-     * pile up.
+     * While an older process serves, a new one accepts a part of the new connections for this long
+     * before it reports itself ready: it is slow at first, and the whole traffic at once would
+     * build a queue.
      */
     private static final long WARM_UP_MS = 2_000;
 
-    /** How often a process that is to end looks whether all is done. */
+    /** How often a process that shuts down checks whether all requests are completed. */
     private static final long COMPLETION_CHECK_INTERVAL_MS = 20;
 
-    /** The part of the configured memory that bodies on their way may take: most is the JVM's. */
+    /** Buffered bodies may use this fraction of the configured memory; the JVM needs most of it. */
     private static final long BUFFER_MEMORY_DIVISOR = 36;
 
-    /** The status of a process that ends as its loop has died. */
+    /** Exit status of a process whose event loop has died. */
     private static final int LOOP_DIED_EXIT_STATUS = 70;
 
-    /** Makes the decision module. */
+    /** Creates the decision module. */
     interface BalancerFactory {
         Balancer create(Settings settings, long seed, Actions actions);
     }
@@ -72,15 +70,15 @@
     private BufferBudget bufferBudget;
     private Control controlServer;
 
-    /** Null where the platform keeps no folder for this proxy's processes. */
+    /** Null if the platform provides no folder for the processes of this proxy. */
     private ProcessHandover handover;
 
-    /** Not where the traffic of an older process would come all at once. */
+    /** False while the whole traffic of an older process would arrive at once. */
     private boolean warmedUp;
 
     private InetSocketAddress address;
 
-    /** It could not listen, so there is nothing to end in an orderly way. */
+    /** The proxy could not listen, so there is nothing to shut down in an orderly way. */
     private volatile boolean listenFailed;
 
     private ProxyServer(ProxyConfig config, EventLog log) {
@@ -99,8 +97,8 @@
     }
 
     /**
-     * Runs a proxy until the process gets SIGTERM; returns only where it cannot start, with the
-     * status.
+     * Runs a proxy until the process receives SIGTERM. Returns only if the proxy cannot start, with
+     * the exit status.
      */
     public static int serve(Map<String, String> env, PrintStream err) throws InterruptedException {
         ProxyServer server;
@@ -110,9 +108,11 @@
             NettyLog.redirectTo(log);
             server = create(config, log, Logic::new);
             server.exitWhenLoopDies();
-            // A signal may come in the moment in which the first connection is accepted.
+            // A signal may arrive while the first connection is accepted, so the handlers are set
+            // before.
             if (!ReloadSignal.handle(() -> server.reload(env))) {
-                server.log.line("SIGHUP is ignored since the start: no new configuration is taken");
+                server.log.line(
+                        "SIGHUP is ignored since the start: the configuration cannot be reloaded");
             }
             Runtime.getRuntime().addShutdownHook(new Thread(server::shutDownAndExit));
             server.listen(config);
@@ -124,7 +124,9 @@
         return 0;
     }
 
-    /** A process whose loop has died would stay and serve nobody. */
+    /**
+     * Ends the process if its event loop dies, as it would otherwise stay without serving requests.
+     */
     private void exitWhenLoopDies() {
         Thread.UncaughtExceptionHandler exit =
                 (thread, error) -> {
@@ -135,8 +137,9 @@
     }
 
     /**
-     * The JVM ends as soon as its hooks have returned, with the status of the signal: so this one
-     * stays until all is answered, and then ends the process itself.
+     * Runs as the shutdown hook. The JVM exits with the signal's status as soon as its hooks have
+     * returned, so this hook waits until all requests have a response and then ends the process
+     * itself.
      */
     private void shutDownAndExit() {
         if (listenFailed) {
@@ -159,7 +162,9 @@
         return server;
     }
 
-    /** A proxy that asks discovery already, and can be told to end, but does not listen yet. */
+    /**
+     * Creates a proxy that already calls discovery and can be shut down, but does not listen yet.
+     */
     static ProxyServer create(ProxyConfig config, EventLog log, BalancerFactory balancerFactory)
             throws InterruptedException {
         ProxyServer server = new ProxyServer(config, log);
@@ -234,7 +239,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Each beat is timed from the one before, so that a hold-up shows once. */
+    /** Schedules each tick from the one before, so that a stall is counted once. */
     private void scheduleTick(Clock clock, StallDetector stallDetector) {
         loop.schedule(
                 () -> {
@@ -252,7 +257,10 @@
         frontend.share(newerProcessRuns());
     }
 
-    /** Whether this process is ready to serve; an older one may leave from its first yes on. */
+    /**
+     * Whether this process is ready to serve. An older process may shut down as soon as this
+     * returns true for the first time.
+     */
     private boolean ready() {
         boolean ready = frontend.ready() && warmedUp;
         if (ready && handover != null) {
@@ -270,8 +278,8 @@
     }
 
     /**
-     * The limit holds for all processes of this proxy together, and at a change of version there
-     * are two.
+     * The limit applies to all processes of this proxy together, and during a handover there are
+     * two.
      */
     private void updateDescriptorLimit() {
         descriptorLimits.setLimit(otherProcessRuns() ? maxDescriptors / 2 : maxDescriptors);
@@ -281,7 +289,9 @@
         return address;
     }
 
-    /** What is still held of requests and their connections; empty once nothing is out. */
+    /**
+     * Describes the requests, bytes and connections that are still held; empty if there are none.
+     */
     String unreleasedResources() throws InterruptedException {
         StringBuilder text = new StringBuilder();
         loop.submit(
@@ -307,21 +317,22 @@
         return text.toString();
     }
 
-    /** Whether it has begun to end, in order or not. */
+    /** Whether the event loop has begun to shut down, in an orderly way or not. */
     boolean isShuttingDown() {
         return loop.isShuttingDown();
     }
 
-    /** Where operators ask; null where they cannot. */
+    /** Returns the address for operators' commands, or null if there is none. */
     InetSocketAddress controlAddress() {
         return controlServer.address();
     }
 
     /**
-     * Ends in an orderly way, and everything taken is answered. Where a newer process is ready,
-     * this one takes what waits at its listener and sends each client away with its answer. Else,
-     * and also where a newer one has come and is not ready, connections are accepted for a little
-     * longer, and those open are served until shortly before SIGKILL may come.
+     * Shuts down in an orderly way: every accepted request gets its response. If a newer process is
+     * ready, this one accepts the connections that wait at its listener and closes each client
+     * connection with its response. Otherwise, also if a newer process exists but is not ready,
+     * connections are accepted for a little longer, and open ones are served until shortly before
+     * SIGKILL may come.
      */
     void shutDown() {
         loop.execute(
@@ -354,7 +365,8 @@
     }
 
     /**
-     * Ends when nothing is out any more; an answer that is long on its way may go on until SIGKILL.
+     * Terminates once all requests are completed; a response that takes long to send may continue
+     * until SIGKILL.
      */
     private void terminateOnceCompleted() {
         frontend.endIdle();
@@ -369,9 +381,9 @@
     }
 
     /**
-     * Reads the configuration again; of what stands there only the address of discovery may change.
-     * One at a time: each SIGHUP comes on a thread of its own, and one that has read the file
-     * before it changed must not have its say after one that read it later.
+     * Reads the configuration again; only the address of discovery may change. Synchronized because
+     * each SIGHUP is handled on a thread of its own, and one that has read the file before a change
+     * must not take effect after one that has read it later.
      */
     synchronized void reload(Map<String, String> env) {
         InetSocketAddress discoveryAddress;
@@ -385,17 +397,17 @@
         loop.execute(() -> proxyLoop.changeDiscoveryAddress(discoveryAddress));
     }
 
-    /** Waits until its loop has done all that it was given so far. */
+    /** Waits until the event loop has run all tasks submitted so far. */
     void awaitSubmittedTasks() throws InterruptedException {
         loop.submit(() -> {}).sync();
     }
 
-    /** Waits until it has shut down. */
+    /** Waits until the proxy has shut down. */
     boolean awaitTermination(long timeoutMs) throws InterruptedException {
         return terminated.await(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends at once, whatever is out. */
+    /** Terminates at once, without waiting for requests. */
     void stopNow() {
         if (!loop.isShuttingDown()) {
             loop.execute(this::terminate);
--- a/src/main/java/passhatch/proxy/Rehearsal.java
+++ b/src/main/java/passhatch/proxy/Rehearsal.java
@@ -21,9 +21,9 @@
 import passhatch.proxy.flow.RequestBody;
 
 /**
- * A proxy that serves a few requests of its own on loopback and ends. The build runs it so that the
- * JVM can archive the classes that serving takes: with half a core, most of a start is spent on
- * reading those.
+ * Runs a proxy that serves a few requests of its own on loopback and then ends. The build runs it
+ * so that the JVM can archive the classes needed for serving: with half a core, most of the
+ * start-up time is spent on loading those.
  */
 public final class Rehearsal {
 
@@ -33,14 +33,14 @@
     private Rehearsal() {}
 
     /**
-     * Plays it through; the build goes on without the archive, which only makes a start quicker, so
-     * it says 0.
+     * Runs the rehearsal. Always returns 0, as the build can continue without the archive, which
+     * only makes starts faster.
      */
     public static int runAndReport(PrintStream err) {
         try {
             run(err);
         } catch (Exception e) {
-            err.println("passhatch: the rehearsal failed, starts will be slower: " + e);
+            err.println("passhatch: rehearsal failed, starts will be slower: " + e);
         }
         return 0;
     }
@@ -82,7 +82,7 @@
         long timeoutNs = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
         while (!send(proxy.controlAddress(), "check\n").startsWith("done")) {
             if (System.nanoTime() > timeoutNs) {
-                throw new IOException("it did not get ready");
+                throw new IOException("the proxy did not become ready");
             }
             Thread.sleep(10);
         }
@@ -104,7 +104,7 @@
                 "200");
         expect(proxy, "GET /nowhere" + head + "d\r\n\r\n", "404");
         if (!send(proxy.controlAddress(), "vars\n").endsWith("end\n")) {
-            throw new IOException("no figures");
+            throw new IOException("no metrics");
         }
     }
 
@@ -113,7 +113,10 @@
         String response = send(proxy.address(), request);
         if (!response.startsWith("HTTP/1.1 " + status)) {
             throw new IOException(
-                    "not " + status + ": " + response.lines().findFirst().orElse("nothing"));
+                    "expected status "
+                            + status
+                            + ": "
+                            + response.lines().findFirst().orElse("no response"));
         }
     }
 
@@ -125,9 +128,9 @@
         }
     }
 
-    // ---- the other side
+    // ---- stand-ins for backend and discovery
 
-    /** Answers what it reads on one connection. */
+    /** Responds to the requests on one connection. */
     private interface Script {
         void respond(BufferedReader in, OutputStream out) throws IOException;
     }
@@ -164,15 +167,15 @@
                             try {
                                 body.call();
                             } catch (Exception failed) {
-                                // The rehearsal has ended and closed its sockets, or fails where it
-                                // asks.
+                                // The rehearsal has ended and closed its sockets, or it fails where
+                                // it waits for a response.
                             }
                         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Short answers to short requests, long ones to long ones. */
+    /** Sends short responses to short requests and long responses to long ones. */
     private static void respondAsBackend(BufferedReader in, OutputStream out) throws IOException {
         int length = readHead(in);
         while (length >= 0) {
@@ -227,7 +230,9 @@
         in.read();
     }
 
-    /** The length of the body that comes after a head; -1 where none came. */
+    /**
+     * Reads the head of a message and returns the length of its body; -1 if no head was received.
+     */
     private static int readHead(BufferedReader in) throws IOException {
         int length = -1;
         for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
--- a/src/main/java/passhatch/proxy/base/Addresses.java
+++ b/src/main/java/passhatch/proxy/base/Addresses.java
@@ -5,12 +5,12 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** Reads addresses. */
+/** Parses socket addresses. */
 public final class Addresses {
 
     private Addresses() {}
 
-    /** The address of a text like 10.0.0.4:5000; names are not looked up, as there is no DNS. */
+    /** Parses an address such as 10.0.0.4:5000. Names are not resolved, as there is no DNS. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip =
--- a/src/main/java/passhatch/proxy/base/DescriptorLimits.java
+++ b/src/main/java/passhatch/proxy/base/DescriptorLimits.java
@@ -1,19 +1,21 @@
 package passhatch.proxy.base;
 
 /**
- * How the descriptors of this process are shared out between clients and backends. Connections to
- * backends are only as many as requests that are out and some that idle; all others are the
- * clients', as thousands may come and only a part of them ever sends a request.
+ * Divides the file descriptors of this process between clients and backends. Backends need only as
+ * many connections as there are open requests, and some idle ones. All others are for clients, as
+ * thousands may connect and only a part of them ever sends a request.
  */
 public final class DescriptorLimits {
 
     /** For the JVM's own files, the selector, the listeners and discovery. */
     private static final int RESERVED_FOR_PROCESS = 24;
 
-    /** The part for connections to backends: requests take a third at most, and some idle. */
+    /**
+     * The fraction for connections to backends: requests take a third at most, and some are idle.
+     */
     private static final double BACKEND_FRACTION = 0.375;
 
-    /** Above this part of its connections a crowd is about. */
+    /** Above this fraction of the allowed connections, descriptors are scarce. */
     private static final double SCARCE_FRACTION = 0.75;
 
     private final int reserved;
@@ -22,15 +24,18 @@
     private int backends;
 
     /**
-     * None are held yet.
+     * Creates counters at 0.
      *
-     * @param maxControlConnections how many of operators' calls may be open at a time
+     * @param maxControlConnections maximum number of open control connections
      */
     public DescriptorLimits(int maxControlConnections) {
         this.reserved = RESERVED_FOR_PROCESS + maxControlConnections;
     }
 
-    /** How many this process may hold from now on; those beyond go as new ones come. */
+    /**
+     * Sets how many descriptors this process may hold; connections beyond it are closed as new ones
+     * arrive.
+     */
     public void setLimit(int newLimit) {
         limit = newLimit;
     }
@@ -51,17 +56,17 @@
         return backends;
     }
 
-    /** Whether one more connection to a backend needs another closed first. */
+    /** Whether another connection must be closed before a new one to a backend is opened. */
     public boolean backendsFull() {
         return backends >= (int) (limit * BACKEND_FRACTION);
     }
 
-    /** Whether more are held than may be. */
+    /** Whether more descriptors are held than allowed. */
     public boolean limitExceeded() {
         return clients + backends > limit - reserved;
     }
 
-    /** Whether room gets scarce, so that no connection should stay without need. */
+    /** Whether descriptors are scarce, so that no unneeded connection should stay open. */
     public boolean scarce() {
         return clients + backends > (limit - reserved) * SCARCE_FRACTION;
     }
--- a/src/main/java/passhatch/proxy/base/EventLog.java
+++ b/src/main/java/passhatch/proxy/base/EventLog.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 
 /**
- * The proxy's log: one line per abnormal event, and with {@code -Dpasshatch.trace=true} one per
- * step of each request.
+ * The log of the proxy: one line per abnormal event, and with {@code -Dpasshatch.trace=true} one
+ * line per step of each request.
  */
 public final class EventLog {
 
@@ -17,18 +17,22 @@
     }
 
     public void line(String text) {
-        // With its end in one piece: else the stream hands it to the system in two.
+        // Text and line end are written in one call: otherwise the stream passes them to the system
+        // as two.
         out.print(Instant.now() + " " + text + "\n");
     }
 
-    /** One step of a request: its take, its attempts, its end, the last byte of its answer. */
+    /**
+     * Logs one step of a request: its acceptance, its attempts, its end, the last byte of its
+     * response.
+     */
     public void trace(String step, String id, Object detail) {
         if (tracing) {
             line("trace " + step + " " + id + " " + detail);
         }
     }
 
-    /** An error in this program, with its trace: it is to be mended, not to be lived with. */
+    /** Logs a programming error with its stack trace. */
     public void bug(String text, Throwable cause) {
         out.println(Instant.now() + " BUG " + text);
         cause.printStackTrace(out);
--- a/src/main/java/passhatch/proxy/base/LingeringClose.java
+++ b/src/main/java/passhatch/proxy/base/LingeringClose.java
@@ -10,18 +10,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a connection so that what was written on it arrives. To close a socket in which bytes stand
- * unread resets the connection, and a reset may overtake the last answer (RFC 9112, 9.6). So the
- * sending is ended first, what still comes is read and dropped, and the socket is closed once the
- * peer has ended too, or after a bounded time. Nothing that comes meanwhile counts as read: its
- * sender sees that it was not taken.
+ * Closes a connection so that the data written to it arrives. Closing a socket that has unread data
+ * resets the connection, and a reset may overtake the last response (RFC 9112, 9.6). So the output
+ * is shut down first, further input is read and dropped, and the socket is closed once the peer has
+ * shut down its side too, or after a bounded time. Input that arrives meanwhile is not processed;
+ * its sender sees that it got no response.
  */
 public final class LingeringClose extends ChannelInboundHandlerAdapter {
 
-    /** A peer that is still there has seen the end by then, over any distance. */
+    /**
+     * A peer that is still connected has received the end of the output by then, over any distance.
+     */
     private static final long MAX_LINGER_MS = 500;
 
-    /** More than this is not read from a peer that goes on sending. */
+    /** No more than this is read from a peer that keeps sending. */
     private static final long MAX_DROPPED_BYTES = 1 << 20;
 
     private long droppedBytes;
@@ -29,8 +31,9 @@
     private LingeringClose() {}
 
     /**
-     * Begins to end a connection, at once where its peer has ended it already. All that is to
-     * arrive must have been written. Nothing that comes from now on gets to the other handlers.
+     * Begins to close a connection; closes it at once if the peer has already shut down its side.
+     * All output must have been written before. Input from now on does not reach the other
+     * handlers.
      */
     public static void begin(Channel channel) {
         if (!channel.isActive() || ((DuplexChannel) channel).isInputShutdown()) {
--- a/src/main/java/passhatch/proxy/base/LocalFailure.java
+++ b/src/main/java/passhatch/proxy/base/LocalFailure.java
@@ -4,14 +4,17 @@
 import java.net.NoRouteToHostException;
 import java.net.SocketException;
 
-/** Tells failures of this machine to open a connection from those of the other side. */
+/**
+ * Distinguishes failures to open a connection that are caused by this machine from those caused by
+ * the peer.
+ */
 public final class LocalFailure {
 
     private LocalFailure() {}
 
     /**
-     * Whether a connection failed for lack of descriptors, ports, buffers or a route here: the JDK
-     * has classes of their own for all that the other side brings about, but for a reset.
+     * Whether a connection failed for lack of local descriptors, ports, buffers or a route. For
+     * failures caused by the peer the JDK has classes of their own, except for a reset.
      */
     public static boolean isLocal(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
--- a/src/main/java/passhatch/proxy/base/NettyLog.java
+++ b/src/main/java/passhatch/proxy/base/NettyLog.java
@@ -7,15 +7,15 @@
 import java.util.logging.Logger;
 
 /**
- * Passes on what Netty logs, a line each. The JDK's own handler reads files when it writes its
- * first line, which fails where no descriptor is left, and the error would end the thread that
- * logs.
+ * Writes Netty's log messages to the proxy's log, one line each. The JDK's own handler reads files
+ * when it writes its first line, which fails if no descriptor is left, and the error would end the
+ * thread that logs.
  */
 public final class NettyLog extends Handler {
 
     private static final long LOG_INTERVAL_NS = TimeUnit.SECONDS.toNanos(1);
 
-    /** The JDK holds loggers weakly, and their handlers with them. */
+    /** A strong reference: the JDK holds loggers weakly, and their handlers with them. */
     private static final Logger NETTY = Logger.getLogger("io.netty");
 
     private final EventLog log;
@@ -25,7 +25,7 @@
         this.log = log;
     }
 
-    /** From now on warnings and errors of Netty go to this log, at most one a second. */
+    /** Sends Netty's warnings and errors to this log from now on, at most one per second. */
     public static void redirectTo(EventLog log) {
         NETTY.setUseParentHandlers(false);
         NETTY.addHandler(new NettyLog(log));
--- a/src/main/java/passhatch/proxy/base/ReloadSignal.java
+++ b/src/main/java/passhatch/proxy/base/ReloadSignal.java
@@ -3,19 +3,19 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP. Java offers no supported way to it, and without a handler the JVM ends at the signal. The
- * class sun.misc.Signal, of the module jdk.unsupported, is reached by reflection, as a plain use of
- * it is a warning that nothing silences.
+ * Handles SIGHUP. Java has no supported API for it, and without a handler the JVM ends at the
+ * signal. The class sun.misc.Signal of the module jdk.unsupported is accessed by reflection, as
+ * direct use causes a compiler warning that cannot be suppressed.
  */
 public final class ReloadSignal {
 
     private ReloadSignal() {}
 
     /**
-     * Has this run, on a thread of the JVM's, at every SIGHUP from now on.
+     * Runs an action at every SIGHUP from now on, on a thread of the JVM.
      *
-     * @return false where the process was started with SIGHUP ignored, as by nohup: the JVM leaves
-     *     it ignored, and this never runs
+     * @return false if the process was started with SIGHUP ignored, as by nohup: the JVM then
+     *     leaves it ignored, and the action never runs
      */
     public static boolean handle(Runnable action) {
         try {
@@ -38,7 +38,7 @@
                                     handlerInstance);
             return previousHandler != handlerClass.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("SIGHUP cannot be handled", e);
+            throw new IllegalStateException("cannot install a handler for SIGHUP", e);
         }
     }
 }
--- a/src/main/java/passhatch/proxy/base/StallDetector.java
+++ b/src/main/java/passhatch/proxy/base/StallDetector.java
@@ -1,25 +1,28 @@
 package passhatch.proxy.base;
 
 /**
- * How long the loop was held up: by itself, or as the machine gave this process no time. It learns
- * that from a beat that should come at a fixed distance. No clock of its own; times are
- * microseconds of one {@link Clock}.
+ * Measures how long the event loop was stalled, by its own work or because the process got no CPU
+ * time. It compares the times of a regular tick with its interval. It has no clock of its own; all
+ * times are microseconds of one {@link Clock}.
  */
 public final class StallDetector {
 
-    /** How often the loop beats. */
+    /** Interval between two ticks of the event loop. */
     public static final long TICK_INTERVAL_US = 10_000;
 
-    /** Lateness of a beat that says nothing: timers fire up to a millisecond or two late. */
+    /** Delay of a tick that is not a stall: timers fire up to one or two milliseconds late. */
     private static final long TICK_MARGIN_US = 2_000;
 
     /**
-     * A client takes an answer for half a second after its time before it counts the request as
-     * lost: a hold-up of less than that needs no care. A tenth is for what the answer takes beside.
+     * A client accepts a response up to half a second after its deadline, so shorter stalls need no
+     * allowance. A tenth of a second is kept for the response's own delay.
      */
     private static final long IGNORED_STALL_US = 400_000;
 
-    /** A hold-up is taken to come again for so long: what fills the machine lasts for seconds. */
+    /**
+     * How long another stall of the same length is expected: an overload of the machine lasts for
+     * seconds.
+     */
     private static final long STALL_MEMORY_US = 10_000_000;
 
     private long nextTickUs;
@@ -27,13 +30,13 @@
     private long maxStallUs;
     private long maxStallAtUs;
 
-    /** From now on a beat is due every {@link #TICK_INTERVAL_US}. */
+    /** Expects a tick every {@link #TICK_INTERVAL_US} from now on. */
     public StallDetector(long nowUs) {
         nextTickUs = nowUs + TICK_INTERVAL_US;
         maxStallAtUs = nowUs;
     }
 
-    /** The loop beats. */
+    /** Records a tick of the event loop. */
     public void tick(long nowUs) {
         stalledUs = tickDelayUs(nowUs);
         nextTickUs = nowUs + TICK_INTERVAL_US;
@@ -43,24 +46,25 @@
         }
     }
 
-    /** How late the next beat is already, where that is more than timers commonly are. */
+    /** Returns how late the next tick is by now, beyond the usual delay of timers. */
     private long tickDelayUs(long nowUs) {
         return Math.max(0, nowUs - nextTickUs - TICK_MARGIN_US);
     }
 
     /**
-     * How long a request read now may have stood unread: its client's time has run since it was
-     * sent, also while this process was held up and read nothing. The loop may beat before it reads
-     * what came meanwhile, so a beat's lateness counts until the next one.
+     * Returns how long a request that is read now may have been waiting unread. Its client's time
+     * runs from the moment it was sent, also while this process was stalled and read nothing. The
+     * tick may run before the loop reads what arrived meanwhile, so its delay counts until the next
+     * tick.
      */
     public long unreadUs(long nowUs) {
         return Math.max(stalledUs, tickDelayUs(nowUs));
     }
 
     /**
-     * How long before its time a request should be answered, so that one more hold-up as long as
-     * the longest of the last ten seconds does not make its client count it as lost; 0 where none
-     * was that long.
+     * Returns how long before its deadline a request should get its response, so that another stall
+     * as long as the longest of the last ten seconds does not make the client count it as lost; 0
+     * if no stall was that long.
      */
     public long responseMarginUs() {
         return Math.max(0, maxStallUs - IGNORED_STALL_US);
--- a/src/main/java/passhatch/proxy/base/package-info.java
+++ b/src/main/java/passhatch/proxy/base/package-info.java
@@ -1,2 +1,2 @@
-/** What all parts of the proxy stand on: clock, log, descriptors, addresses. */
+/** Common parts of the proxy: clock, log, file descriptors, addresses. */
 package passhatch.proxy.base;
--- a/src/main/java/passhatch/proxy/control/Control.java
+++ b/src/main/java/passhatch/proxy/control/Control.java
@@ -27,16 +27,19 @@
 import passhatch.proxy.base.EventLog;
 import passhatch.proxy.base.LingeringClose;
 
-/** The operators' side: one line to a connection, one answer, and the connection is closed. */
+/**
+ * The control server for operators: each connection carries one command line and one response and
+ * is then closed.
+ */
 public final class Control {
 
-    /** Callers at a time; for one more, the one that has been silent for longest is let go. */
+    /** Maximum number of open connections; for another one, the oldest is closed. */
     public static final int MAX_CONNECTIONS = 16;
 
     private static final int BACKLOG = 128;
     private static final int MAX_LINE_BYTES = 256;
 
-    /** A caller that has sent no whole line by then is let go. */
+    /** A connection that has sent no complete line by then is closed. */
     private static final long LINE_TIMEOUT_MS = 5_000;
 
     private final EventLoop loop;
@@ -48,20 +51,20 @@
     private Channel listener;
 
     /**
-     * Not listening yet.
+     * Creates a server that does not listen yet.
      *
      * @param ready whether this process is ready to serve
-     * @param metrics the figures as they are now, a line each
+     * @param metrics the current metrics, one per line
      */
     public Control(EventLoop loop, EventLog log, BooleanSupplier ready, Supplier<String> metrics) {
         this(loop, log, ready, metrics, command -> null);
     }
 
     /**
-     * The same for a process that answers further calls.
+     * Creates a server with further commands.
      *
-     * @param extraCommands the answer to a call that is neither {@code check} nor {@code vars}, or
-     *     null where it is none
+     * @param extraCommands returns the response to a command other than {@code check} and {@code
+     *     vars}, or null if it does not exist
      */
     public Control(
             EventLoop loop,
@@ -77,8 +80,8 @@
     }
 
     /**
-     * Starts to listen; a proxy that cannot be asked still serves, so the log says why and that is
-     * all.
+     * Starts to listen. A failure is only logged, as a proxy without a control address can still
+     * serve.
      */
     public void listen(InetSocketAddress address) throws InterruptedException {
         ChannelFuture bound =
@@ -113,7 +116,7 @@
         }
     }
 
-    /** Where it listens, or null. */
+    /** Returns the address it listens on, or null. */
     public InetSocketAddress address() {
         return listener == null ? null : (InetSocketAddress) listener.localAddress();
     }
@@ -128,7 +131,7 @@
         };
     }
 
-    /** One caller. */
+    /** One connection of an operator. */
     private final class ConnectionHandler extends SimpleChannelInboundHandler<String> {
         private boolean responded;
 
@@ -170,13 +173,16 @@
             }
         }
 
-        /** Whatever else the caller has sent, or still sends, does not keep the answer from it. */
+        /**
+         * Closes gently: input that is unread or still arrives must not keep the response from the
+         * peer.
+         */
         private void respondAndClose(ChannelHandlerContext ctx, String response) {
             responded = true;
             ctx.writeAndFlush(response).addListener(written -> LingeringClose.begin(ctx.channel()));
         }
 
-        /** A caller that ends its sending before it has asked will not ask. */
+        /** A peer that shuts down its output before it has sent a command will not send one. */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof ChannelInputShutdownEvent && !responded) {
--- a/src/main/java/passhatch/proxy/control/ProxyMetrics.java
+++ b/src/main/java/passhatch/proxy/control/ProxyMetrics.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * What this process has done since its start. All of it runs on the event loop, so plain fields do.
+ * Counters of this process since its start. They are used only on the event loop, so they need no
+ * synchronization.
  */
 public final class ProxyMetrics {
 
-    /** How a request that was taken has ended. */
+    /** The result of an accepted request. */
     public enum RequestResult {
         SERVED("success"),
         REFUSED("busy"),
@@ -26,7 +27,7 @@
     private final long[][] completed;
     private long backendRequests;
 
-    /** All counts at 0, for the classes of these names. */
+    /** Creates counters at 0 for the request classes with these names. */
     public ProxyMetrics(List<String> classes) {
         this.classes = classes;
         this.completed = new long[RequestResult.values().length][classes.size()];
@@ -36,12 +37,12 @@
         completed[result.ordinal()][requestClass]++;
     }
 
-    /** An attempt was written whole to a backend. */
+    /** Counts an attempt that was written completely to a backend. */
     public void countBackendRequest() {
         backendRequests++;
     }
 
-    /** The counts, and what else holds now, a line each. */
+    /** Returns the counters and the given current values, one per line. */
     public String text(int inFlight, int hostsListed, int hostsDown) {
         StringBuilder text = new StringBuilder();
         for (RequestResult result : RequestResult.values()) {
@@ -63,7 +64,7 @@
         text.append(PREFIX).append(name).append(' ').append(value).append('\n');
     }
 
-    /** As the text form of Prometheus wants the value of a label. */
+    /** Escapes the value of a label as the Prometheus text format requires. */
     private static String escaped(String label) {
         return label.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
     }
--- a/src/main/java/passhatch/proxy/control/package-info.java
+++ b/src/main/java/passhatch/proxy/control/package-info.java
@@ -1,2 +1,2 @@
-/** What operators ask, and the figures that they are told. */
+/** The control address for operators and the metrics it serves. */
 package passhatch.proxy.control;
--- a/src/main/java/passhatch/proxy/discovery/Backoff.java
+++ b/src/main/java/passhatch/proxy/discovery/Backoff.java
@@ -3,9 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The pauses before discovery is asked again. They double with each failure and are drawn, as the
- * watches of all proxies end together and must not all come back in the same moment; any success
- * takes them back.
+ * Exponential back-off with jitter for calls to discovery. The delay doubles with each failure and
+ * is random, as the watches of all proxies end together and must not all return at the same moment.
+ * A success resets it.
  */
 final class Backoff {
 
@@ -16,23 +16,25 @@
     private long meanDelayMs = INITIAL_DELAY_MS;
 
     /**
-     * As after a success.
+     * Starts with the initial delay.
      *
-     * @param maxDelayMs no pause is longer; one under 50 ms counts as 50 ms
+     * @param maxDelayMs maximum delay in milliseconds; less than 50 ms counts as 50 ms
      */
     Backoff(long maxDelayMs, long seed) {
         this.maxDelayMs = Math.max(INITIAL_DELAY_MS, maxDelayMs);
         this.random = new SplittableRandom(seed);
     }
 
-    /** The next pause, in milliseconds: half of its mean to one and a half. */
+    /**
+     * Returns the next delay in milliseconds, between half of the mean and one and a half times it.
+     */
     long nextDelayMs() {
         long delayMs = Math.min(maxDelayMs, (long) (meanDelayMs * (0.5 + random.nextDouble())));
         meanDelayMs = Math.min(maxDelayMs, meanDelayMs * 2);
         return delayMs;
     }
 
-    /** Discovery has answered. */
+    /** Resets the delay after a success. */
     void reset() {
         meanDelayMs = INITIAL_DELAY_MS;
     }
--- a/src/main/java/passhatch/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/passhatch/proxy/discovery/DiscoveryClient.java
@@ -28,8 +28,8 @@
 import passhatch.proxy.base.StallDetector;
 
 /**
- * The connections to discovery. It carries what {@link ListWatch} decides, and tells it what comes;
- * to be used on its event loop only.
+ * The connections to discovery. Carries out what {@link ListWatch} decides and passes it the events
+ * of the network. Used only on the event loop.
  */
 public final class DiscoveryClient implements ListWatch.Transport {
 
@@ -40,7 +40,9 @@
     private final ListWatch watch;
     private final Map<Long, Channel> channels = new HashMap<>();
 
-    /** A watch that has not begun; the seed is of the pauses between two calls. */
+    /**
+     * Creates a client that has not started its watch; the seed is for the back-off between calls.
+     */
     public DiscoveryClient(
             EventLoop loop,
             Clock clock,
@@ -56,17 +58,17 @@
         this.watch = new ListWatch(config, seed, this, listener, log::line);
     }
 
-    /** Goes on at another address; the watch at the old one is given up. */
+    /** Continues at another address and abandons the watch at the old one. */
     public void changeAddress(InetSocketAddress newAddress) {
         watch.changeAddress(clock.nowUs(), newAddress);
     }
 
-    /** Starts a watch unless one is out. */
+    /** Starts a watch unless a call is open. */
     public void startWatch() {
         watch.startWatch(clock.nowUs());
     }
 
-    /** Nothing is called any more. */
+    /** Closes the connections; no further call is made. */
     public void stop() {
         watch.stop();
     }
@@ -93,7 +95,7 @@
                                 });
         ChannelFuture connecting = bootstrap.connect(address);
         if (!(connecting.channel() instanceof SocketChannel)) {
-            // The system gave no socket: there is no channel whose close would end the call.
+            // No socket could be created: there is no channel whose close would end the call.
             loop.execute(
                     () -> {
                         watch.onFailed(call, "no socket: " + rootMessage(connecting.cause()));
@@ -152,7 +154,7 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    /** The answer to one call. */
+    /** Handles the response to one call. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         private final long call;
 
--- a/src/main/java/passhatch/proxy/discovery/EndpointList.java
+++ b/src/main/java/passhatch/proxy/discovery/EndpointList.java
@@ -10,16 +10,16 @@
 import passhatch.proxy.base.Clock;
 
 /**
- * One message of discovery.
+ * One message from discovery.
  *
- * @param index its version
- * @param whole true where it holds the whole list, false where it holds changes
+ * @param index the version of the list
+ * @param whole whether the message has the whole list; false if it has changes to it
  */
 public record EndpointList(long index, boolean whole, List<Endpoint> endpoints) {
 
     public static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
-    /** A backend and where this proxy reaches it. */
+    /** A backend and its address. */
     public record Endpoint(Server server, InetSocketAddress address) {}
 
     public List<Server> servers() {
@@ -27,17 +27,17 @@
     }
 
     /**
-     * Reads a message.
+     * Parses a message.
      *
-     * @throws IllegalArgumentException where any of it is malformed: half a list would pass off the
-     *     backends that it lacks as gone
+     * @throws IllegalArgumentException if any part of it is malformed: a truncated list would make
+     *     the missing backends look removed
      */
     public static EndpointList parse(
             Map<String, Object> json, List<String> zoneNames, List<String> modelNames) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (Object item : requireValue(json, "endpoints", List.class)) {
             if (!(item instanceof Map<?, ?> line)) {
-                throw new IllegalArgumentException("an endpoint is not an object");
+                throw new IllegalArgumentException("an endpoint is not a JSON object");
             }
             endpoints.add(parseEndpoint(line, zoneNames, modelNames));
         }
@@ -56,7 +56,7 @@
                     case "DELETED" -> ServerStatus.GONE;
                     default ->
                             throw new IllegalArgumentException(
-                                    "status '" + line.get("status") + "' is not known");
+                                    "status '" + line.get("status") + "' is unknown");
                 };
         Server server =
                 new Server(
--- a/src/main/java/passhatch/proxy/discovery/JsonObjectScanner.java
+++ b/src/main/java/passhatch/proxy/discovery/JsonObjectScanner.java
@@ -5,22 +5,24 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Finds the JSON objects in what discovery sends. Each may stand on one line or be indented over
- * many, so its end is where its braces close. Netty's own decoder of this kind gives up at the
- * first byte that is no JSON; here reading goes on with the next line, as the changes after a bad
- * one still count.
+ * Finds JSON objects in the stream from discovery. An object may be on one line or indented over
+ * several, so it ends where its braces close. Netty's decoder of this kind stops at the first byte
+ * that is not JSON; this one continues with the next line, as the changes after a malformed one are
+ * still valid.
  */
 final class JsonObjectScanner {
 
-    /** Hears what is found, in its order. */
+    /** Receives the objects and other events, in their order. */
     interface Listener {
-        /** A whole object, as its text; whether it is JSON inside is not checked. */
+        /**
+         * Receives the text of a complete object; whether its content is valid JSON is not checked.
+         */
         void onObject(String text);
 
-        /** A line with nothing on it, outside of any object. */
+        /** Called for an empty line outside of any object. */
         void onEmptyLine();
 
-        /** What came instead of an object was passed over, up to the end of its line. */
+        /** Called when input other than an object was skipped, up to the end of its line. */
         void onSkipped(String reason);
     }
 
@@ -31,28 +33,28 @@
     private boolean inString;
     private boolean escaped;
 
-    /** Something stands on this line that is no start of an object: it is passed over. */
+    /** This line has something other than the start of an object; the rest of it is skipped. */
     private boolean skippingLine;
 
-    /** Something has stood on this line. */
+    /** This line is not empty. */
     private boolean lineNotEmpty;
 
     /**
-     * Nothing read yet.
+     * Creates a scanner that has read nothing.
      *
-     * @param maxObjectBytes bytes of an object; a longer one is passed over
+     * @param maxObjectBytes maximum size of an object in bytes; a longer one is skipped
      */
     JsonObjectScanner(int maxObjectBytes, Listener listener) {
         this.maxObjectBytes = maxObjectBytes;
         this.listener = listener;
     }
 
-    /** Whether an object has begun and is not whole. */
+    /** Whether an object has started and is not complete. */
     boolean pending() {
         return depth > 0;
     }
 
-    /** Reads on. */
+    /** Processes further input. */
     void read(ByteBuf bytes) {
         while (bytes.isReadable()) {
             byte b = bytes.readByte();
@@ -78,14 +80,14 @@
         } else if (b != ' ' && b != '\t' && b != '\r') {
             lineNotEmpty = true;
             if (!skippingLine) {
-                skip(b, "no object starts there");
+                skip(b, "not the start of an object");
             }
         }
     }
 
     private void readInsideObject(byte b) {
         if (object.size() >= maxObjectBytes) {
-            skip(b, "it is longer than " + maxObjectBytes + " bytes");
+            skip(b, "an object of more than " + maxObjectBytes + " bytes");
             return;
         }
         object.write(b);
@@ -102,8 +104,8 @@
             depth--;
         }
         if (inString && b == '\n') {
-            // No text of JSON goes over the end of a line: what began there was cut off.
-            skip(b, "a text is cut off");
+            // A JSON string cannot contain a line end, so this object was truncated.
+            skip(b, "a string without an end");
         } else if (depth == 0) {
             String text = object.toString(StandardCharsets.UTF_8);
             object.reset();
--- a/src/main/java/passhatch/proxy/discovery/ListWatch.java
+++ b/src/main/java/passhatch/proxy/discovery/ListWatch.java
@@ -10,78 +10,86 @@
 import passhatch.Balancer.ListFreshness;
 
 /**
- * Decides when discovery is called, what its answers tell, and when a watch counts as broken. A
- * watch that ends is taken up again from the last version heard; where discovery will not do that,
- * the whole list is fetched first.
+ * The state machine of the discovery client: decides when to call discovery, interprets its
+ * responses and detects broken watches. A watch that ends is resumed from the last version
+ * received; if discovery rejects that, the whole list is fetched first.
  *
- * <p>A state machine without clock, socket or thread: events come in with their time, and what is
- * to be done goes to a {@link Transport}. All times are microseconds of one clock.
+ * <p>It has no clock, socket or thread: events come with their time, and its actions go to a {@link
+ * Transport}. All times are microseconds of one clock.
  */
 public final class ListWatch {
 
-    /** More bytes than this are no list of backends. */
+    /** Maximum size of a list in bytes. */
     private static final int MAX_LIST_BYTES = 1 << 22;
 
-    /** Where discovery is asked, a change may still be on its way this long after it was made. */
+    /**
+     * When discovery must be asked for changes, a change may arrive this long after it was made.
+     */
     private static final long MAX_CHANGE_DELAY_US =
             TimeUnit.MILLISECONDS.toMicros(WatchBudget.EMPTY_LINE_INTERVAL_MS);
 
-    /** A refusal that takes longer may be one of a discovery that is down. */
+    /** A rejection that takes longer may come from a discovery service that is down. */
     private static final long IMMEDIATE_REJECTION_US = TimeUnit.SECONDS.toMicros(1);
 
     private static final int OK = 200;
 
-    /** Below are refusals that say something of the call; above, of discovery's own state. */
+    /**
+     * Lower error statuses concern the call; this one and higher ones concern the state of
+     * discovery.
+     */
     private static final int FIRST_SERVER_ERROR = 500;
 
-    /** Does what is decided here. */
+    /** Carries out the actions of the state machine. */
     public interface Transport {
-        /** Opens a connection and asks for a path; the call's events name it by its number. */
+        /**
+         * Opens a connection and requests a path; events of this call are reported with its number.
+         */
         void startCall(long call, InetSocketAddress address, String path);
 
-        /** Closes the connection of a call; nothing more of it is to be told. */
+        /** Closes the connection of a call; no further event of it needs to be reported. */
         void closeCall(long call);
 
-        /** Asks for {@link ListWatch#onTimer} at this time or after it. */
+        /** Requests a call of {@link ListWatch#onTimer} at this time or later. */
         void wakeAt(long atUs);
     }
 
-    /** Hears what discovery says. */
+    /** Receives the events of discovery. */
     public interface Listener {
-        /** The list, or changes to it, of which there may be none. */
+        /** The list was received, or changes to it, of which there may be none. */
         void onList(EndpointList list, ListFreshness freshness);
 
-        /** A watch with nothing to tell has said so. */
+        /** The watch has confirmed that there are no changes. */
         void onUnchanged(ListFreshness freshness);
 
         /**
-         * Something was begun to be told that is not taken in; it may never be.
+         * A message has started that is not processed yet and may never be.
          *
-         * @param sinceUs when that was
+         * @param sinceUs when it started
          */
         void onPending(long sinceUs);
 
-        /** No watch is alive any more: changes may be missed. */
+        /** No watch is open any more: changes may be missed. */
         void onWatchLost();
 
-        /** A connection to it stands, whatever comes of it. */
+        /** A connection to discovery is established, whatever the result of the call. */
         void onReached();
 
-        /** It has turned a call away at once. */
+        /** Discovery has rejected a call at once. */
         void onRejected();
 
-        /** It is found at another address from now on. */
+        /** Discovery has another address from now on. */
         void onAddressChanged();
     }
 
     /**
-     * What there is to watch.
+     * The configuration of a watch.
      *
-     * @param initialList the list that is known already; empty where none is
-     * @param onRequest whether the module says when to ask again after a watch has ended
-     * @param zoneNames names of the zones, by position
-     * @param modelNames names of the machine kinds, by position
-     * @param drainGraceUs how long a server that drains may be sent something, in microseconds
+     * @param initialList the initial list; empty if there is none
+     * @param onRequest whether the decision module chooses when to call again after a watch has
+     *     ended
+     * @param zoneNames names of the zones, by index
+     * @param modelNames names of the machine types, by index
+     * @param drainGraceUs how long a draining server may be sent requests, in microseconds
      */
     public record WatchConfig(
             InetSocketAddress address,
@@ -100,7 +108,7 @@
     private final Backoff backoff;
     private final WatchBudget budget;
 
-    /** A call that has told nothing for so long is given up. */
+    /** A call without any message for this long is abandoned. */
     private long messageTimeoutMs;
 
     private long index;
@@ -111,19 +119,19 @@
     private long nextCallUs = NEVER;
     private long wakeAtUs = NEVER;
 
-    /** The time of the event that is being handled. */
+    /** The time of the event that is being processed. */
     private long nowUs;
 
-    /** The call that is out. */
+    /** The open call. */
     private Call current;
 
     /**
-     * A watch that was given up and stays open until a later call is answered: what discovery
-     * writes on it counts as told, and may be on its way.
+     * An abandoned watch that stays open until a later call gets a response: everything that
+     * discovery writes on it is deemed notified, and a message may still be on its way.
      */
     private Call previous;
 
-    /** A watch that has not begun; the seed is of the pauses between two calls. */
+    /** Creates a watch that has not started; the seed is for the back-off between calls. */
     public ListWatch(
             WatchConfig config,
             long seed,
@@ -139,19 +147,19 @@
         this.messageTimeoutMs = budget.initialMessageTimeoutMs();
         this.backoff = new Backoff(budget.maxBackoffMs(), seed);
         this.index = config.initialList().index();
-        // A list may well have the version 0: a watch from there is one call, a list and a watch
-        // are two.
+        // A known list may have version 0: a watch from there needs one call, a fetch and a watch
+        // two.
         this.fetchWhole = index == 0 && config.initialList().endpoints().isEmpty();
     }
 
-    /** How long a connection may take to come up, in milliseconds. */
+    /** Returns the connect timeout in milliseconds. */
     public long connectTimeoutMs() {
         return budget.connectTimeoutMs();
     }
 
     // ---- events
 
-    /** Goes on at another address; the watch at the old one is given up. */
+    /** Continues at another address and abandons the watch at the old one. */
     public void changeAddress(long nowUs, InetSocketAddress newAddress) {
         this.nowUs = nowUs;
         address = newAddress;
@@ -165,7 +173,10 @@
         }
     }
 
-    /** Starts a watch unless one is out; one that ends is taken up again unless the module asks. */
+    /**
+     * Starts a watch unless a call is open. A watch that ends is restarted, unless the module
+     * decides when to call.
+     */
     public void startWatch(long nowUs) {
         this.nowUs = nowUs;
         if (stopped || current != null) {
@@ -174,7 +185,7 @@
         nextCallUs = NEVER;
         Call call = new Call(++callCount, fetchWhole, nowUs);
         current = call;
-        log.accept("discovery: call from version " + index + " to " + address + " begins");
+        log.accept("discovery: call from version " + index + " to " + address + " started");
         transport.startCall(
                 call.number,
                 address,
@@ -182,21 +193,21 @@
         checkSilence();
     }
 
-    /** The connection of a call stands. */
+    /** The connection of a call is established. */
     public void onConnected(long call) {
         if (isCurrent(call)) {
             listener.onReached();
         }
     }
 
-    /** The connection of a call failed; its end follows. */
+    /** The connection of a call has failed; its close follows. */
     public void onFailed(long call, String reason) {
         if (isCurrent(call)) {
             current.endReason = reason;
         }
     }
 
-    /** The head of an answer has come. */
+    /** The head of a response was received. */
     public void onResponseHead(long nowUs, long call, int status) {
         this.nowUs = nowUs;
         if (!isCurrent(call)) {
@@ -204,7 +215,7 @@
         }
         current.accepted = status == OK;
         if (!current.accepted) {
-            // It may no longer know the version asked for.
+            // Discovery may no longer have the requested version.
             fetchWhole = status < FIRST_SERVER_ERROR;
             if (nowUs - current.startedUs < IMMEDIATE_REJECTION_US) {
                 listener.onRejected();
@@ -214,9 +225,9 @@
     }
 
     /**
-     * A part of an answer's body has come.
+     * A part of the body of a response was received.
      *
-     * @param arrivedUs since when it may have stood unread; not after now
+     * @param arrivedUs the earliest time at which it may have arrived; not after {@code nowUs}
      */
     public void onBody(long nowUs, long arrivedUs, long call, ByteBuf bytes) {
         this.nowUs = nowUs;
@@ -224,7 +235,7 @@
         if (resumed) {
             current = previous;
             previous = null;
-            log.accept("discovery: a watch that was silent speaks again");
+            log.accept("discovery: the abandoned watch has sent data again");
         }
         Call receiver = isPrevious(call) ? previous : current;
         if (receiver != null && receiver.number == call && receiver.accepted) {
@@ -235,14 +246,14 @@
         }
     }
 
-    /** An answer is whole. */
+    /** A response is complete. */
     public void onResponseEnd(long nowUs, long call) {
         this.nowUs = nowUs;
         if (isCurrent(call)) {
             if (current.scanner.pending()) {
-                current.onSkipped("it is cut off by the end of the answer");
+                current.onSkipped("it was truncated by the end of the response");
             } else {
-                abortCurrent("the answer ended");
+                abortCurrent("the response ended");
             }
         }
     }
@@ -257,7 +268,7 @@
         }
     }
 
-    /** Does what is due by now. */
+    /** Runs the actions that are due. */
     public void onTimer(long nowUs) {
         this.nowUs = nowUs;
         if (wakeAtUs <= nowUs) {
@@ -270,7 +281,7 @@
         }
     }
 
-    /** Nothing is called any more. */
+    /** Closes all connections; no further call is made. */
     public void stop() {
         stopped = true;
         if (current != null) {
@@ -280,7 +291,7 @@
         closePrevious();
     }
 
-    // ---- the call that is out
+    // ---- open calls
 
     private boolean isCurrent(long call) {
         return current != null && current.number == call;
@@ -290,7 +301,7 @@
         return previous != null && previous.number == call;
     }
 
-    /** Gives a call up; a watch is listened to until another call is answered. */
+    /** Abandons a call. A watch is still read until another call gets a response. */
     private void abandon(Call call) {
         if (call.accepted && !call.isFetch && !call.scanner.pending()) {
             closePrevious();
@@ -308,7 +319,10 @@
         }
     }
 
-    /** Bytes that tell nothing are no news, and neither is a list that has begun. */
+    /**
+     * Ends the call if it had no message for too long, and else schedules the next check. An
+     * incomplete message does not count.
+     */
     private void checkSilence() {
         long limitMs = current.messageReceived ? budget.silenceTimeoutMs() : messageTimeoutMs;
         long timeoutAtUs = current.lastMessageUs + millisToMicros(limitMs);
@@ -318,7 +332,7 @@
             current.onSkipped("it did not end");
         } else {
             Call silentCall = current;
-            silentCall.endReason = "nothing was told for " + limitMs + " ms";
+            silentCall.endReason = "no message for " + limitMs + " ms";
             finishCurrent();
             abandon(silentCall);
         }
@@ -355,18 +369,18 @@
                         + microsToMillis(nowUs - call.startedUs)
                         + " ms, "
                         + (call.messageReceived
-                                ? "last heard "
+                                ? "last message "
                                         + microsToMillis(nowUs - call.lastMessageUs)
                                         + " ms ago"
-                                : "with nothing heard")
+                                : "without a message")
                         + ": "
                         + call.endReason
-                        + (call.scanner.pending() ? ", within an object" : ""));
+                        + (call.scanner.pending() ? ", inside an object" : ""));
         if (!config.onRequest()) {
             nextCallUs = nowUs + millisToMicros(backoff.nextDelayMs());
             wakeAt(nextCallUs);
         }
-        // Where discovery has to be asked, the module hears of it and says when to ask again.
+        // When discovery must be asked, the module is notified and decides when to call again.
         listener.onWatchLost();
     }
 
@@ -378,7 +392,7 @@
         return TimeUnit.MICROSECONDS.toMillis(us);
     }
 
-    /** One answer of discovery: lists and changes as they come, or one whole list. */
+    /** One response of discovery: a stream of lists and changes, or a single whole list. */
     private final class Call implements JsonObjectScanner.Listener {
         private final long number;
         private final boolean isFetch;
@@ -409,7 +423,7 @@
             }
             scanner.read(bytes);
             if (this == current && (scanner.pending() || messageReceived)) {
-                // What is written from now on is written here as well.
+                // Whatever discovery writes from now on is written to this call as well.
                 closePrevious();
             }
             boolean open = this == current || this == previous;
@@ -434,15 +448,20 @@
                 return;
             }
             if (list.index() < index) {
-                // Versions only grow: what was said since would be undone, such as that a server
+                // Versions only grow: an older one would undo later changes, such as a server that
                 // drains.
                 skipOlder(list);
                 return;
             }
             if (!messageReceived && !list.whole() && fromVersion < index) {
-                // What changed back since then is not among the changes after the older version.
+                // The message lacks what changed back between the requested version and the known
+                // one.
                 onSkipped(
-                        "it is told from version " + fromVersion + ", and " + index + " is known");
+                        "its changes are from version "
+                                + fromVersion
+                                + ", and "
+                                + index
+                                + " is known");
                 return;
             }
             ListFreshness freshness = freshness(objectStartedUs);
@@ -456,13 +475,16 @@
             listener.onList(list, freshness);
         }
 
-        /** Said once a call: a release brings several versions a second. */
+        /**
+         * Records a message. Only the first of a call is logged: a rollout sends several versions
+         * per second.
+         */
         private void recordMessage(String content) {
             if (!messageReceived) {
                 log.accept(
                         "discovery: "
                                 + content
-                                + " heard after "
+                                + " received after "
                                 + microsToMillis(nowUs - startedUs)
                                 + " ms");
             }
@@ -471,7 +493,7 @@
             messageTimeoutMs = budget.initialMessageTimeoutMs();
         }
 
-        /** A watch with nothing to tell says so by an empty line. */
+        /** A watch without changes confirms that by an empty line. */
         @Override
         public void onEmptyLine() {
             if (this != current) {
@@ -479,7 +501,7 @@
             }
             backoff.reset();
             boolean first = !messageReceived;
-            // The first may come while the call waits its turn.
+            // The first empty line may be sent while the call is still queued.
             ListFreshness freshness = freshness(first ? startedUs : arrivedUs);
             recordMessage("no change since version " + index);
             if (!first) {
@@ -489,7 +511,10 @@
             }
         }
 
-        /** An answer has all that discovery had when it was begun; a watch may tell later. */
+        /**
+         * A response includes all that discovery had when the response began; on a watch, changes
+         * may follow later.
+         */
         private ListFreshness freshness(long sentUs) {
             long asOfUs =
                     messageReceived && config.onRequest() ? sentUs - MAX_CHANGE_DELAY_US : sentUs;
@@ -502,15 +527,13 @@
 
         private void skipOlder(EndpointList list) {
             if (!list.whole()) {
-                // What it says of other servers is nowhere else.
+                // What it says about other servers is in no other message.
                 fetchWhole = true;
             }
             onSkipped("its version " + list.index() + " is older than " + index);
         }
 
-        /**
-         * What was told and cannot be read is asked for again: nothing after it makes up for it.
-         */
+        /** A message that cannot be read is requested again, as later messages do not repeat it. */
         @Override
         public void onSkipped(String reason) {
             if (this == current || this == previous) {
--- a/src/main/java/passhatch/proxy/discovery/WatchBudget.java
+++ b/src/main/java/passhatch/proxy/discovery/WatchBudget.java
@@ -4,16 +4,17 @@
 import passhatch.ListLease;
 
 /**
- * How the time is spent in which news of discovery has to be here, in milliseconds. Where a step
- * takes longer, the lease on the list runs out before a request can go to a server past its grace.
+ * Time limits for the calls to discovery, in milliseconds. Together they bound the delay of a
+ * change; if a step takes longer, the lease on the list expires before a request can be sent to a
+ * server past its drain grace.
  *
- * @param silenceTimeoutMs a watch that has told nothing for so long is taken for broken
- * @param initialMessageTimeoutMs a call that has told nothing by then is given up; doubled by each
- *     such call where discovery has to be asked
- * @param maxMessageTimeoutMs the longest time for an answer
- * @param connectTimeoutMs a connection that is not up by then never will be
- * @param maxBackoffMs between two calls after failures, where changes are pushed; else the module
- *     says when to call
+ * @param silenceTimeoutMs a watch without any message for this long is considered broken
+ * @param initialMessageTimeoutMs a call without any message for this long is abandoned; doubled by
+ *     each such call if discovery must be asked
+ * @param maxMessageTimeoutMs the upper limit of that doubling
+ * @param connectTimeoutMs timeout for a connection
+ * @param maxBackoffMs maximum delay between two calls after failures, if changes are pushed;
+ *     otherwise the decision module chooses when to call
  */
 record WatchBudget(
         long silenceTimeoutMs,
@@ -22,13 +23,15 @@
         long connectTimeoutMs,
         long maxBackoffMs) {
 
-    /** A watch with nothing to tell says so by an empty line this often. */
+    /** A watch without changes sends an empty line at this interval. */
     static final long EMPTY_LINE_INTERVAL_MS = 2_000;
 
-    /** So much later an empty line may come. */
+    /** Allowed delay of an empty line. */
     private static final long EMPTY_LINE_MARGIN_MS = 1_000;
 
-    /** A call may wait its turn, and asking again sooner would only make the queue longer. */
+    /**
+     * A call may be queued at discovery, and a repeat before this would only make the queue longer.
+     */
     private static final long INITIAL_MESSAGE_TIMEOUT_MS = 3_500;
 
     private static final long MAX_DOUBLINGS = 3;
@@ -36,19 +39,19 @@
     private static final long MAX_CONNECT_TIMEOUT_MS = 300;
 
     /**
-     * Where changes are pushed, all that has gathered in an outage counts as told at its end. The
-     * grace, less a hold-up, is shared by a pause, a connection that was tried before the end,
-     * another pause, and the answer.
+     * If changes are pushed, all changes made during an outage are deemed notified at its end. The
+     * drain grace, less one stall, is divided into a delay, a connection attempt that began before
+     * the end, another delay, and the response.
      */
     private static final long PUSHED_STEPS = 4;
 
     private static final long MIN_PUSHED_STEP_MS = 50;
 
     /**
-     * The budget of one proxy.
+     * Returns the limits of one proxy.
      *
-     * @param onRequest whether discovery has to be asked for changes, or they are pushed
-     * @param graceUs how long a server that drains may be sent requests, in microseconds
+     * @param onRequest whether discovery must be asked for changes; false if it pushes them
+     * @param graceUs how long a draining server may be sent requests, in microseconds
      */
     static WatchBudget of(boolean onRequest, long graceUs) {
         long stepMs =
--- a/src/main/java/passhatch/proxy/discovery/package-info.java
+++ b/src/main/java/passhatch/proxy/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** The list of backends and the watch on it. */
+/** The list of backends and the watch that keeps it current. */
 package passhatch.proxy.discovery;
--- a/src/main/java/passhatch/proxy/flow/BufferBudget.java
+++ b/src/main/java/passhatch/proxy/flow/BufferBudget.java
@@ -1,8 +1,7 @@
 package passhatch.proxy.flow;
 
 /**
- * The bytes of bodies that this process holds on their way, over all connections, and how many it
- * may.
+ * Counts the bytes of bodies that this process has buffered over all connections, and their limit.
  */
 public final class BufferBudget {
 
@@ -13,7 +12,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Counts bytes that are held from now on, or with a negative figure no more. */
+    /** Counts further buffered bytes; a negative number removes them. */
     public void add(long bytes) {
         bufferedBytes += bytes;
     }
@@ -22,12 +21,12 @@
         bufferedBytes -= bytes;
     }
 
-    /** Whether nothing more should be read that something held stands before. */
+    /** Whether too much is buffered, so that a source with buffered bytes should not be read. */
     public boolean exceeded() {
         return bufferedBytes > maxBytes;
     }
 
-    /** How many are held now. */
+    /** Returns the number of buffered bytes. */
     public long bufferedBytes() {
         return bufferedBytes;
     }
--- a/src/main/java/passhatch/proxy/flow/BufferedBytes.java
+++ b/src/main/java/passhatch/proxy/flow/BufferedBytes.java
@@ -4,9 +4,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/**
- * The start of a body, or all of a short one, that is held back for a while within the byte budget.
- */
+/** The start of a body, or the whole of a short one, buffered and counted in the buffer budget. */
 public final class BufferedBytes {
 
     private final BufferBudget budget;
@@ -16,7 +14,7 @@
         this.budget = budget;
     }
 
-    /** Copies what the buffer holds; it stays the caller's. */
+    /** Copies the readable bytes; the caller keeps the ownership of the buffer. */
     public void add(ByteBuf buffer) {
         budget.add(buffer.readableBytes());
         try {
@@ -34,7 +32,7 @@
         return bytes.toByteArray();
     }
 
-    /** Hands all of it over. */
+    /** Returns all bytes and empties the buffer. */
     public byte[] take() {
         byte[] all = copy();
         drop();
--- a/src/main/java/passhatch/proxy/flow/Relay.java
+++ b/src/main/java/passhatch/proxy/flow/Relay.java
@@ -12,34 +12,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Passes a body on to a channel as it comes. Its source waits while the channel is full, or while
- * bytes stand before that channel and too many are held over all connections. A relay with nothing
- * on its way never waits for others, so one that is slow cannot stop the rest.
+ * Forwards a body to a channel as it arrives. Its source is paused while the channel is full, or
+ * while it has bytes waiting for the channel and too many are buffered over all connections. A
+ * relay without waiting bytes is never paused for others, so a slow one cannot stop the rest.
  */
 public final class Relay {
 
-    /** When a connection counts as full, and as free again. */
+    /** Limits above which a connection is full, and below which it can be written again. */
     public static final WriteBufferWaterMark WATER_MARK =
             new WriteBufferWaterMark(1 << 14, 1 << 16);
 
-    /** What is read at a time, as all of it is held until it has gone on. */
+    /** Limits the size of a read, as all that was read is buffered until it has been written. */
     public static final RecvByteBufAllocator READ_SIZES =
             new AdaptiveRecvByteBufAllocator(512, 2048, 1 << 14);
 
-    /** Peers take seconds to read or write; one that does nothing for this long has gone. */
+    /** Peers may take seconds to read or write; one without any progress for this long is gone. */
     private static final long PROGRESS_TIMEOUT_MS = 30_000;
 
-    /** Where the bytes come from. */
+    /** The source of the bytes. */
     public interface Source {
         void setReading(boolean reading);
     }
 
-    /** Hears how the passing on ended, once; not after {@link #stop}. */
+    /** Receives the end of the transfer, once; not after {@link #stop}. */
     public interface Listener {
-        /** All of it has gone out. */
+        /** All bytes have been written. */
         void completed();
 
-        /** The channel broke, or nothing has moved for long. */
+        /** The channel failed, or there was no progress for too long. */
         void failed();
     }
 
@@ -78,7 +78,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** Passes bytes on; the buffer is the relay's from now on. */
+    /** Forwards bytes and takes over the ownership of the buffer. */
     public void forward(ByteBuf bytes) {
         if (ended || !bytes.isReadable()) {
             bytes.release();
@@ -105,7 +105,7 @@
         }
     }
 
-    /** The source has given all. */
+    /** The source has delivered all bytes. */
     public void finish() {
         if (ended) {
             return;
@@ -115,7 +115,7 @@
                 .addListener(written -> end(written.isSuccess()));
     }
 
-    /** Nothing more is passed on, and nothing more is heard. */
+    /** Stops the transfer without notifying the listener. */
     public void stop() {
         ended = true;
         source = null;
--- a/src/main/java/passhatch/proxy/flow/RequestBody.java
+++ b/src/main/java/passhatch/proxy/flow/RequestBody.java
@@ -6,16 +6,16 @@
 import io.netty.channel.EventLoop;
 
 /**
- * The body of a request, from its client's connection to a backend's. A short one is kept, so it
- * may be sent more than once. A long one goes to one backend as it comes, and what has gone cannot
- * be sent again.
+ * The body of a request on its way from a client to a backend. A short one is buffered, so it can
+ * be sent more than once. A long one is streamed to one backend, and the part that has been sent
+ * cannot be sent again.
  */
 public final class RequestBody {
 
-    /** A body of up to this size is kept. */
+    /** A body of up to this size in bytes is buffered. */
     public static final int MAX_REPLAYABLE_BYTES = 1 << 16;
 
-    /** There is none longer than this, in answers neither. */
+    /** Maximum size of a body in bytes, of a response too. */
     public static final int MAX_BYTES = 1 << 25;
 
     private final EventLoop loop;
@@ -26,15 +26,15 @@
     private long size;
     private boolean ended;
 
-    /** Its bytes have begun to go to a backend, or nobody wants them any more. */
+    /** The body has begun to be sent to a backend, or is no longer needed. */
     private boolean consumed;
 
     private Relay relay;
 
     /**
-     * A body of which nothing has come yet.
+     * Creates an empty body.
      *
-     * @param declaredLength its length as its head says, or -1
+     * @param declaredLength its length in bytes according to its head, or -1
      * @param source the client's connection
      */
     public RequestBody(
@@ -46,12 +46,12 @@
         this.source = source;
     }
 
-    /** The length that its head declares, or -1 where it tells none. */
+    /** Returns the length in bytes that the head declares, or -1 if it declares none. */
     public long declaredLength() {
         return declaredLength;
     }
 
-    /** How much has come so far. */
+    /** Returns the number of bytes received so far. */
     public long size() {
         return size;
     }
@@ -60,22 +60,22 @@
         return ended;
     }
 
-    /** Whether it is too long to be kept, as far as it has come. */
+    /** Whether more bytes were received than can be buffered. */
     public boolean isLong() {
         return size > MAX_REPLAYABLE_BYTES;
     }
 
-    /** Whether a backend may still be sent all of it. */
+    /** Whether the whole body can still be sent to a backend. */
     public boolean canBeSent() {
         return !consumed;
     }
 
-    /** All of a short body, once it has ended. */
+    /** Returns the whole of a short body, once it is complete. */
     public byte[] replayableBytes() {
         return buffered.copy();
     }
 
-    /** Bytes that came from the client; they stay the caller's. */
+    /** Adds bytes from the client; the caller keeps the ownership of the buffer. */
     public void add(ByteBuf bytes) {
         size += bytes.readableBytes();
         if (relay != null) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** The client has sent all of it. */
+    /** The client has sent the whole body. */
     public void end() {
         ended = true;
         if (relay != null) {
@@ -96,7 +96,9 @@
         }
     }
 
-    /** Sends a long body to a backend from its first byte on, after the head. */
+    /**
+     * Streams a long body to a backend from its first byte; the head must have been written before.
+     */
     public void sendTo(Channel backend, Relay.Listener listener) {
         consumed = true;
         relay = new Relay(loop, budget, source, backend, listener);
@@ -106,7 +108,7 @@
         }
     }
 
-    /** The backend that it went to takes no more of it. */
+    /** Stops sending to the backend; further bytes are read and dropped. */
     public void stopSending() {
         if (relay != null) {
             relay.stop();
@@ -115,7 +117,7 @@
         }
     }
 
-    /** Nobody wants it any more; what still comes is dropped. */
+    /** Drops the body, as it is no longer needed; what still arrives is dropped too. */
     public void drop() {
         consumed = true;
         stopSending();
--- a/src/main/java/passhatch/proxy/flow/ResponseStream.java
+++ b/src/main/java/passhatch/proxy/flow/ResponseStream.java
@@ -3,13 +3,14 @@
 import io.netty.channel.Channel;
 
 /**
- * A 200 answer that goes on as it comes, as it is too long to be held. Nothing is read from it yet.
+ * A 200 response that is forwarded as it arrives, as it is too long to be buffered. Nothing is read
+ * from it before {@link #sendTo}.
  */
 public interface ResponseStream {
 
-    /** Its length, or -1 where its end will show. */
+    /** Returns its length in bytes, or -1 if only its end shows the length. */
     long length();
 
-    /** Passes it on to a client, after the head. */
+    /** Forwards the body to a client; the head must have been written before. */
     void sendTo(Channel client, Relay.Listener listener);
 }
--- a/src/main/java/passhatch/proxy/flow/package-info.java
+++ b/src/main/java/passhatch/proxy/flow/package-info.java
@@ -1,2 +1,2 @@
-/** Bodies on their way from one connection to another, within one budget of bytes. */
+/** Forwards bodies from one connection to another within a shared limit of buffered bytes. */
 package passhatch.proxy.flow;
--- a/src/main/java/passhatch/proxy/package-info.java
+++ b/src/main/java/passhatch/proxy/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The real proxy: the decision module on sockets. One event-loop thread owns everything in here.
+ * The proxy: runs the decision module on real sockets. A single event-loop thread owns all state.
  */
 package passhatch.proxy;
--- a/src/test/java/passhatch/proxy/ConfigurationErrorTest.java
+++ b/src/test/java/passhatch/proxy/ConfigurationErrorTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A configuration that cannot be read ends the process with one line. */
+/** An invalid configuration ends the process with a single line. */
 @Timeout(60)
 final class ConfigurationErrorTest {
 
--- a/src/test/java/passhatch/proxy/ControlTest.java
+++ b/src/test/java/passhatch/proxy/ControlTest.java
@@ -21,7 +21,7 @@
 import passhatch.proxy.base.EventLog;
 import passhatch.proxy.control.Control;
 
-/** What operators ask at the second address, and what they are told. */
+/** The commands on the control address and their responses. */
 @Timeout(60)
 final class ControlTest {
 
@@ -85,7 +85,10 @@
         assertEquals("done\n", rig.sendCommand("check\n"));
     }
 
-    /** They hold descriptors, so only so many may stay; one that asks is answered beside them. */
+    /**
+     * Silent connections hold descriptors, so their number is limited; other commands still get a
+     * response.
+     */
     @Test
     void silentConnectionsDoNotBlockOthers() throws Exception {
         rig.start();
@@ -95,7 +98,7 @@
         }
         assertEquals("done\n", rig.sendCommand("check\n"));
         for (HttpConnection caller : silent.subList(0, 4 * Control.MAX_CONNECTIONS)) {
-            assertEquals("", caller.readAll(), "not let go");
+            assertEquals("", caller.readAll(), "the connection was not closed");
         }
     }
 
@@ -117,7 +120,10 @@
         }
     }
 
-    /** One request served at its second attempt, one refused, one failed, one whose client left. */
+    /**
+     * One request is served at its second attempt, one refused, one failed, and one abandoned by
+     * its client.
+     */
     @Test
     void countsEachRequestOnceByItsResultAndEachAttempt() throws Exception {
         ScriptedServer backend =
@@ -172,7 +178,8 @@
     }
 
     /**
-     * One that may ask at an address where a socket of its own stays open is never kept waiting.
+     * A caller whose socket stays open, with input after its command, still gets its response at
+     * once.
      */
     @Test
     void respondsAndClosesThoughTheCallerKeepsItsSocketOpen() throws Exception {
--- a/src/test/java/passhatch/proxy/DeadlineTest.java
+++ b/src/test/java/passhatch/proxy/DeadlineTest.java
@@ -21,7 +21,7 @@
 import passhatch.Balancer;
 import passhatch.proxy.HttpConnection.Message;
 
-/** Each request is answered before its deadline, which runs on during hold-ups. */
+/** Each request gets its response before its deadline, which includes the time of stalls. */
 @Timeout(60)
 final class DeadlineTest {
 
@@ -61,7 +61,10 @@
                 "an unsafe request that may have run is failed, not refused");
         backend.awaitConnectionEnd();
         client.write(Rig.get("next", ""));
-        assertEquals("quick", client.read().text(), "nothing more was written for the first");
+        assertEquals(
+                "quick",
+                client.read().text(),
+                "a second response was written for the first request");
     }
 
     @Test
@@ -85,8 +88,8 @@
     }
 
     /**
-     * After a hold-up of 0.9 s one more would make an answer too late by more than its client
-     * bears.
+     * After a stall of 0.9 s, another one of the same length would delay a response by more than
+     * its client accepts.
      */
     @Test
     void requestsAfterALongStallAreDueSooner() throws Exception {
@@ -108,18 +111,17 @@
         String deadlineHeader = "X-Deadline: 4000m\r\n";
         rig.send(Rig.get("before", deadlineHeader));
         rig.send(Rig.get("held", deadlineHeader));
-        // Until some beats have passed the request may have stood unread for as long: another
-        // matter.
+        // Until some ticks have passed, the request may have been unread for as long, which is
+        // tested elsewhere.
         Thread.sleep(200);
         rig.send(Rig.get("after", deadlineHeader));
-        assertTrue(left.take() > 3_800_000, "no hold-up was seen yet");
+        assertTrue(left.take() > 3_800_000, "a stall was measured before there was one");
         left.take();
         long leftAfterUs = left.take();
-        assertTrue(
-                leftAfterUs < 3_600_000 && leftAfterUs > 2_500_000, leftAfterUs + " us are left");
+        assertTrue(leftAfterUs < 3_600_000 && leftAfterUs > 2_500_000, leftAfterUs + " us left");
     }
 
-    /** What is kept back for the answer's way must not be a third of a short time. */
+    /** The time kept back for the response must not be a third of a short deadline. */
     @ParameterizedTest
     @CsvSource({"8, 6000", "60, 50000", "400, 370000"})
     void keepsBackOnlyASmallPartOfAShortDeadline(int deadlineMs, long minLeftUs) throws Exception {
@@ -135,16 +137,16 @@
                                             }
                                         }))
                 .start();
-        // A hold-up of this test's own machine takes of one request's time, and not of each.
+        // A stall of the test machine shortens the time of one request, not of each.
         long maxLeftUs = 0;
         for (int i = 0; i < 50 && maxLeftUs < minLeftUs; i++) {
             rig.send(Rig.get("r" + i, "X-Deadline: " + deadlineMs + "m\r\n"));
             maxLeftUs = Math.max(maxLeftUs, left.take());
         }
-        assertTrue(maxLeftUs >= minLeftUs, maxLeftUs + " us are left of " + deadlineMs + " ms");
+        assertTrue(maxLeftUs >= minLeftUs, maxLeftUs + " us left of " + deadlineMs + " ms");
     }
 
-    /** A request's time runs on while the loop is held up and reads nothing. */
+    /** The time of a request includes a stall during which the event loop reads nothing. */
     @Test
     void theTimeThatARequestWasUnreadIsSubtracted() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
--- a/src/test/java/passhatch/proxy/DiscoveryWatchTest.java
+++ b/src/test/java/passhatch/proxy/DiscoveryWatchTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import passhatch.proxy.base.EventLog;
 
-/** The watch on discovery: readiness, lists, changes, and what is done where it breaks. */
+/** The watch on discovery: readiness, lists, changes, and recovery after failures. */
 @Timeout(60)
 final class DiscoveryWatchTest {
 
@@ -74,7 +74,7 @@
         try (HttpConnection client = HttpConnection.connect(proxy.address())) {
             client.write(Rig.get("r", "X-Deadline: 200m\r\n"));
             assertEquals(503, client.read().status());
-            assertTrue(backend.received.isEmpty(), "sent by a list of unknown age");
+            assertTrue(backend.received.isEmpty(), "sent with a list of unknown age");
         } finally {
             proxy.stopNow();
         }
@@ -87,10 +87,7 @@
                 passhatch.Logic::new);
     }
 
-    /**
-     * Where nothing has changed since the list that is remembered, a watch begins with an empty
-     * line.
-     */
+    /** If nothing has changed since the initial list, a watch begins with an empty line. */
     @Test
     void isReadyIfNothingHasChanged() throws Exception {
         rig.lines.add("");
@@ -107,7 +104,8 @@
     }
 
     /**
-     * The old watch stays open and says nothing more: what drains meanwhile is heard on another.
+     * The old watch stays open without further messages: a server that drains meanwhile is reported
+     * on another.
      */
     @Test
     void aStalledWatchIsAbandonedAndTheLastListIsUsedMeanwhile() throws Exception {
@@ -122,11 +120,11 @@
             assertEquals("x", rig.send(Rig.get("r" + System.nanoTime(), "")).text());
             Thread.sleep(20);
         }
-        assertTrue(System.nanoTime() - start < 5_000_000_000L, "too late to hear in time");
+        assertTrue(System.nanoTime() - start < 5_000_000_000L, "the next watch started too late");
         assertTrue(rig.discovery().nextRequest().startLine().contains("watch=1&from=8"));
         String text = "x";
         for (int i = 0; !text.equals("next"); i++) {
-            // The stalled watch may still take one of them.
+            // The stalled watch may still receive one of them.
             rig.lines.add(
                     Rig.list(
                             9,
@@ -140,7 +138,7 @@
         for (int i = 0; i < 5; i++) {
             assertEquals("next", rig.send(Rig.get("t" + i, "")).text());
         }
-        assertEquals(served, backend.received.size(), "sent to a backend that drains");
+        assertEquals(served, backend.received.size(), "sent to a draining backend");
     }
 
     @Test
@@ -154,8 +152,8 @@
         rig.lines.add(Rig.END_OF_WATCH);
         assertTrue(
                 rig.discovery().nextRequest().startLine().contains("from=8"),
-                "bad lines do not count as heard");
-        assertEquals("s", rig.send(Rig.get("a", "")).text(), "the last list stays");
+                "a malformed line changed the version");
+        assertEquals("s", rig.send(Rig.get("a", "")).text(), "the last list was lost");
         ScriptedServer other =
                 rig.backend((connection, request) -> connection.respond("200 OK", "t"));
         rig.lines.add(
@@ -165,7 +163,7 @@
         assertEquals("t", rig.send(Rig.get("b", "")).text());
     }
 
-    /** What an older version says of a server was undone since: that it drains stays as it is. */
+    /** Changes of an older version are out of date: a draining server stays draining. */
     @Test
     void changesOfAnOlderVersionUndoNothing() throws Exception {
         ScriptedServer drains =
@@ -191,7 +189,10 @@
         }
     }
 
-    /** A call may fall silent before its answer begins: what it misses counts as told 6 s later. */
+    /**
+     * A call may stall before its response begins: a change that it misses is deemed notified 6 s
+     * later.
+     */
     @Test
     void callsAgainInTimeIfACallGetsNoResponse() throws Exception {
         ScriptedServer backend =
@@ -204,12 +205,10 @@
         long silent = System.nanoTime();
         rig.discovery().nextRequest();
         long ms = (System.nanoTime() - silent) / 1_000_000;
-        assertTrue(ms > 2_500 && ms < 5_000, "asked again after " + ms + " ms");
+        assertTrue(ms > 2_500 && ms < 5_000, "called again after " + ms + " ms");
     }
 
-    /**
-     * One that begins and does not end is no list, whatever comes of it: it is asked for once more.
-     */
+    /** An incomplete list is not used, whatever follows; it is requested again. */
     @Test
     void abandonsAListThatDoesNotEnd() throws Exception {
         ScriptedServer backend =
@@ -220,16 +219,16 @@
         rig.awaitLog("a list is skipped: it did not end");
         assertTrue(rig.discovery().nextRequest().startLine().contains("from=8"));
         assertEquals(503, rig.send(Rig.get("a", "X-Deadline: 200m\r\n")).status());
-        assertTrue(backend.received.isEmpty(), "what was begun to be told counts as told");
+        assertTrue(backend.received.isEmpty(), "sent although a change has started to arrive");
         String text = "";
         for (int i = 0; !text.equals("s"); i++) {
-            // Watches that were given up may still take some of them.
+            // Abandoned watches may still receive some of them.
             rig.lines.add(Rig.list(9, false));
             text = rig.send(Rig.get("b" + i, "X-Deadline: 200m\r\n")).text();
         }
     }
 
-    /** Bytes go on coming, and none of them tells anything. */
+    /** Bytes keep arriving, but no message. */
     @Test
     void malformedLinesDoNotKeepAWatchAlive() throws Exception {
         rig.start();
@@ -238,13 +237,13 @@
         while (rig.discovery().received.isEmpty()) {
             rig.lines.add("no list");
             Thread.sleep(200);
-            assertTrue(System.nanoTime() - start < 4_500_000_000L, "asked again too late");
+            assertTrue(System.nanoTime() - start < 4_500_000_000L, "called again too late");
         }
         assertTrue(rig.discovery().nextRequest().startLine().contains("from=8"));
     }
 
     /**
-     * A start asks discovery once, not twice, as all calls of all proxies wait there in one line.
+     * A start calls discovery once, not twice, as the calls of all proxies wait there in one queue.
      */
     @Test
     void startsAWatchFromAnInitialListOfVersionZero() throws Exception {
@@ -257,7 +256,7 @@
         assertEquals("s", rig.send(Rig.get("a", "")).text());
     }
 
-    /** With nothing known, not even a version, the whole list comes first. */
+    /** With nothing known, not even a version, the whole list is fetched first. */
     @Test
     void fetchesTheWholeListIfNothingIsKnown() throws Exception {
         ScriptedServer backend =
@@ -269,7 +268,7 @@
                 rig.discovery().nextRequest().startLine());
     }
 
-    /** Lists and changes may come indented, on a watch as in an answer. */
+    /** Lists and changes may be indented, on a watch as well as in a single response. */
     @Test
     void acceptsIndentedLists() throws Exception {
         ScriptedServer backend =
--- a/src/test/java/passhatch/proxy/HandoverTest.java
+++ b/src/test/java/passhatch/proxy/HandoverTest.java
@@ -27,13 +27,13 @@
 import passhatch.proxy.base.EventLog;
 import passhatch.proxy.client.Listener;
 
-/** The parts of a change of version. */
+/** The parts of a handover to a new version. */
 @Timeout(60)
 final class HandoverTest {
 
     @TempDir Path folder;
 
-    /** Connections that the system holds for a socket are reset when it closes. */
+    /** Connections that wait in the backlog of a socket are reset when it closes. */
     @Test
     void acceptsWaitingConnectionsBeforeItCloses() throws Exception {
         var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -54,7 +54,7 @@
                             .sync()
                             .channel();
             InetSocketAddress address = (InetSocketAddress) listener.localAddress();
-            // On the loop, so that nothing is accepted while the clients connect.
+            // On the event loop, so that nothing is accepted while the clients connect.
             List<Socket> clients =
                     loop.submit(
                                     () -> {
@@ -107,7 +107,7 @@
             Files.writeString(folder.resolve("passhatch.pid"), Long.toString(newer.pid()));
             assertTrue(handover.otherProcessRuns());
             assertTrue(handover.newerProcessRuns());
-            assertFalse(handover.newerProcessReady(), "it has come, and is not ready");
+            assertFalse(handover.newerProcessReady(), "the newer process is not ready");
             Files.writeString(folder.resolve("passhatch.ready"), Long.toString(newer.pid()));
             assertTrue(handover.newerProcessReady());
         } finally {
@@ -115,7 +115,7 @@
         }
         assertFalse(handover.otherProcessRuns());
         assertFalse(
-                handover.newerProcessRuns(), "a successor that failed to start takes nothing over");
+                handover.newerProcessRuns(), "a newer process that failed to start still counts");
         assertFalse(handover.newerProcessReady());
     }
 
--- a/src/test/java/passhatch/proxy/HttpConnection.java
+++ b/src/test/java/passhatch/proxy/HttpConnection.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One end of an HTTP/1.1 connection, byte by byte as a test wants it. */
+/** One end of an HTTP/1.1 connection, with control over every byte. */
 public final class HttpConnection implements Closeable {
 
     public static final int TIMEOUT_MS = 20_000;
 
-    /** A request or an answer as it came. */
+    /** A request or a response as received. */
     public record Message(String startLine, Map<String, String> headers, byte[] body) {
         int status() {
             return Integer.parseInt(startLine.split(" ")[1]);
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Something to do when the head of a message has been read. */
+    /** An action that runs when the head of a message has been read. */
     interface HeadListener {
         void headReceived() throws IOException;
     }
@@ -54,8 +54,8 @@
     }
 
     /**
-     * One whose system takes next to nothing for it, so that what it does not read waits at its
-     * peer.
+     * Returns a connection with a minimal receive buffer, so that data it does not read stays at
+     * its peer.
      */
     static HttpConnection withSmallReceiveBuffer(InetSocketAddress address) throws IOException {
         Socket socket = new Socket();
@@ -81,7 +81,7 @@
         headListener = listener;
     }
 
-    /** Reads one message with its body; null at the end of the connection. */
+    /** Reads one message with its body; returns null at the end of the connection. */
     Message read() throws IOException {
         String start = readLine();
         if (start == null) {
@@ -98,7 +98,7 @@
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new EOFException("the body is cut off");
+            throw new EOFException("the body is truncated");
         }
         return new Message(start, headers, body);
     }
@@ -110,7 +110,7 @@
                 line.substring(colon + 1).strip());
     }
 
-    /** Trailers are added to the headers. */
+    /** Reads a chunked body and adds its trailers to the headers. */
     private byte[] readChunks(Map<String, String> headers) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         for (int size = readChunkSize(); size > 0; size = readChunkSize()) {
@@ -126,12 +126,12 @@
     private int readChunkSize() throws IOException {
         String line = readLine();
         if (line == null) {
-            throw new EOFException("the chunks are cut off");
+            throw new EOFException("the chunks are truncated");
         }
         return Integer.parseInt(line, 16);
     }
 
-    /** All that still comes, up to the end of the connection. */
+    /** Reads everything up to the end of the connection. */
     String readAll() throws IOException {
         return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
@@ -147,7 +147,7 @@
         return line.toString(StandardCharsets.UTF_8).strip();
     }
 
-    /** Breaks the connection off with a reset. */
+    /** Closes the connection with a reset. */
     public void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/src/test/java/passhatch/proxy/RehearsalTest.java
+++ b/src/test/java/passhatch/proxy/RehearsalTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the build does to make starts quicker, and how a start makes do without. */
+/** The rehearsal run by the build to make starts faster, and starts without its archive. */
 @Timeout(60)
 final class RehearsalTest {
 
@@ -29,13 +29,14 @@
                 log.toString(StandardCharsets.UTF_8).contains("ending with 0 requests unanswered"));
     }
 
-    /** The flags that the script hands to java, for a proxy with this much memory. */
+    /** Returns the flags that the script passes to java for a proxy with this memory. */
     private String flags(int memoryMb, String control, boolean archive) throws Exception {
         return outputOf(memoryMb, control, archive, "echo \"$@\"", "exec \"$@\"");
     }
 
     /**
-     * What this program says in java's place, where a shell with these commands starts the script.
+     * Returns the output of a program run in place of java, when the script is started by a shell
+     * with these commands.
      */
     private String outputOf(
             int memoryMb, String control, boolean archive, String program, String starter)
@@ -59,7 +60,7 @@
         ProcessBuilder shell =
                 new ProcessBuilder("/bin/sh", "-c", starter, "sh", "/bin/sh", script)
                         .directory(folder.toFile());
-        // No other program can be found, as where none may be started.
+        // No other program can be found, as in a deployment that forbids child processes.
         shell.environment().clear();
         shell.environment().put("PATH", folder.toString());
         shell.environment().put("PROXY_CONFIG", config.toString());
@@ -76,13 +77,18 @@
     @Test
     void theHeapFollowsTheConfiguredMemoryAndTwoProcessesShareIt() throws Exception {
         assertTrue(flags(144, "variable", false).contains("-Xmx48m "));
-        assertTrue(flags(208, "variable", false).contains("-Xmx34m "), "for two");
-        assertTrue(flags(208, "file", false).contains("-Xmx34m "), "for two");
-        assertTrue(flags(208, "", false).contains("-Xmx48m "), "there is never a second one");
+        assertTrue(
+                flags(208, "variable", false).contains("-Xmx34m "),
+                "two processes share the memory");
+        assertTrue(
+                flags(208, "file", false).contains("-Xmx34m "), "two processes share the memory");
+        assertTrue(flags(208, "", false).contains("-Xmx48m "), "there is never a second process");
         assertTrue(flags(72, "variable", false).contains("-Xmx24m "));
     }
 
-    /** A JVM leaves SIGHUP ignored where it finds it so, and then no new configuration is taken. */
+    /**
+     * A JVM leaves SIGHUP ignored if it is so at its start, and then no new configuration is read.
+     */
     @Test
     void theJvmStartsWithSighupNotIgnoredThoughTheParentIgnoresIt() throws Exception {
         String program =
--- a/src/test/java/passhatch/proxy/Rig.java
+++ b/src/test/java/passhatch/proxy/Rig.java
@@ -24,7 +24,7 @@
 import passhatch.proxy.base.EventLog;
 
 /**
- * A proxy under test with the discovery it watches. Lists of backends are handed in line by line.
+ * A proxy under test with its discovery service. Tests supply the lists of backends line by line.
  */
 final class Rig implements Closeable {
 
@@ -63,13 +63,13 @@
     private ProxyServer proxy;
     private ProxyServer.BalancerFactory balancerFactory = passhatch.Logic::new;
 
-    /** What the script puts into {@link #lines} to end a watch. */
+    /** Put into {@link #lines}, ends the watch. */
     static final String END_OF_WATCH = "end";
 
-    /** And to have the next watch turned down, as its version is no longer known. */
+    /** Makes discovery reject the next watch, as its version is no longer known. */
     static final String UNKNOWN_VERSION = "forgotten";
 
-    /** And to have the next watch get no answer at all. */
+    /** Makes discovery leave the next watch without a response. */
     static final String NO_RESPONSE = "unanswered";
 
     Rig(Path folder) throws IOException {
@@ -107,7 +107,7 @@
         open.add(discovery);
     }
 
-    /** Has lists come over several lines each. */
+    /** Sends each list over several lines. */
     Rig indented() {
         indented = true;
         return this;
@@ -129,19 +129,19 @@
         return this;
     }
 
-    /** How long repeats by a key are dropped. */
+    /** Sets how long repeats of a keyed request are dropped. */
     Rig dedupWindowUs(int us) {
         dedupWindowUs = us;
         return this;
     }
 
-    /** Of every class. */
+    /** Sets the deadline of every class. */
     Rig deadlineUs(int us) {
         deadlineUs = us;
         return this;
     }
 
-    /** The name of the class that is safe to repeat. */
+    /** Sets the name of the class that is safe to repeat. */
     Rig safeClass(String name) {
         safeClassName = name;
         return this;
@@ -152,7 +152,7 @@
         return this;
     }
 
-    /** Has operators ask at an address of the proxy's choice. */
+    /** Enables the control address, at a port that the proxy chooses. */
     Rig control() {
         return control("127.0.0.1:0");
     }
@@ -168,7 +168,8 @@
     }
 
     /**
-     * A decision module of the test's own, which is told the method and the arguments of each call.
+     * Returns a decision module that passes the method name and the arguments of each call to the
+     * test.
      */
     static Balancer scriptedBalancer(BiConsumer<String, Object[]> onCall) {
         return (Balancer)
@@ -201,7 +202,7 @@
                 + "\",\"weight\":1.0,\"since_ms\":0}";
     }
 
-    /** An entry for a backend that serves. */
+    /** Returns an entry for a serving backend. */
     static String up(String name, ScriptedServer backend) {
         return entry(name, backend.address(), "SERVING");
     }
@@ -216,13 +217,13 @@
                 + "]}";
     }
 
-    /** The list as the proxy last had it; else an empty one of index 7. */
+    /** Sets the initial list of the proxy; by default it is empty with index 7. */
     Rig initialList(String newList) {
         initialList = newList;
         return this;
     }
 
-    /** The environment of a proxy, with its configuration written. */
+    /** Writes the configuration and returns the environment of a proxy. */
     Map<String, String> environment() throws IOException {
         Path file = folder.resolve("config.json");
         Map<String, Object> config =
@@ -300,7 +301,7 @@
                 "all");
     }
 
-    /** Writes the configuration anew, with discovery at another address. */
+    /** Writes the configuration again, with discovery at another address. */
     void writeDiscoveryAddress(InetSocketAddress address) throws IOException {
         Path file = folder.resolve("config.json");
         Map<String, Object> config = new HashMap<>(JSON.std.mapFrom(Files.readString(file)));
@@ -333,15 +334,15 @@
             }
             Thread.sleep(5);
         }
-        throw new AssertionError("the proxy did not get ready");
+        throw new AssertionError("the proxy did not become ready");
     }
 
-    /** Waits until the log has a line with the text. */
+    /** Waits until the log contains the text. */
     void awaitLog(String text) throws InterruptedException {
         long end = System.nanoTime() + HttpConnection.TIMEOUT_MS * 1_000_000L;
         while (!log.toString(StandardCharsets.UTF_8).contains(text)) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("no line '" + text + "' in: " + log);
+                throw new AssertionError("no log line with '" + text + "' in: " + log);
             }
             Thread.sleep(5);
         }
@@ -357,7 +358,7 @@
         return client;
     }
 
-    /** Asks as operators do, and returns all of the answer. */
+    /** Sends a command to the control address and returns the whole response. */
     String sendCommand(String line) throws IOException {
         return sendCommand(proxy.controlAddress(), line);
     }
@@ -369,7 +370,7 @@
         }
     }
 
-    /** One of the figures. */
+    /** Returns the value of one metric. */
     long metric(String name) throws IOException {
         return sendCommand("vars\n")
                 .lines()
@@ -379,9 +380,7 @@
                 .orElseThrow();
     }
 
-    /**
-     * Waits until a figure has come to a value, as it may be counted just after the answer is out.
-     */
+    /** Waits until a metric has a value, as it may be updated just after the response is sent. */
     void awaitMetric(String name, long value) throws IOException, InterruptedException {
         long end = System.nanoTime() + HttpConnection.TIMEOUT_MS * 1_000_000L;
         while (metric(name) != value) {
@@ -410,7 +409,7 @@
                 + "\r\n";
     }
 
-    /** Sends one request on a connection of its own and returns the answer. */
+    /** Sends one request on a connection of its own and returns the response. */
     Message send(String request) throws IOException {
         try (HttpConnection client = HttpConnection.connect(proxy.address())) {
             client.write(request);
@@ -418,7 +417,7 @@
         }
     }
 
-    /** Once its clients have gone a proxy must hold nothing of them, whatever the test did. */
+    /** Fails if the proxy still holds anything of its clients after they have left. */
     @Override
     public void close() throws IOException {
         for (Closeable c : open) {
@@ -439,7 +438,7 @@
     }
 
     /**
-     * What the proxy still holds after it had time to be done with all; empty where that is
+     * Describes what the proxy still holds after it had time to release everything; empty if
      * nothing.
      */
     String unreleasedResources() {
--- a/src/test/java/passhatch/proxy/ScriptedServer.java
+++ b/src/test/java/passhatch/proxy/ScriptedServer.java
@@ -11,16 +11,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import passhatch.proxy.HttpConnection.Message;
 
-/** A small backend, or discovery, on loopback that does with each request what its script says. */
+/** A minimal backend or discovery service on loopback that handles each request by a script. */
 public final class ScriptedServer implements Closeable {
 
-    /** What to do with one request. */
+    /** Handles one request. */
     public interface Script {
         void handle(HttpConnection connection, Message request)
                 throws IOException, InterruptedException;
     }
 
-    /** Leaves the request without an answer. */
+    /** Leaves the request without a response. */
     public static final Script NO_RESPONSE = (connection, request) -> {};
 
     public final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
@@ -37,7 +37,7 @@
         startDaemon(this::accept);
     }
 
-    /** A backend that answers every request with its own text. */
+    /** Returns a backend that sends the same text as the response to every request. */
     public static ScriptedServer respondingWith(String text) throws IOException {
         return new ScriptedServer((connection, request) -> connection.respond("200 OK", text));
     }
@@ -46,28 +46,28 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    /** The next request received. */
+    /** Returns the next request received. */
     public Message nextRequest() throws InterruptedException {
         Message message = received.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (message == null) {
-            throw new AssertionError("no request came");
+            throw new AssertionError("no request was received");
         }
         return message;
     }
 
-    /** Waits until the other side has ended a connection. */
+    /** Waits until the peer has closed a connection. */
     public void awaitConnectionEnd() throws InterruptedException {
         if (endedConnections.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS) == null) {
-            throw new AssertionError("no connection was ended");
+            throw new AssertionError("no connection was closed");
         }
     }
 
-    /** Has this run as soon as the head of a request is in. */
+    /** Runs an action as soon as the head of a request has been read. */
     void setHeadAction(Runnable action) {
         headAction = action;
     }
 
-    /** Answers so at the head of a request, before its body is read. */
+    /** Sends a response at the head of a request, before its body is read. */
     void respondAtHead(String response) {
         earlyResponse = response;
     }
@@ -87,7 +87,7 @@
                 startDaemon(() -> serve(connection));
             }
         } catch (IOException closed) {
-            // The test is over.
+            // The test has ended.
         }
     }
 
@@ -99,7 +99,7 @@
                 script.handle(connection, m);
             }
         } catch (IOException | InterruptedException broken) {
-            // Tests look at what was received, not at how connections break.
+            // Tests check what was received, not how connections fail.
         }
         endedConnections.add(connection);
     }
--- a/src/test/java/passhatch/proxy/SignalTest.java
+++ b/src/test/java/passhatch/proxy/SignalTest.java
@@ -28,7 +28,7 @@
 import passhatch.proxy.HttpConnection.Message;
 import passhatch.proxy.base.EventLog;
 
-/** Signals, to a process of its own. */
+/** The proxy's response to signals; some tests run it as a process of its own. */
 @Timeout(60)
 final class SignalTest {
 
@@ -71,7 +71,7 @@
                 backend.nextRequest();
                 awaitNotListening(address);
                 assertNull(
-                        idleClient.read(), "an idle connection is closed while others are served");
+                        idleClient.read(), "an idle connection stays open while others are served");
                 release.countDown();
                 for (HttpConnection client :
                         new HttpConnection[] {blockedClient, lateClient, openClient}) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Each request on a new connection, while the process that serves is changed for another. */
+    /** Each request uses a new connection while one process takes over from another. */
     @Test
     void aNewProcessTakesOverWithoutLosingARequest() throws Exception {
         try (Rig rig = new Rig(folder).control()) {
@@ -117,7 +117,9 @@
                 awaitListening(secondControl);
                 long listens = System.nanoTime();
                 awaitReadyCheck(secondControl, rig, list);
-                assertTrue(System.nanoTime() - listens > 1_000_000_000L, "ready before it is warm");
+                assertTrue(
+                        System.nanoTime() - listens > 1_000_000_000L,
+                        "ready before its warm-up has ended");
                 awaitConnectionClose(address);
                 first.toHandle().destroy();
                 while (Rig.sendCommand(firstControl, "check\n").startsWith("done")) {
@@ -148,7 +150,7 @@
         }
     }
 
-    /** While two serve, clients are sent over to the newer one a few at a time. */
+    /** While two processes serve, the older one closes a few client connections at a time. */
     private static void awaitConnectionClose(InetSocketAddress address) throws IOException {
         String connection = null;
         for (int i = 0; connection == null; i++) {
@@ -162,9 +164,7 @@
         assertEquals("close", connection);
     }
 
-    /**
-     * Any watch may get a list that is handed in, so more are handed in until this process has one.
-     */
+    /** Any open watch may receive a list, so lists are supplied until this process has one. */
     private static void awaitReadyCheck(InetSocketAddress control, Rig rig, String list)
             throws InterruptedException, IOException {
         awaitListening(control);
@@ -179,26 +179,26 @@
         return serve(rig, address, Map.of("PROXY_CONTROL", "127.0.0.1:" + control.getPort()));
     }
 
-    /** The order to end comes when all is set up, and nothing is listened for yet. */
+    /** The signal arrives when the proxy is set up but does not listen yet. */
     @Test
     void stopsListeningIfTheSignalArrivedBeforeItListened() throws Exception {
         try (Rig rig = new Rig(folder).control()) {
             ProxyConfig config = ProxyConfig.read(rig.environment());
             ProxyServer server =
                     ProxyServer.create(config, new EventLog(System.err), passhatch.Logic::new);
-            // The process that started this one stands for a newer one that serves.
+            // The parent of this process stands for a newer one that serves.
             writeNewerProcess("passhatch.pid");
             writeNewerProcess("passhatch.ready");
             server.shutDown();
             server.awaitSubmittedTasks();
             server.listen(config);
             awaitNotListening(server.address());
-            assertFalse(server.awaitTermination(0), "it stopped to listen by its end only");
+            assertFalse(server.awaitTermination(0), "it has already terminated");
             assertTrue(server.awaitTermination(HttpConnection.TIMEOUT_MS));
         }
     }
 
-    /** What the process that started this one would leave if it were a newer one that serves. */
+    /** Writes the process id of this process's parent, which stands for a newer process. */
     private void writeNewerProcess(String file) throws IOException {
         Files.writeString(
                 folder.resolve(file),
@@ -206,8 +206,7 @@
     }
 
     /**
-     * A newer process that has come and is not ready takes nothing over: this one serves as if
-     * alone.
+     * A newer process that is not ready takes nothing over: this one serves as if it were alone.
      */
     @Test
     void keepsServingAfterTheSignalIfTheNewerProcessIsNotReady() throws Exception {
@@ -222,14 +221,16 @@
             open.write(Rig.get("open", ""));
             Message response = open.read();
             assertEquals("s", response.text());
-            assertNull(response.header("Connection"), "it has nowhere to go yet");
+            assertNull(
+                    response.header("Connection"),
+                    "closed although the newer process is not ready");
             assertEquals("s", rig.send(Rig.get("new", "")).text());
         }
     }
 
     /**
-     * The first is held while it reads the file; it must not take discovery back to what it has
-     * read.
+     * The first reload is blocked while it reads the file; it must not restore the address that it
+     * has read.
      */
     @Test
     void aReloadThatReadsLateDoesNotUndoANewerOne() throws Exception {
@@ -247,7 +248,7 @@
             Thread first = new Thread(() -> rig.proxy().reload(env));
             first.start();
             Thread second = new Thread(() -> rig.proxy().reload(env));
-            // Opened only once the first reads.
+            // Opens only once the first reload reads.
             try (OutputStream written = Files.newOutputStream(file)) {
                 Files.writeString(folder.resolve("new"), discoveryAt(newer));
                 Files.move(folder.resolve("new"), file, StandardCopyOption.REPLACE_EXISTING);
@@ -275,7 +276,7 @@
         return "{\"discovery\":\"127.0.0.1:" + server.address().getPort() + "\"}";
     }
 
-    /** A start that fails says so by its status, also with all handlers in place. */
+    /** A failed start exits with its status, also with all signal handlers installed. */
     @Test
     void exitsWithItsStatusIfItCannotListen() throws Exception {
         try (Rig rig = new Rig(folder);
@@ -286,7 +287,10 @@
         }
     }
 
-    /** None of those taken on one connection may be lost as an answer sends its client away. */
+    /**
+     * No request accepted on a connection may be lost when the connection is closed after a
+     * response.
+     */
     @Test
     void servesAllAcceptedRequestsOfAConnectionBeforeItCloses() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -329,7 +333,9 @@
         }
     }
 
-    /** Whether a client may go on; it is sent away with an answer, or between two. */
+    /**
+     * Whether a client's connection stays open; it is closed with a response or while it is idle.
+     */
     private static boolean staysOpen(HttpConnection client, String id) {
         try {
             client.write(Rig.get(id, ""));
@@ -341,7 +347,8 @@
     }
 
     /**
-     * One is sent while the file is only half written: all stays as it was, and one line says so.
+     * A signal may arrive while the file is only partly written: nothing changes, and one line is
+     * logged.
      */
     @ParameterizedTest
     @ValueSource(
@@ -366,13 +373,13 @@
             rig.lines.add(Rig.END_OF_WATCH);
             assertTrue(
                     rig.discovery().nextRequest().startLine().contains("from=8"),
-                    "discovery is where it was");
+                    "the address of discovery changed");
         }
     }
 
     /**
-     * In a rolling restart the other proxy may not be back yet: clients here have nowhere else to
-     * go.
+     * In a rolling restart the other proxy may not be back yet, so these clients have no
+     * alternative.
      */
     @Test
     void servesOpenConnectionsAfterItHasStoppedListening() throws Exception {
@@ -389,16 +396,17 @@
             awaitNotListening(rig.proxy().address());
             open.write(Rig.get("after", ""));
             Message response = open.read();
-            assertNull(response.header("Connection"), "let go though SIGKILL is far");
+            assertNull(response.header("Connection"), "closed long before SIGKILL");
             long leftUs = Long.parseLong(response.text().replace("u", ""));
-            assertTrue(leftUs < 3_700_000, "it would not be answered before SIGKILL: " + leftUs);
-            assertNull(open.read(), "let go in the end");
+            assertTrue(leftUs < 3_700_000, "too much time to respond before SIGKILL: " + leftUs);
+            assertNull(open.read(), "still open at the end");
             assertTrue(rig.proxy().awaitTermination(HttpConnection.TIMEOUT_MS));
         }
     }
 
     /**
-     * After SIGHUP discovery is where the configuration says now; what it had taken is answered.
+     * After SIGHUP the proxy uses the configured address of discovery, and accepted requests are
+     * served.
      */
     @Test
     void changesTheAddressOfDiscoveryAtSighupAndKeepsServing() throws Exception {
@@ -455,7 +463,7 @@
         }
     }
 
-    /** As under nohup: the JVM leaves the signal ignored, and operators have to be told. */
+    /** As under nohup: the JVM leaves the signal ignored, and the log has to say so. */
     @Test
     void logsThatSighupIsIgnoredIfStartedSo() throws Exception {
         try (Rig rig = new Rig(folder)) {
--- a/src/test/java/passhatch/proxy/StallDetectorTest.java
+++ b/src/test/java/passhatch/proxy/StallDetectorTest.java
@@ -25,7 +25,9 @@
         stallDetector.tick(nowUs);
     }
 
-    /** Once a hold-up was seen, one as long does not make an answer later than its client waits. */
+    /**
+     * After a stall, another one of the same length delays no response beyond its client's wait.
+     */
     @Test
     void theMarginCoversAnotherStallOfTheSameLength() {
         for (long us = 0; us < 2_000_000; us += 50_000) {
@@ -33,7 +35,7 @@
             assertTrue(us - stallDetector.responseMarginUs() < GRACE_US, us + " us");
             assertTrue(
                     stallDetector.responseMarginUs() <= Math.max(0, us - GRACE_US / 2),
-                    "no more than it needs");
+                    "the margin is larger than needed");
         }
     }
 
@@ -45,7 +47,7 @@
         stall(900_000);
         assertTrue(stallDetector.responseMarginUs() > 400_000);
         tickUntil(nowUs + 9_000_000);
-        assertTrue(stallDetector.responseMarginUs() > 400_000, "still likely");
+        assertTrue(stallDetector.responseMarginUs() > 400_000, "another stall is still likely");
         tickUntil(nowUs + 2_000_000);
         assertEquals(0, stallDetector.responseMarginUs());
     }
@@ -54,9 +56,9 @@
     void unreadTimeCountsUntilTheNextTick() {
         tickUntil(100_000);
         assertEquals(0, stallDetector.unreadUs(nowUs));
-        assertTrue(stallDetector.unreadUs(nowUs + 500_000) > 450_000, "before the loop beats");
+        assertTrue(stallDetector.unreadUs(nowUs + 500_000) > 450_000, "before the tick");
         stall(500_000);
-        assertTrue(stallDetector.unreadUs(nowUs) > 450_000, "after it");
+        assertTrue(stallDetector.unreadUs(nowUs) > 450_000, "after the tick");
         tickUntil(nowUs + StallDetector.TICK_INTERVAL_US);
         assertEquals(0, stallDetector.unreadUs(nowUs));
     }
--- a/src/test/java/passhatch/proxy/discovery/BackoffTest.java
+++ b/src/test/java/passhatch/proxy/discovery/BackoffTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Whatever fails how often: a pause stays within its bound, and a success takes it back. */
+/** The delay stays within its bound after any number of failures, and a success resets it. */
 final class BackoffTest {
 
     @Test
@@ -20,9 +20,11 @@
                             delayMs + " of " + maxDelayMs);
                     longestDelayMs = Math.max(longestDelayMs, delayMs);
                 }
-                assertTrue(longestDelayMs > maxDelayMs / 2, "it does not grow: " + longestDelayMs);
+                assertTrue(
+                        longestDelayMs > maxDelayMs / 2,
+                        "the delay does not grow: " + longestDelayMs);
                 backoff.reset();
-                assertTrue(backoff.nextDelayMs() <= 75, "a success does not take it back");
+                assertTrue(backoff.nextDelayMs() <= 75, "a success does not reset the delay");
             }
         }
     }
--- a/src/test/java/passhatch/proxy/discovery/JsonObjectScannerTest.java
+++ b/src/test/java/passhatch/proxy/discovery/JsonObjectScannerTest.java
@@ -13,9 +13,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/**
- * Objects are found whatever their layout, however their bytes arrive, and after what is no JSON.
- */
+/** Objects are found in any layout, in any fragments, and after malformed input. */
 final class JsonObjectScannerTest implements JsonObjectScanner.Listener {
 
     private static final int MAX_OBJECT_BYTES = 400;
@@ -44,7 +42,9 @@
         return List.copyOf(events);
     }
 
-    /** Compact or indented, in pieces of any size, with texts full of what looks like structure. */
+    /**
+     * Compact or indented, in fragments of any size, with strings that contain brackets and quotes.
+     */
     @Test
     void findsEachObjectInAnyLayoutAndFragmentation() throws Exception {
         Random random = new Random(11);
@@ -98,7 +98,7 @@
     void continuesAfterMalformedInputAndTruncatedStrings() {
         assertEquals(List.of("skipped", "{}"), read("not json {\n{}\n"));
         assertEquals(List.of("skipped", "{}"), read("{\"name\":\"a\n{}"));
-        assertEquals(List.of("empty"), read("\n\n"), "the rest of the line, and one that is empty");
+        assertEquals(List.of("empty"), read("\n\n"), "one line end belongs to the skipped line");
     }
 
     @Test
--- a/src/test/java/passhatch/proxy/discovery/ListWatchTest.java
+++ b/src/test/java/passhatch/proxy/discovery/ListWatchTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import passhatch.Balancer.ListFreshness;
 
-/** What the watch makes of what discovery says, with time set by hand. */
+/** How the watch processes the messages of discovery, with a simulated clock. */
 final class ListWatchTest {
 
     private static final long MS = 1_000;
@@ -132,7 +132,7 @@
         receive(message(9, false, entry("s", "DRAINING")));
         receive(message(8, true, entry("s", "SERVING")));
         assertEquals(2, listed.size());
-        assertTrue(closedCalls.contains(1L), "a discovery that is behind is listened to");
+        assertTrue(closedCalls.contains(1L), "a watch with an old version stays open");
         openWatch();
         receive(message(8, true, entry("s", "SERVING")));
         assertEquals(2, listed.size());
@@ -149,7 +149,7 @@
         receive("");
         assertEquals(1, listed.size());
         assertEquals(List.of(now), pending);
-        assertTrue(closedCalls.contains(1L), "the watch goes on");
+        assertTrue(closedCalls.contains(1L), "the watch stays open");
         openWatch();
         assertEquals("/v1/endpoints?watch=1&from=8", requestedPaths.get(1));
     }
@@ -168,7 +168,7 @@
         assertEquals(2, listed.size());
     }
 
-    /** What the older one says of other servers is nowhere else. */
+    /** What the older message says about other servers is in no other message. */
     @Test
     void afterAChangeOfAnOlderVersionTheWholeListIsFetched() {
         openWatch();
@@ -181,7 +181,7 @@
         assertEquals("/v1/endpoints", requestedPaths.get(1));
     }
 
-    /** A connection may be closed within the call that closes it. */
+    /** The transport may report a close from within the call that closes the connection. */
     @Test
     void anAbandonedCallEndsOnceWithoutEndingTheNextOne() {
         openWatch();
@@ -194,7 +194,7 @@
         assertEquals(2, lostWatches);
     }
 
-    /** A watch was seen to bring one 1.1 s after discovery had a change that it had not told. */
+    /** An empty line was observed 1.1 s after a change that discovery had not sent yet. */
     @Test
     void anEmptyLineProvesNothingAboutTheTwoSecondsBeforeIt() {
         openWatch();
@@ -207,7 +207,7 @@
         assertEquals(now - 2 * S, lastAsOfUs());
     }
 
-    /** It may come while the call waits its turn. */
+    /** It may be sent while the call is still queued. */
     @Test
     void anEmptyLineBeforeTheListProvesNothingAfterTheStartOfTheCall() {
         openWatch();
@@ -217,7 +217,7 @@
         assertEquals(calledUs, lastAsOfUs());
     }
 
-    /** A process that was paused reads what was written long ago. */
+    /** A process that was paused reads messages that were written long ago. */
     @Test
     void unreadMessagesCountFromTheirEarliestArrival() {
         openWatch();
@@ -227,10 +227,12 @@
         receive("", arrivedUs);
         ListFreshness last = freshnesses.get(freshnesses.size() - 1);
         assertEquals(arrivedUs - 2 * S, last.asOfUs());
-        assertTrue(last.watchedUntilUs() < now, "its silence begins anew");
+        assertTrue(
+                last.watchedUntilUs() < now,
+                "the silence is counted from the read, not from the arrival");
     }
 
-    /** What was written counts as told, read or not, and more may be on its way. */
+    /** A message that was written is deemed notified, read or not, and more may be on its way. */
     @Test
     void messagesOfTheOldWatchAreUsedAfterAnAddressChangeUntilTheNextResponds() {
         openWatch();
@@ -260,7 +262,10 @@
         assertTrue(closedCalls.contains(oldCall));
     }
 
-    /** What was written on it is told and unread: an older watch says nothing of that. */
+    /**
+     * A message written on the later watch is deemed notified but unread, and an older watch says
+     * nothing about it.
+     */
     @Test
     void aSilentWatchIsIgnoredOnceALaterOneSentAMalformedMessage() {
         openWatch();
@@ -275,7 +280,7 @@
         assertEquals(confirmations, freshnesses.size());
     }
 
-    /** A pause that is counted from the last byte would be over at once. */
+    /** A delay that is counted from the last byte would already have passed. */
     @Test
     void anObjectThatDoesNotEndIsAbandonedAtTheCurrentTime() {
         openWatch();
@@ -286,7 +291,9 @@
         assertTrue(log.stream().anyMatch(l -> l.contains("ended after 3000 ms")), log::toString);
     }
 
-    /** It drained, served and drained again: of that the changes after version 8 have nothing. */
+    /**
+     * The server drained, served and drained again, which the changes after version 8 do not show.
+     */
     @Test
     void changesFromAnOlderVersionThanTheKnownOneAreRequestedAgain() {
         openWatch();
@@ -302,7 +309,7 @@
         assertTrue(requestedPaths.get(2).endsWith("from=9"), requestedPaths::toString);
     }
 
-    /** One that is down has a call wait for seconds before it is turned away. */
+    /** A discovery service that is down lets a call wait for seconds before it is rejected. */
     @Test
     void aCallRejectedAtOnceShowsThatDiscoveryIsUp() {
         watch.startWatch(now);
--- a/src/test/java/passhatch/proxy/discovery/WatchBudgetTest.java
+++ b/src/test/java/passhatch/proxy/discovery/WatchBudgetTest.java
@@ -4,13 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The waits add up to less than the bounds that the operators state. */
+/** The delays add up to less than the bounds that operators specify. */
 final class WatchBudgetTest {
 
     private static final long NOTIFY_TIMEOUT_MS = 6_000;
     private static final long MAX_STALL_MS = 150;
 
-    /** The module's first pause, at its longest. */
+    /** The decision module's maximum first retry delay. */
     private static final long MAX_FIRST_RETRY_DELAY_MS = 375;
 
     private static final long[] GRACES_MS = {300, 500, 750, 2_000};
@@ -59,7 +59,7 @@
                 budget.silenceTimeoutMs() >= WatchBudget.EMPTY_LINE_INTERVAL_MS + 2 * MAX_STALL_MS);
     }
 
-    /** A call may have been made in an outage and never be answered. */
+    /** A call made during an outage may never get a response. */
     @Test
     void withPushedChangesALostCallIsReplacedWithinTheNotifyTimeout() {
         for (long graceMs : GRACES_MS) {
--- a/src/test/java/passhatch/proxy/flow/RelayTest.java
+++ b/src/test/java/passhatch/proxy/flow/RelayTest.java
@@ -17,10 +17,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** When the source of a body has to wait. */
+/** When the source of a body is paused. */
 final class RelayTest {
 
-    /** Stands for a peer: takes writes, and ends them when the test says so. */
+    /** A peer that accepts writes and completes them when the test says so. */
     private static final class Peer extends ChannelOutboundHandlerAdapter {
         final ArrayDeque<ChannelPromise> writes = new ArrayDeque<>();
 
@@ -50,12 +50,12 @@
                 new Relay.Listener() {
                     @Override
                     public void completed() {
-                        result += "passed";
+                        result += "completed";
                     }
 
                     @Override
                     public void failed() {
-                        result += "broken";
+                        result += "failed";
                     }
                 });
     }
@@ -70,13 +70,13 @@
         relay.forward(bytes(600));
         assertTrue(reading);
         relay.forward(bytes(600));
-        assertFalse(reading, "1200 of 1000 are held");
+        assertFalse(reading, "1200 of 1000 bytes are buffered");
         peer.writes.poll().setSuccess();
         assertTrue(reading);
         assertEquals(600, budget.bufferedBytes());
     }
 
-    /** Else those that hold much could stop all the others, and wait for them in turn. */
+    /** Otherwise relays with much buffered could block all others, and in turn wait for them. */
     @Test
     void aSourceWithoutBufferedBytesIsReadThoughOthersBufferTooMuch() {
         budget.add(5_000);
@@ -96,7 +96,7 @@
         peer.writes.poll().setSuccess();
         peer.writes.poll().setSuccess();
         relay.finish();
-        assertEquals("passed", result);
+        assertEquals("completed", result);
         assertEquals(0, budget.bufferedBytes());
     }
 
@@ -106,7 +106,7 @@
         relay.forward(bytes(10));
         peer.writes.poll().setFailure(new java.io.IOException("gone"));
         relay.forward(bytes(10));
-        assertEquals("broken", result);
+        assertEquals("failed", result);
         assertEquals(0, budget.bufferedBytes());
     }
 
@@ -118,9 +118,9 @@
         relay.forward(bytes(10));
         slow.advanceTimeBy(40, TimeUnit.SECONDS);
         slow.runScheduledPendingTasks();
-        assertEquals("", result, "it moved within the first 30 s");
+        assertEquals("", result, "there was progress within the first 30 s");
         slow.advanceTimeBy(40, TimeUnit.SECONDS);
         slow.runScheduledPendingTasks();
-        assertEquals("broken", result);
+        assertEquals("failed", result);
     }
 }
