--- a/src/main/java/passhatch/cli/AgentCall.java
+++ b/src/main/java/passhatch/cli/AgentCall.java
@@ -15,7 +15,7 @@
 /** What commands that ask a running agent have in common. */
 final class AgentCall {
 
-    private static final int PATIENCE_MS = 5_000;
+    private static final int TIMEOUT_MS = 5_000;
 
     @Option(
             names = "--control",
@@ -28,39 +28,38 @@
     private boolean json;
 
     /** Writes the answer to a call, as it came or as a table. */
-    void show(String call, PrintWriter out, BiConsumer<Map<String, Object>, PrintWriter> table)
+    void print(String call, PrintWriter out, BiConsumer<Map<String, Object>, PrintWriter> table)
             throws IOException {
-        String answer = ask(call, "{");
+        String reply = ask(call, "{");
         if (json) {
-            out.print(answer);
+            out.print(reply);
         } else {
-            table.accept(JSON.std.mapFrom(answer), out);
+            table.accept(JSON.std.mapFrom(reply), out);
         }
         out.flush();
     }
 
     /** The answer to a call, which has to begin with this. */
-    String ask(String call, String begins) throws IOException {
-        InetSocketAddress address = address(control);
-        String answer;
+    String ask(String call, String expectedPrefix) throws IOException {
+        InetSocketAddress address = parseAddress(control);
+        String reply;
         try (Socket socket = connect(address)) {
-            answer = exchange(socket, call);
+            reply = exchange(socket, call);
         } catch (IOException failed) {
             throw new IOException(control + ": " + failed.getMessage(), failed);
         }
-        if (!answer.startsWith(begins)) {
-            throw new IOException(
-                    control + ": " + (answer.isBlank() ? "no answer" : answer.strip()));
+        if (!reply.startsWith(expectedPrefix)) {
+            throw new IOException(control + ": " + (reply.isBlank() ? "no answer" : reply.strip()));
         }
-        return answer;
+        return reply;
     }
 
     /** The address that an option gives. */
-    static InetSocketAddress address(String control) {
+    static InetSocketAddress parseAddress(String control) {
         try {
             return Addresses.parse(control);
-        } catch (IllegalArgumentException bad) {
-            throw new InvalidInputException("--control: " + bad.getMessage());
+        } catch (IllegalArgumentException malformed) {
+            throw new InvalidInputException("--control: " + malformed.getMessage());
         }
     }
 
@@ -68,8 +67,8 @@
     static Socket connect(InetSocketAddress address) throws IOException {
         Socket socket = new Socket();
         try {
-            socket.connect(address, PATIENCE_MS);
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.connect(address, TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             return socket;
         } catch (IOException failed) {
             socket.close();
--- a/src/main/java/passhatch/cli/ChangesCall.java
+++ b/src/main/java/passhatch/cli/ChangesCall.java
@@ -13,9 +13,9 @@
     private static final String NOT_LEADER = "error not the leader";
     private static final String ACCEPTED = "accepted ";
     private static final String REFUSED = "error refused: ";
-    private static final String UNKNOWN = "error outcome not known";
-    private static final long OUTCOME_WITHIN_MS = 3_000;
-    private static final long ASK_AGAIN_MS = 20;
+    private static final String OUTCOME_UNKNOWN = "error outcome not known";
+    private static final long COMMIT_TIMEOUT_MS = 3_000;
+    private static final long STATUS_POLL_INTERVAL_MS = 20;
 
     @Option(
             names = "--control",
@@ -30,8 +30,8 @@
         checkAddresses();
         IOException last = null;
         for (String control : controls) {
-            try (Socket socket = AgentCall.connect(AgentCall.address(control))) {
-                return answered(control, AgentCall.exchange(socket, call));
+            try (Socket socket = AgentCall.connect(AgentCall.parseAddress(control))) {
+                return requireSuccess(control, AgentCall.exchange(socket, call));
             } catch (IOException failed) {
                 last = failed;
             }
@@ -41,15 +41,14 @@
 
     /** All of them first, so that a bad one is told whether or not it would be tried. */
     private void checkAddresses() {
-        controls.forEach(AgentCall::address);
+        controls.forEach(AgentCall::parseAddress);
     }
 
-    private static String answered(String control, String answer) throws IOException {
-        if (answer.isBlank() || answer.startsWith("error")) {
-            throw new IOException(
-                    control + ": " + (answer.isBlank() ? "no answer" : answer.strip()));
+    private static String requireSuccess(String control, String reply) throws IOException {
+        if (reply.isBlank() || reply.startsWith("error")) {
+            throw new IOException(control + ": " + (reply.isBlank() ? "no answer" : reply.strip()));
         }
-        return answer.strip();
+        return reply.strip();
     }
 
     /**
@@ -60,38 +59,38 @@
      */
     long submit(String call) throws IOException, InterruptedException {
         checkAddresses();
-        StringBuilder tried = new StringBuilder();
+        StringBuilder failures = new StringBuilder();
         for (String control : controls) {
-            InetSocketAddress address = AgentCall.address(control);
-            String answer;
+            InetSocketAddress address = AgentCall.parseAddress(control);
+            String reply;
             try (Socket socket = AgentCall.connect(address)) {
-                answer = submitted(socket, call);
+                reply = sendChange(socket, call);
             } catch (OutcomeUnknownException unknown) {
                 throw unknown;
             } catch (IOException failed) {
-                answer = failed.getMessage();
+                reply = failed.getMessage();
             }
-            if (answer.startsWith(ACCEPTED)) {
-                String[] words = answer.split(" ");
-                return awaitCommitted(address, words[1], words[2]);
+            if (reply.startsWith(ACCEPTED)) {
+                String[] fields = reply.split(" ");
+                return awaitCommitted(address, fields[1], fields[2]);
             }
-            if (answer.startsWith(REFUSED)) {
-                throw new IOException(answer.substring("error ".length()));
+            if (reply.startsWith(REFUSED)) {
+                throw new IOException(reply.substring("error ".length()));
             }
-            tried.append(tried.isEmpty() ? "" : "; ").append(control).append(": ");
-            tried.append(answer.startsWith(NOT_LEADER) ? "not the leader" : answer);
+            failures.append(failures.isEmpty() ? "" : "; ").append(control).append(": ");
+            failures.append(reply.startsWith(NOT_LEADER) ? "not the leader" : reply);
         }
-        throw new IOException("nobody takes the change: " + tried);
+        throw new IOException("nobody takes the change: " + failures);
     }
 
     /** Once the call has been sent it may have been carried out, also where no answer comes. */
-    private static String submitted(Socket socket, String call) throws OutcomeUnknownException {
+    private static String sendChange(Socket socket, String call) throws OutcomeUnknownException {
         try {
-            String answer = AgentCall.exchange(socket, call).strip();
-            if (answer.isEmpty() || answer.startsWith(UNKNOWN)) {
-                throw new OutcomeUnknownException(answer.isEmpty() ? "no answer" : answer);
+            String reply = AgentCall.exchange(socket, call).strip();
+            if (reply.isEmpty() || reply.startsWith(OUTCOME_UNKNOWN)) {
+                throw new OutcomeUnknownException(reply.isEmpty() ? "no answer" : reply);
             }
-            return answer;
+            return reply;
         } catch (OutcomeUnknownException unknown) {
             throw unknown;
         } catch (IOException failed) {
@@ -101,18 +100,18 @@
 
     private static long awaitCommitted(InetSocketAddress address, String version, String term)
             throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(OUTCOME_WITHIN_MS);
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(COMMIT_TIMEOUT_MS);
         do {
-            String answer = status(address, version, term);
-            if (answer.equals("committed")) {
+            String status = status(address, version, term);
+            if (status.equals("committed")) {
                 return Long.parseLong(version);
             }
-            if (!answer.equals("pending")) {
-                throw new OutcomeUnknownException("the lease was lost: " + answer);
+            if (!status.equals("pending")) {
+                throw new OutcomeUnknownException("the lease was lost: " + status);
             }
-            Thread.sleep(ASK_AGAIN_MS);
-        } while (System.nanoTime() < end);
-        throw new OutcomeUnknownException("not committed in " + OUTCOME_WITHIN_MS + " ms");
+            Thread.sleep(STATUS_POLL_INTERVAL_MS);
+        } while (System.nanoTime() < deadlineNs);
+        throw new OutcomeUnknownException("not committed in " + COMMIT_TIMEOUT_MS + " ms");
     }
 
     private static String status(InetSocketAddress address, String version, String term)
--- a/src/main/java/passhatch/cli/ChangesCommand.java
+++ b/src/main/java/passhatch/cli/ChangesCommand.java
@@ -23,13 +23,13 @@
 final class ChangesCommand extends CommandGroup {
 
     /** With its subcommands. */
-    static CommandLine line() {
+    static CommandLine commandLine() {
         return new CommandLine(new ChangesCommand())
                 .addSubcommand(new Status())
                 .addSubcommand(new Put())
                 .addSubcommand(new Delete())
                 .addSubcommand(new Get())
-                .addSubcommand(new Found());
+                .addSubcommand(new Initialize());
     }
 
     /** What all subcommands have. */
@@ -38,12 +38,12 @@
         @Mixin private ChangesCall agents;
 
         /** The line to print. */
-        abstract String answer(ChangesCall of) throws IOException, InterruptedException;
+        abstract String execute(ChangesCall agents) throws IOException, InterruptedException;
 
         @Override
         public final Integer call() throws IOException, InterruptedException {
-            String answer = answer(agents);
-            spec.commandLine().getOut().println(answer);
+            String result = execute(agents);
+            spec.commandLine().getOut().println(result);
             spec.commandLine().getOut().flush();
             return 0;
         }
@@ -63,7 +63,7 @@
                 description = "Only where this is the version of the key's value; 0: not set.")
         private Long ifVersion;
 
-        String submit(ChangesCall agents, String word, String value)
+        String submit(ChangesCall agents, String verb, String value)
                 throws IOException, InterruptedException {
             try {
                 Setting.check(key, value);
@@ -75,7 +75,7 @@
                         "--if-version: '" + ifVersion + "': expected 0 or more");
             }
             String call =
-                    word
+                    verb
                             + " "
                             + key
                             + (value == null ? "" : " " + value)
@@ -90,7 +90,7 @@
             description = "Shows an agent's part: role, version, age, followers.")
     private static final class Status extends Subcommand {
         @Override
-        String answer(ChangesCall agents) throws IOException {
+        String execute(ChangesCall agents) throws IOException {
             return agents.ask("changes");
         }
     }
@@ -104,7 +104,7 @@
         private String value;
 
         @Override
-        String answer(ChangesCall agents) throws IOException, InterruptedException {
+        String execute(ChangesCall agents) throws IOException, InterruptedException {
             return submit(agents, "change-put", value);
         }
     }
@@ -115,7 +115,7 @@
             description = "Deletes a key; answers once a majority of replicas has that on disk.")
     private static final class Delete extends Change {
         @Override
-        String answer(ChangesCall agents) throws IOException, InterruptedException {
+        String execute(ChangesCall agents) throws IOException, InterruptedException {
             return submit(agents, "change-delete", null);
         }
     }
@@ -129,7 +129,7 @@
         private String key;
 
         @Override
-        String answer(ChangesCall agents) throws IOException {
+        String execute(ChangesCall agents) throws IOException {
             if (key != null && !ConfigKey.isKey(key)) {
                 throw new InvalidInputException(
                         "'" + key + "': expected service/NAME/SETTING or fleet/SETTING");
@@ -144,9 +144,9 @@
             description =
                     "Once, at each replica, when the log is founded: lets it count towards"
                             + " majorities although its disk is empty.")
-    private static final class Found extends Subcommand {
+    private static final class Initialize extends Subcommand {
         @Override
-        String answer(ChangesCall agents) throws IOException {
+        String execute(ChangesCall agents) throws IOException {
             agents.ask("changes-found");
             return "it counts towards majorities from now on";
         }
--- a/src/main/java/passhatch/cli/Commands.java
+++ b/src/main/java/passhatch/cli/Commands.java
@@ -21,59 +21,59 @@
 public final class Commands {
 
     /** The exit status of a command that failed while it ran. */
-    public static final int FAILED = 1;
+    public static final int EXIT_FAILURE = 1;
 
     /** The exit status of wrong use. */
-    public static final int USAGE = 2;
+    public static final int EXIT_USAGE = 2;
 
     private Commands() {}
 
     /**
      * The whole command line, to which tools outside the deployed jar add commands of their own.
      */
-    public static CommandLine line() {
+    public static CommandLine commandLine() {
         CommandLine line = new CommandLine(new Root());
         line.addSubcommand(new Serve())
-                .addSubcommand(new Decide())
+                .addSubcommand(new RunAdapter())
                 .addSubcommand(new Rehearse())
-                .addSubcommand(StoreCommand.line())
+                .addSubcommand(StoreCommand.commandLine())
                 .addSubcommand(new AgentCommand())
                 .addSubcommand(new MembersCommand())
                 .addSubcommand(new DutiesCommand())
-                .addSubcommand(ChangesCommand.line());
+                .addSubcommand(ChangesCommand.commandLine());
         return oneLineErrors(line);
     }
 
     /** Has errors told in one line, without the usage text. */
     public static CommandLine oneLineErrors(CommandLine line) {
-        line.setParameterExceptionHandler(Commands::wrongUse);
+        line.setParameterExceptionHandler(Commands::onUsageError);
         line.setExecutionExceptionHandler(
-                (failure, at, parsed) -> {
-                    at.getErr()
+                (failure, failed, parsed) -> {
+                    failed.getErr()
                             .println(
                                     "passhatch: "
                                             + (failure.getMessage() == null
                                                     ? failure
                                                     : failure.getMessage()));
-                    return failure instanceof InvalidInputException ? USAGE : FAILED;
+                    return failure instanceof InvalidInputException ? EXIT_USAGE : EXIT_FAILURE;
                 });
         return line;
     }
 
     static int run(String[] args) {
-        return line().execute(args);
+        return commandLine().execute(args);
     }
 
-    private static int wrongUse(ParameterException bad, String[] args) {
-        CommandLine at = bad.getCommandLine();
-        PrintWriter err = at.getErr();
+    private static int onUsageError(ParameterException error, String[] args) {
+        CommandLine line = error.getCommandLine();
+        PrintWriter err = line.getErr();
         err.println(
                 "passhatch: "
-                        + bad.getMessage().lines().findFirst().orElse("wrong use")
+                        + error.getMessage().lines().findFirst().orElse("wrong use")
                         + "; see '"
-                        + at.getCommandSpec().qualifiedName()
+                        + line.getCommandSpec().qualifiedName()
                         + " --help'");
-        return USAGE;
+        return EXIT_USAGE;
     }
 
     @Command(
@@ -105,7 +105,7 @@
             description =
                     "Decides for a simulator: batches on standard input, replies on standard"
                             + " output.")
-    private static final class Decide implements Callable<Integer> {
+    private static final class RunAdapter implements Callable<Integer> {
         @Override
         public Integer call() {
             return Adapter.run(
--- a/src/main/java/passhatch/cli/DutiesCommand.java
+++ b/src/main/java/passhatch/cli/DutiesCommand.java
@@ -40,55 +40,55 @@
             description =
                     "Once, at each voter, when the first voters are founded: lets "
                             + "it vote although its disk remembers nothing.")
-    private boolean found;
+    private boolean initialize;
 
     @Override
     public Integer call() throws IOException {
         PrintWriter out = spec.commandLine().getOut();
-        if (found) {
+        if (initialize) {
             agent.ask("found", "done");
             out.println("it votes from now on");
         } else if (giveUp != null) {
             agent.ask("give-up " + giveUp + (to == null ? "" : " " + to), "done");
             out.println("given up");
         } else {
-            agent.show("duties", out, DutiesCommand::table);
+            agent.print("duties", out, DutiesCommand::printTable);
         }
         out.flush();
         return 0;
     }
 
-    private static void table(Map<String, Object> answer, PrintWriter out) {
+    private static void printTable(Map<String, Object> reply, PrintWriter out) {
         out.printf("%-16s %-10s %10s %10s  %s%n", "DUTY", "AS", "TERM", "LEFT", "HOLDER");
-        for (Object each : (List<?>) answer.get("candidate")) {
-            Map<?, ?> one = (Map<?, ?>) each;
-            boolean holds = ((Number) one.get("left_ms")).longValue() > 0;
+        for (Object each : (List<?>) reply.get("candidate")) {
+            Map<?, ?> duty = (Map<?, ?>) each;
+            boolean holds = ((Number) duty.get("left_ms")).longValue() > 0;
             out.printf(
                     "%-16s %-10s %10s %8sms  %s%n",
-                    one.get("duty"),
+                    duty.get("duty"),
                     holds ? "holder" : "candidate",
-                    one.get("term"),
-                    one.get("left_ms"),
-                    holds ? answer.get("self") : "");
+                    duty.get("term"),
+                    duty.get("left_ms"),
+                    holds ? reply.get("self") : "");
         }
-        for (Object each : (List<?>) answer.get("promised")) {
-            Map<?, ?> one = (Map<?, ?>) each;
+        for (Object each : (List<?>) reply.get("promised")) {
+            Map<?, ?> duty = (Map<?, ?>) each;
             out.printf(
                     "%-16s %-10s %10s %8sms  %s%n",
-                    one.get("duty"),
+                    duty.get("duty"),
                     "voter",
-                    one.get("term"),
-                    one.get("bound_ms"),
-                    one.get("holder"));
+                    duty.get("term"),
+                    duty.get("bound_ms"),
+                    duty.get("holder"));
         }
         String vote =
-                !Boolean.TRUE.equals(answer.get("voter"))
+                !Boolean.TRUE.equals(reply.get("voter"))
                         ? "no voter"
-                        : Boolean.TRUE.equals(answer.get("votes"))
+                        : Boolean.TRUE.equals(reply.get("votes"))
                                 ? "a voter"
                                 : "a voter that does not vote, as its disk remembers nothing";
         out.printf(
                 "%nself %s, %s, voters %s of epoch %s%n",
-                answer.get("self"), vote, answer.get("voters"), answer.get("epoch"));
+                reply.get("self"), vote, reply.get("voters"), reply.get("epoch"));
     }
 }
--- a/src/main/java/passhatch/cli/MembersCommand.java
+++ b/src/main/java/passhatch/cli/MembersCommand.java
@@ -25,13 +25,13 @@
 
     @Override
     public Integer call() throws IOException {
-        agent.show("members", spec.commandLine().getOut(), MembersCommand::table);
+        agent.print("members", spec.commandLine().getOut(), MembersCommand::printTable);
         return 0;
     }
 
-    private static void table(Map<String, Object> answer, PrintWriter out) {
+    private static void printTable(Map<String, Object> reply, PrintWriter out) {
         out.printf(ROW, "MEMBER", "STATUS", "INCARNATION", "VERSION", "ROLES", "SINCE", "ADDRESS");
-        for (Object each : (List<?>) answer.get("members")) {
+        for (Object each : (List<?>) reply.get("members")) {
             Map<?, ?> member = (Map<?, ?>) each;
             out.printf(
                     ROW,
@@ -40,30 +40,30 @@
                     member.get("incarnation"),
                     member.get("version"),
                     member.get("roles"),
-                    ago((Number) member.get("for_ms")),
+                    formatAge((Number) member.get("for_ms")),
                     member.get("address"));
         }
-        boolean givenWay = Boolean.TRUE.equals(answer.get("given_way"));
+        boolean superseded = Boolean.TRUE.equals(reply.get("given_way"));
         out.printf(
                 "%nself %s%s, local health %s (0 is well, 8 is worst), held up %s times%n",
-                answer.get("self"),
-                givenWay ? " (gave way to a newer process of this name)" : "",
-                answer.get("local_health"),
-                answer.get("held_up"));
+                reply.get("self"),
+                superseded ? " (gave way to a newer process of this name)" : "",
+                reply.get("local_health"),
+                reply.get("held_up"));
         out.printf(
                 "datagrams: %s in, %s out (%s bytes), dropped %s%n",
-                answer.get("received"),
-                answer.get("sent"),
-                answer.get("sent_bytes"),
-                answer.get("dropped"));
+                reply.get("received"),
+                reply.get("sent"),
+                reply.get("sent_bytes"),
+                reply.get("dropped"));
     }
 
-    private static String ago(Number ms) {
-        Duration time = Duration.ofMillis(ms.longValue());
-        return time.toHours() > 0
-                ? time.toHours() + "h" + time.toMinutesPart() + "m"
-                : time.toMinutes() > 0
-                        ? time.toMinutes() + "m" + time.toSecondsPart() + "s"
-                        : time.toSeconds() + "s";
+    private static String formatAge(Number ageMs) {
+        Duration age = Duration.ofMillis(ageMs.longValue());
+        return age.toHours() > 0
+                ? age.toHours() + "h" + age.toMinutesPart() + "m"
+                : age.toMinutes() > 0
+                        ? age.toMinutes() + "m" + age.toSecondsPart() + "s"
+                        : age.toSeconds() + "s";
     }
 }
--- a/src/main/java/passhatch/cli/StoreCommand.java
+++ b/src/main/java/passhatch/cli/StoreCommand.java
@@ -30,7 +30,7 @@
         description = "Looks at what a process keeps on disk; docs/recovery.md says more.")
 final class StoreCommand extends CommandGroup {
 
-    static CommandLine line() {
+    static CommandLine commandLine() {
         return new CommandLine(new StoreCommand())
                 .addSubcommand(new Verify())
                 .addSubcommand(new Dump())
@@ -38,7 +38,7 @@
     }
 
     /** One that looks at a folder and leaves it as it is. */
-    private abstract static class Look implements Callable<Integer> {
+    private abstract static class ReadOnlySubcommand implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
         @Parameters(paramLabel = "DIR")
@@ -46,32 +46,32 @@
 
         @Override
         public final Integer call() throws IOException, StoreException {
-            try (FolderDisk disk = take(folder)) {
-                return look(disk, spec.commandLine());
+            try (FolderDisk disk = openFolder(folder)) {
+                return inspect(disk, spec.commandLine());
             }
         }
 
-        abstract int look(FolderDisk disk, CommandLine line) throws StoreException;
+        abstract int inspect(FolderDisk disk, CommandLine line) throws StoreException;
     }
 
-    private static FolderDisk take(Path folder) throws IOException, StoreException {
+    private static FolderDisk openFolder(Path folder) throws IOException, StoreException {
         if (!Files.isDirectory(folder)) {
             throw new InvalidInputException(folder + ": there is no such folder");
         }
         return FolderDisk.open(folder);
     }
 
-    private static int tell(Inspection.Report report, PrintWriter out) {
+    private static int printReport(Inspection.Report report, PrintWriter out) {
         out.println(
                 report.records()
                         + " records, the last is "
                         + report.lastSequence()
                         + ", epoch "
                         + report.epoch());
-        report.warnings().forEach(n -> out.println("note: " + n));
-        report.damage().forEach(d -> out.println("DAMAGED: " + d));
+        report.warnings().forEach(note -> out.println("note: " + note));
+        report.damage().forEach(damage -> out.println("DAMAGED: " + damage));
         out.flush();
-        return report.damage().isEmpty() ? 0 : Commands.FAILED;
+        return report.damage().isEmpty() ? 0 : Commands.EXIT_FAILURE;
     }
 
     @Command(
@@ -80,10 +80,10 @@
             description =
                     "Reads all of a store and changes nothing; exit code 1 where something is"
                             + " damaged.")
-    private static final class Verify extends Look {
+    private static final class Verify extends ReadOnlySubcommand {
         @Override
-        int look(FolderDisk disk, CommandLine line) throws StoreException {
-            return tell(Inspection.inspect(disk, entry -> {}), line.getOut());
+        int inspect(FolderDisk disk, CommandLine line) throws StoreException {
+            return printReport(Inspection.inspect(disk, entry -> {}), line.getOut());
         }
     }
 
@@ -92,13 +92,13 @@
             mixinStandardHelpOptions = true,
             description =
                     "Writes each record that can be read as a line of JSON, its bytes in Base64.")
-    private static final class Dump extends Look {
+    private static final class Dump extends ReadOnlySubcommand {
         @Override
-        int look(FolderDisk disk, CommandLine line) throws StoreException {
+        int inspect(FolderDisk disk, CommandLine line) throws StoreException {
             PrintWriter out = line.getOut();
             Inspection.Report report = Inspection.inspect(disk, entry -> out.println(json(entry)));
             out.flush();
-            return tell(report, line.getErr());
+            return printReport(report, line.getErr());
         }
 
         private static String json(Entry entry) {
@@ -107,8 +107,8 @@
             line.put("bytes", Base64.getEncoder().encodeToString(entry.bytes()));
             try {
                 return JSON.std.asString(line);
-            } catch (IOException cannotBe) {
-                throw new IllegalStateException(cannotBe);
+            } catch (IOException impossible) {
+                throw new IllegalStateException(impossible);
             }
         }
     }
@@ -135,9 +135,10 @@
             if (Files.exists(to)) {
                 throw new InvalidInputException(to + ": is there already");
             }
-            try (FolderDisk from = take(folder);
+            try (FolderDisk from = openFolder(folder);
                     FolderDisk disk = FolderDisk.open(to)) {
-                return tell(Inspection.salvage(from, disk, owner), spec.commandLine().getOut());
+                return printReport(
+                        Inspection.salvage(from, disk, owner), spec.commandLine().getOut());
             }
         }
     }
--- a/src/main/java/passhatch/lab/Main.java
+++ b/src/main/java/passhatch/lab/Main.java
@@ -22,7 +22,7 @@
 
     static CommandLine line() {
         return Commands.oneLineErrors(
-                Commands.line()
+                Commands.commandLine()
                         .addSubcommand(DrillCommand.line())
                         .addSubcommand(FleetCommand.line())
                         .addSubcommand(DutyCommand.line())
--- a/src/main/java/passhatch/lab/distribution/DistributionCommand.java
+++ b/src/main/java/passhatch/lab/distribution/DistributionCommand.java
@@ -55,7 +55,7 @@
                         + all.stream().mapToLong(Outcome::reported).sum()
                         + " reported as made");
         out.flush();
-        return broken.isEmpty() ? 0 : Commands.FAILED;
+        return broken.isEmpty() ? 0 : Commands.EXIT_FAILURE;
     }
 
     private static Outcome played(long seed, PrintWriter out) {
--- a/src/main/java/passhatch/lab/drain/WatchCommand.java
+++ b/src/main/java/passhatch/lab/drain/WatchCommand.java
@@ -70,7 +70,7 @@
             explain(firstBroken.get(), out);
         }
         out.flush();
-        return broken.sum() == 0 && exercised.sum() > 0 ? 0 : Commands.FAILED;
+        return broken.sum() == 0 && exercised.sum() > 0 ? 0 : Commands.EXIT_FAILURE;
     }
 
     private void count(Outcome run, PrintWriter out) {
--- a/src/main/java/passhatch/lab/drill/DrillCommand.java
+++ b/src/main/java/passhatch/lab/drill/DrillCommand.java
@@ -193,7 +193,7 @@
                     bad++;
                 }
             }
-            return bad == 0 ? 0 : Commands.USAGE;
+            return bad == 0 ? 0 : Commands.EXIT_USAGE;
         }
     }
 
--- a/src/main/java/passhatch/lab/duty/DutyCommand.java
+++ b/src/main/java/passhatch/lab/duty/DutyCommand.java
@@ -75,7 +75,7 @@
                                     ? "nothing is broken"
                                     : "BROKEN: " + found.broken()));
             out.flush();
-            return found.broken() == null ? 0 : Commands.FAILED;
+            return found.broken() == null ? 0 : Commands.EXIT_FAILURE;
         }
     }
 
@@ -147,7 +147,7 @@
                         gaps.get(gaps.size() - 1) * 1e-6);
             }
             out.flush();
-            return broken == 0 ? 0 : Commands.FAILED;
+            return broken == 0 ? 0 : Commands.EXIT_FAILURE;
         }
     }
 }
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -21,14 +21,14 @@
 import passhatch.Balancer.RequestClass;
 import passhatch.ListLease;
 import passhatch.proxy.backend.BackendPool;
-import passhatch.proxy.backend.BackendPool.Outgoing;
+import passhatch.proxy.backend.BackendPool.RequestSpec;
 import passhatch.proxy.backend.BackendPool.Result;
-import passhatch.proxy.backend.LoadText;
+import passhatch.proxy.backend.LoadReportParser;
 import passhatch.proxy.base.Clock;
 import passhatch.proxy.base.EventLog;
 import passhatch.proxy.base.StallDetector;
-import passhatch.proxy.client.Answer;
 import passhatch.proxy.client.ProxyRequest;
+import passhatch.proxy.client.ProxyResponse;
 import passhatch.proxy.client.RequestHandler;
 import passhatch.proxy.control.ProxyMetrics;
 import passhatch.proxy.discovery.DiscoveryClient;
@@ -264,20 +264,20 @@
     }
 
     @Override
-    public boolean take(ProxyRequest request, long unreadUs, Responder responder) {
+    public boolean accept(ProxyRequest request, long unreadUs, Responder responder) {
         Exchange exchange = new Exchange(request, responder);
         if (exchanges.putIfAbsent(request.id(), exchange) != null) {
             return false;
         }
         unanswered++;
-        log.trace("taken", request.id(), request.budgetUs());
+        log.trace("taken", request.id(), request.timeoutUs());
         exchange.uploading = !request.body().ended();
         if (exchange.uploading) {
             uploading++;
         } else {
             startDeadline(exchange, unreadUs);
         }
-        long uploadBudgetUs = exchange.uploading ? request.budgetUs() : 0;
+        long uploadBudgetUs = exchange.uploading ? request.timeoutUs() : 0;
         notifyBalancer(
                 exchange,
                 () -> {
@@ -293,14 +293,14 @@
                                             uploadBudgetUs > 0
                                                     ? uploadBudgetUs
                                                     : exchange.deadlineUs - nowUs),
-                                    request.workUs(),
-                                    request.retry()));
+                                    request.costHintUs(),
+                                    request.clientRetry()));
                 });
         return true;
     }
 
     @Override
-    public void bodyEnded(String id, long unreadUs) {
+    public void bodyCompleted(String id, long unreadUs) {
         Exchange exchange = exchanges.get(id);
         if (exchange == null || !exchange.uploading) {
             return;
@@ -310,7 +310,7 @@
             startDeadline(exchange, unreadUs);
             for (Exchange.Attempt attempt : exchange.attempts) {
                 if (attempt.outcome == null && attempt.handle != null) {
-                    attempt.handle.endWithin(exchange.deadlineUs - clock.nowUs());
+                    attempt.handle.setTimeout(exchange.deadlineUs - clock.nowUs());
                 }
             }
         }
@@ -327,7 +327,7 @@
         long nowUs = clock.nowUs();
         // A stall cannot be predicted: after recent stalls the response is due that much sooner, if
         // the deadline allows it.
-        long budgetUs = exchange.request.budgetUs();
+        long budgetUs = exchange.request.timeoutUs();
         long marginUs =
                 Math.min(RESPONSE_MARGIN_US, budgetUs / RESPONSE_MARGIN_DIVISOR)
                         + Math.min(
@@ -373,7 +373,9 @@
                     "request "
                             + exchange.request.id()
                             + ": no response from the decision module in time");
-            sendResponse(exchange, exchange.mayHaveRun() ? Answer.failed() : Answer.refused(0));
+            sendResponse(
+                    exchange,
+                    exchange.mayHaveRun() ? ProxyResponse.failed() : ProxyResponse.refused(0));
             notifyBalancer(
                     exchange, () -> balancer.clientGone(clock.nowUs(), exchange.request.id()));
             removeIfCompleted(exchange);
@@ -411,7 +413,7 @@
                     @Override
                     public void failed() {
                         clientGone(exchange.request.id());
-                        exchange.responder.broken();
+                        exchange.responder.streamFailed();
                     }
                 });
     }
@@ -425,10 +427,10 @@
         log.trace("attempt-ended", exchange.request.id(), result.outcome());
         long elapsedUs = elapsedUs(attempt);
         if (result.outcome() == Outcome.OK && !exchange.responseChosen) {
-            sendResponse(exchange, Answer.served(result.body()));
+            sendResponse(exchange, ProxyResponse.served(result.body()));
         } else if (result.outcome() != Outcome.OK && attempt.streaming && !exchange.completed) {
             complete(exchange, ProxyMetrics.RequestResult.FAILED);
-            exchange.responder.broken();
+            exchange.responder.streamFailed();
         }
         boolean requestOver = exchange.responseChosen;
         if (result.outcome() != Outcome.OK && result.outcome() != Outcome.CANCELLED) {
@@ -480,7 +482,7 @@
                 // processed.
                 log.bug("in the decision module", error);
                 if (event.exchange() != null && !event.exchange().responseChosen) {
-                    sendResponse(event.exchange(), Answer.failed());
+                    sendResponse(event.exchange(), ProxyResponse.failed());
                     removeIfCompleted(event.exchange());
                 }
             }
@@ -542,15 +544,19 @@
                 || attempt.number >= maxAttempts
                 || !body.canBeSent()) {
             loop.execute(
-                    () -> onAttemptCompleted(exchange, attempt, Result.without(Outcome.NOT_SENT)));
+                    () ->
+                            onAttemptCompleted(
+                                    exchange, attempt, Result.withoutResponse(Outcome.NOT_SENT)));
             return;
         }
         long attemptDeadlineUs =
-                exchange.uploading ? nowUs + exchange.request.budgetUs() : nowUs + attemptTimeoutUs;
+                exchange.uploading
+                        ? nowUs + exchange.request.timeoutUs()
+                        : nowUs + attemptTimeoutUs;
         attempt.handle =
                 pool.send(
                         backend,
-                        new Outgoing(
+                        new RequestSpec(
                                 () -> buildRequest(exchange, attemptDeadlineUs),
                                 body.isLong() ? body : null,
                                 () ->
@@ -561,7 +567,7 @@
                                 Outcome.TIMEOUT),
                         new BackendPool.Listener() {
                             @Override
-                            public void written() {
+                            public void onRequestWritten() {
                                 log.trace("written", exchange.request.id(), attempt.number);
                                 attempt.writtenAtUs = clock.nowUs();
                                 metrics.countBackendRequest();
@@ -578,12 +584,12 @@
                             }
 
                             @Override
-                            public void begun(ResponseStream stream) {
+                            public void onStreamStarted(ResponseStream stream) {
                                 onResponseStarted(exchange, attempt, stream);
                             }
 
                             @Override
-                            public void done(Result result) {
+                            public void onResult(Result result) {
                                 onAttemptCompleted(exchange, attempt, result);
                             }
                         });
@@ -622,15 +628,15 @@
 
     @Override
     public void refuse(String id, long retryAfterUs) {
-        respondOnce(id, Answer.refused(retryAfterUs));
+        respondOnce(id, ProxyResponse.refused(retryAfterUs));
     }
 
     @Override
     public void fail(String id) {
-        respondOnce(id, Answer.failed());
+        respondOnce(id, ProxyResponse.failed());
     }
 
-    private void respondOnce(String id, Answer response) {
+    private void respondOnce(String id, ProxyResponse response) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.responseChosen) {
             sendResponse(exchange, response);
@@ -665,7 +671,7 @@
         long sentAtUs = clock.nowUs();
         pool.send(
                 backend,
-                new Outgoing(
+                new RequestSpec(
                         BackendRequests::probe,
                         null,
                         () -> isUpAt(backend, server),
@@ -688,7 +694,7 @@
     private static LoadReport loadReport(Result result) {
         return result.report() != null || result.body() == null
                 ? result.report()
-                : LoadText.parse(new String(result.body(), StandardCharsets.UTF_8));
+                : LoadReportParser.parse(new String(result.body(), StandardCharsets.UTF_8));
     }
 
     @Override
@@ -712,13 +718,13 @@
     // ---- requests
 
     /** Sends the final response. */
-    private void sendResponse(Exchange exchange, Answer response) {
+    private void sendResponse(Exchange exchange, ProxyResponse response) {
         markResponseChosen(exchange);
         complete(exchange, resultOf(response));
-        exchange.responder.answer(response);
+        exchange.responder.respond(response);
     }
 
-    private static ProxyMetrics.RequestResult resultOf(Answer response) {
+    private static ProxyMetrics.RequestResult resultOf(ProxyResponse response) {
         return response.status().equals(HttpResponseStatus.OK)
                 ? ProxyMetrics.RequestResult.SERVED
                 : response.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -23,7 +23,7 @@
 import passhatch.proxy.base.NettyLog;
 import passhatch.proxy.base.ReloadSignal;
 import passhatch.proxy.base.StallDetector;
-import passhatch.proxy.client.ClientServer;
+import passhatch.proxy.client.HttpFrontend;
 import passhatch.proxy.client.RequestParser;
 import passhatch.proxy.control.Control;
 import passhatch.proxy.flow.BufferBudget;
@@ -65,7 +65,7 @@
     private final int maxDescriptors;
     private final DescriptorLimits descriptorLimits = new DescriptorLimits(Control.MAX_CONNECTIONS);
     private ProxyLoop proxyLoop;
-    private ClientServer frontend;
+    private HttpFrontend frontend;
     private BackendPool backendPool;
     private BufferBudget bufferBudget;
     private Control controlServer;
@@ -209,7 +209,7 @@
                 new ProxyLoop(
                         loop, clock, log, config, backendPool, stallDetector, balancerFactory);
         frontend =
-                new ClientServer(
+                new HttpFrontend(
                         loop,
                         clock,
                         log,
@@ -254,7 +254,7 @@
         backendPool.closeStale();
         updateDescriptorLimit();
         ready();
-        frontend.share(newerProcessRuns());
+        frontend.setHandover(newerProcessRuns());
     }
 
     /**
@@ -309,7 +309,7 @@
                                                     (long) descriptorLimits.clients(),
                                                     "connections to backends in use",
                                                     (long) descriptorLimits.backends()
-                                                            - backendPool.idle()));
+                                                            - backendPool.idleCount()));
                             counts.values().removeIf(count -> count == 0);
                             text.append(counts.isEmpty() ? "" : counts);
                         })
@@ -342,12 +342,12 @@
                             "shutting down"
                                     + (newerProcessReady ? ", a newer process serves" : ""));
                     ShutdownSchedule schedule = ShutdownSchedule.of(longestDeadlineMs);
-                    frontend.unready();
+                    frontend.markUnready();
                     proxyLoop.limitResponseTime(
                             TimeUnit.MILLISECONDS.toMicros(schedule.respondByMs()));
                     if (newerProcessReady) {
                         frontend.stopListening();
-                        frontend.sendAway();
+                        frontend.closeAfterResponses();
                     } else {
                         loop.schedule(
                                 frontend::stopListening,
@@ -356,7 +356,7 @@
                     }
                     loop.schedule(
                             () -> {
-                                frontend.sendAway();
+                                frontend.closeAfterResponses();
                                 terminateOnceCompleted();
                             },
                             schedule.closeClientsMs(),
@@ -369,8 +369,8 @@
      * until SIGKILL.
      */
     private void terminateOnceCompleted() {
-        frontend.endIdle();
-        if (proxyLoop.unanswered() == 0 && !frontend.receiving() && !frontend.ending()) {
+        frontend.closeIdle();
+        if (proxyLoop.unanswered() == 0 && !frontend.receivingRequest() && !frontend.closing()) {
             terminate();
         } else {
             loop.schedule(
--- a/src/main/java/passhatch/proxy/backend/BackendChannel.java
+++ b/src/main/java/passhatch/proxy/backend/BackendChannel.java
@@ -7,7 +7,7 @@
 /** A connection to a backend that can be asked whether it is still as it was left. */
 class BackendChannel extends NioSocketChannel {
 
-    private final ByteBuffer one = ByteBuffer.allocate(1);
+    private final ByteBuffer singleByte = ByteBuffer.allocate(1);
 
     /**
      * Whether nothing has come since all was read, not even the peer's end. The loop hears of what
@@ -15,9 +15,9 @@
      * connection, or find its answer behind bytes that are no part of it. Where something has come
      * the connection is of no more use.
      */
-    boolean quiet() {
+    boolean hasNoInput() {
         try {
-            return javaChannel().read(one.clear()) == 0;
+            return javaChannel().read(singleByte.clear()) == 0;
         } catch (IOException broken) {
             return false;
         }
--- a/src/main/java/passhatch/proxy/backend/BackendPool.java
+++ b/src/main/java/passhatch/proxy/backend/BackendPool.java
@@ -52,31 +52,31 @@
 public final class BackendPool {
 
     /** Idle connections kept to one backend: more only fill its table. */
-    private static final int MOST_IDLE = 8;
+    private static final int MAX_IDLE_PER_BACKEND = 8;
 
     /**
      * Part of the backends' idle time after which a connection is closed, before they may close it.
      */
-    private static final double IDLE_PART = 0.7;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
     /** An answer of up to this size is held until it is whole; a longer one goes on as it comes. */
-    private static final int MOST_HELD = 1 << 16;
+    private static final int MAX_BUFFERED_BYTES = 1 << 16;
 
     /**
      * So does one that may become longer and is not whole by then. Until then it may still break
      * and be asked for elsewhere, as spoilt answers often tell a length that is not theirs.
      */
-    private static final long HOLD_MS = 200;
+    private static final long MAX_BUFFERING_MS = 200;
 
     /**
      * An answer that goes on as it comes, and of which nothing has come for so long though it was
      * read from, never ends: it is broken off, so that its client sees it. Slow peers pause for a
      * second or two.
      */
-    private static final long STALL_MS = 5_000;
+    private static final long RESPONSE_IDLE_TIMEOUT_MS = 5_000;
 
     /** Backends that sent what nothing asked for are taken to do so again for this long. */
-    private static final long STRAYS_LAST_US = 60_000_000;
+    private static final long DISTRUST_PERIOD_US = 60_000_000;
 
     /**
      * How a call ended.
@@ -84,7 +84,7 @@
      * @param body of a 200 answer that was held, else null
      */
     public record Result(Outcome outcome, byte[] body, LoadReport report) {
-        public static Result without(Outcome outcome) {
+        public static Result withoutResponse(Outcome outcome) {
             return new Result(outcome, null, null);
         }
     }
@@ -92,13 +92,13 @@
     /** Hears of a call. */
     public interface Listener {
         /** The message was written whole. */
-        default void written() {}
+        default void onRequestWritten() {}
 
         /** An answer begins that goes on as it comes; from now on the time-out is off. */
-        default void begun(ResponseStream answer) {}
+        default void onStreamStarted(ResponseStream response) {}
 
         /** It has ended, once. */
-        void done(Result result);
+        void onResult(Result result);
     }
 
     /** A call that may be given up. */
@@ -107,7 +107,7 @@
         void cancel();
 
         /** Gives it this long from now on. */
-        void endWithin(long us);
+        void setTimeout(long timeoutUs);
     }
 
     /**
@@ -115,38 +115,38 @@
      *
      * @param message makes the message, or the head of one, when it can be written
      * @param body goes out after the head as it comes; null where the message is whole
-     * @param wanted asked just before it is written: false where it must not be sent any more
-     * @param timeout how it ends when its time is up after it was written
+     * @param stillWanted asked just before it is written: false where it must not be sent any more
+     * @param timeoutOutcome how it ends when its time is up after it was written
      */
-    public record Outgoing(
+    public record RequestSpec(
             Supplier<HttpRequest> message,
             RequestBody body,
-            BooleanSupplier wanted,
+            BooleanSupplier stillWanted,
             long timeoutUs,
-            Outcome timeout) {}
+            Outcome timeoutOutcome) {}
 
     private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
     private final BufferBudget budget;
-    private final long idleUs;
-    private final long restUs;
+    private final long idleTimeoutUs;
+    private final long reuseDelayUs;
 
     /**
      * Until then connections rest: it would cost more of them where no backend does such a thing.
      */
-    private long strayUntilUs = Long.MIN_VALUE;
+    private long distrustUntilUs = Long.MIN_VALUE;
 
     private final DescriptorLimits descriptors;
     private final Bootstrap bootstrap;
-    private final Map<InetSocketAddress, Deque<Connection>> idle = new HashMap<>();
+    private final Map<InetSocketAddress, Deque<Connection>> idleConnections = new HashMap<>();
 
     /**
      * A pool without connections.
      *
      * @param budget of the bytes that it passes on
      * @param keepaliveUs after which backends close idle connections; 0 where none may be kept
-     * @param restUs how long a connection rests after an answer before it is used again while
+     * @param reuseDelayUs how long a connection rests after an answer before it is used again while
      *     backends send what nothing asked for, in microseconds: a second answer to the same
      *     request may follow some milliseconds later, and would pass for the answer to the next
      * @param descriptors shared with the callers' side
@@ -158,7 +158,7 @@
             BufferBudget budget,
             long connectTimeoutUs,
             long keepaliveUs,
-            long restUs,
+            long reuseDelayUs,
             DescriptorLimits descriptors) {
         this(
                 loop,
@@ -167,7 +167,7 @@
                 budget,
                 connectTimeoutUs,
                 keepaliveUs,
-                restUs,
+                reuseDelayUs,
                 descriptors,
                 BackendChannel::new);
     }
@@ -180,20 +180,20 @@
             BufferBudget budget,
             long connectTimeoutUs,
             long keepaliveUs,
-            long restUs,
+            long reuseDelayUs,
             DescriptorLimits descriptors,
-            ChannelFactory<BackendChannel> sockets) {
+            ChannelFactory<BackendChannel> channelFactory) {
         this.loop = loop;
         this.clock = clock;
         this.log = log;
         this.budget = budget;
-        this.idleUs = (long) (keepaliveUs * IDLE_PART);
-        this.restUs = restUs;
+        this.idleTimeoutUs = (long) (keepaliveUs * IDLE_TIMEOUT_FRACTION);
+        this.reuseDelayUs = reuseDelayUs;
         this.descriptors = descriptors;
         this.bootstrap =
                 new Bootstrap()
                         .group(loop)
-                        .channelFactory(sockets)
+                        .channelFactory(channelFactory)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Relay.WATER_MARK)
                         .option(ChannelOption.RECVBUF_ALLOCATOR, Relay.READ_SIZES)
@@ -208,92 +208,94 @@
 
     /** Closes connections that backends might soon close themselves; to be called now and then. */
     public void closeStale() {
-        long before = clock.nowUs() - idleUs;
-        for (Deque<Connection> at : idle.values()) {
-            while (!at.isEmpty() && at.peekLast().idleSinceUs <= before) {
-                at.pollLast().channel.close();
+        long staleBeforeUs = clock.nowUs() - idleTimeoutUs;
+        for (Deque<Connection> connections : idleConnections.values()) {
+            while (!connections.isEmpty() && connections.peekLast().idleSinceUs <= staleBeforeUs) {
+                connections.pollLast().channel.close();
             }
         }
-        idle.values().removeIf(Deque::isEmpty);
+        idleConnections.values().removeIf(Deque::isEmpty);
     }
 
     /** Closes the idle connections to a backend. */
     public void closeIdle(InetSocketAddress address) {
-        Deque<Connection> at = idle.remove(address);
-        if (at != null) {
-            at.forEach(c -> c.channel.close());
+        Deque<Connection> connections = idleConnections.remove(address);
+        if (connections != null) {
+            connections.forEach(connection -> connection.channel.close());
         }
     }
 
     /** How many connections are kept for later. */
-    public int idle() {
-        return idle.values().stream().mapToInt(Deque::size).sum();
+    public int idleCount() {
+        return idleConnections.values().stream().mapToInt(Deque::size).sum();
     }
 
     /** Sends a message to a backend, on a kept connection if there is one. */
-    public Handle send(InetSocketAddress address, Outgoing outgoing, Listener listener) {
-        Call call = new Call(outgoing, listener);
-        Connection kept = takeIdle(address);
-        if (kept == null && descriptors.backendsFull()) {
+    public Handle send(InetSocketAddress address, RequestSpec spec, Listener listener) {
+        OutgoingRequest request = new OutgoingRequest(spec, listener);
+        Connection pooled = takeIdle(address);
+        if (pooled == null && descriptors.backendsFull()) {
             closeLongestIdle();
         }
-        if (kept == null && descriptors.backendsFull()) {
+        if (pooled == null && descriptors.backendsFull()) {
             log.line(
                     "no connection left for "
                             + address
                             + ": "
                             + descriptors.backends()
                             + " are open");
-            loop.execute(() -> call.end(Result.without(Outcome.NOT_SENT)));
-            return call;
-        }
-        call.endWithin(outgoing.timeoutUs());
-        if (kept != null) {
-            kept.call = call;
-            call.connection = kept;
-            kept.write(call);
+            loop.execute(() -> request.complete(Result.withoutResponse(Outcome.NOT_SENT)));
+            return request;
+        }
+        request.setTimeout(spec.timeoutUs());
+        if (pooled != null) {
+            pooled.request = request;
+            request.connection = pooled;
+            pooled.write(request);
         } else {
-            connect(address, call);
+            connect(address, request);
         }
-        return call;
+        return request;
     }
 
     private Connection takeIdle(InetSocketAddress address) {
-        long now = clock.nowUs();
-        Deque<Connection> at = idle.get(address);
-        if (at == null) {
+        long nowUs = clock.nowUs();
+        Deque<Connection> connections = idleConnections.get(address);
+        if (connections == null) {
             return null;
         }
-        for (Iterator<Connection> each = at.iterator(); each.hasNext(); ) {
-            Connection c = each.next();
-            if (c.restsUntilUs <= now || strayUntilUs <= now) {
-                each.remove();
-                if (c.channel.isActive() && c.idleSinceUs > now - idleUs && c.channel.quiet()) {
-                    return c;
+        for (Iterator<Connection> iterator = connections.iterator(); iterator.hasNext(); ) {
+            Connection connection = iterator.next();
+            if (connection.reusableFromUs <= nowUs || distrustUntilUs <= nowUs) {
+                iterator.remove();
+                if (connection.channel.isActive()
+                        && connection.idleSinceUs > nowUs - idleTimeoutUs
+                        && connection.channel.hasNoInput()) {
+                    return connection;
                 }
-                c.channel.close();
+                connection.channel.close();
             }
         }
         return null;
     }
 
-    private void strayed(InetSocketAddress from, String what) {
-        strayUntilUs = clock.nowUs() + STRAYS_LAST_US;
-        log.line(what + " from " + from + " that nothing asked for");
+    private void onUnsolicitedData(InetSocketAddress backend, String what) {
+        distrustUntilUs = clock.nowUs() + DISTRUST_PERIOD_US;
+        log.line(what + " from " + backend + " that nothing asked for");
     }
 
     /** Makes room for one to another backend. */
     private void closeLongestIdle() {
-        idle.values().stream()
-                .filter(at -> !at.isEmpty())
+        idleConnections.values().stream()
+                .filter(connections -> !connections.isEmpty())
                 .map(Deque::peekLast)
-                .min(Comparator.comparingLong(c -> c.idleSinceUs))
-                .ifPresent(c -> c.channel.close());
+                .min(Comparator.comparingLong(connection -> connection.idleSinceUs))
+                .ifPresent(connection -> connection.channel.close());
     }
 
-    private void connect(InetSocketAddress address, Call call) {
-        Connection c = new Connection(address);
-        c.call = call;
+    private void connect(InetSocketAddress address, OutgoingRequest request) {
+        Connection connection = new Connection(address);
+        connection.request = request;
         ChannelFuture connecting =
                 bootstrap
                         .clone()
@@ -302,111 +304,117 @@
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
                                         channel.pipeline()
-                                                .addLast(c.decoder, new HttpRequestEncoder(), c);
+                                                .addLast(
+                                                        connection.decoder,
+                                                        new HttpRequestEncoder(),
+                                                        connection);
                                     }
                                 })
                         .connect(address);
         if (!(connecting.channel() instanceof BackendChannel channel)) {
-            loop.execute(() -> notSent(call, address, connecting.cause()));
+            loop.execute(() -> completeNotSent(request, address, connecting.cause()));
             return;
         }
-        c.channel = channel;
-        call.connection = c;
+        connection.channel = channel;
+        request.connection = connection;
         descriptors.addBackends(1);
         // Runs in a later step of the loop even where the connection fails at once.
         connecting.addListener(
-                done ->
+                connected ->
                         loop.execute(
                                 () -> {
-                                    if (done.isSuccess()) {
-                                        c.write(call);
-                                    } else if (LocalFailure.isLocal(done.cause())) {
-                                        notSent(call, address, done.cause());
+                                    if (connected.isSuccess()) {
+                                        connection.write(request);
+                                    } else if (LocalFailure.isLocal(connected.cause())) {
+                                        completeNotSent(request, address, connected.cause());
                                     } else {
-                                        c.broken();
+                                        connection.onConnectionLost();
                                     }
                                 }));
-        c.channel.closeFuture().addListener(closed -> descriptors.addBackends(-1));
+        connection.channel.closeFuture().addListener(closed -> descriptors.addBackends(-1));
     }
 
     /** Nothing of this is the backend's doing. */
-    private void notSent(Call call, InetSocketAddress address, Throwable cause) {
-        if (!call.ended) {
+    private void completeNotSent(
+            OutgoingRequest request, InetSocketAddress address, Throwable cause) {
+        if (!request.completed) {
             log.line("no connection could be made here to " + address + ": " + cause);
-            call.end(Result.without(Outcome.NOT_SENT));
+            request.complete(Result.withoutResponse(Outcome.NOT_SENT));
         }
     }
 
     /** One call, from its start to its only result. */
-    private final class Call implements Handle {
-        final Outgoing outgoing;
+    private final class OutgoingRequest implements Handle {
+        final RequestSpec spec;
         private final Listener listener;
         Connection connection;
-        Future<?> timeout;
+        Future<?> timeoutTimer;
 
         /** All of the message has been handed to the network: from now on it may run. */
         boolean written;
 
-        boolean ended;
+        boolean completed;
 
-        Call(Outgoing outgoing, Listener listener) {
-            this.outgoing = outgoing;
+        OutgoingRequest(RequestSpec spec, Listener listener) {
+            this.spec = spec;
             this.listener = listener;
         }
 
         @Override
         public void cancel() {
-            giveUp(Outcome.CANCELLED);
+            abort(Outcome.CANCELLED);
         }
 
         @Override
-        public void endWithin(long us) {
-            stopClock();
-            if (!ended) {
-                timeout = loop.schedule(this::timeUp, Math.max(0, us), TimeUnit.MICROSECONDS);
+        public void setTimeout(long timeoutUs) {
+            cancelTimeout();
+            if (!completed) {
+                timeoutTimer =
+                        loop.schedule(
+                                this::onTimeout, Math.max(0, timeoutUs), TimeUnit.MICROSECONDS);
             }
         }
 
-        void stopClock() {
-            if (timeout != null) {
-                timeout.cancel(false);
-                timeout = null;
+        void cancelTimeout() {
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel(false);
+                timeoutTimer = null;
             }
         }
 
         /** All of the message has been handed to the network. */
-        void out() {
-            if (!ended) {
+        void onWritten() {
+            if (!completed) {
                 written = true;
-                listener.written();
+                listener.onRequestWritten();
             }
         }
 
-        private void timeUp() {
-            if (connection != null && connection.goesOn()) {
+        private void onTimeout() {
+            if (connection != null && connection.streamIfLong()) {
                 return;
             }
             // What was never written whole cannot run: the connection did not come up in time.
-            giveUp(written ? outgoing.timeout() : Outcome.CONNECT_FAILED);
+            abort(written ? spec.timeoutOutcome() : Outcome.CONNECT_FAILED);
         }
 
-        void giveUp(Outcome outcome) {
-            if (!ended) {
+        void abort(Outcome outcome) {
+            if (!completed) {
                 if (connection != null) {
-                    connection.letGo();
+                    connection.close();
                 }
-                end(Result.without(outcome));
+                complete(Result.withoutResponse(outcome));
             }
         }
 
-        void end(Result result) {
-            if (!ended) {
-                ended = true;
-                stopClock();
-                if (outgoing.body() != null && !written) {
-                    outgoing.body().stopSending();
+        void complete(Result result) {
+            if (!completed) {
+                completed = true;
+                cancelTimeout();
+                if (spec.body() != null && !written) {
+                    spec.body().stopSending();
                 }
-                listener.done(result);
+                listener.onResult(result);
             }
         }
     }
@@ -414,14 +422,14 @@
     /** A connection, and the call that it carries now. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final InetSocketAddress address;
-        final AnswerDecoder decoder = new AnswerDecoder();
+        final ResponseDecoder decoder = new ResponseDecoder();
         BackendChannel channel;
-        Call call;
+        OutgoingRequest request;
         long idleSinceUs;
-        long restsUntilUs;
+        long reusableFromUs;
 
         /** The answer to the call, until all that came with it has been read. */
-        private Incoming answer;
+        private IncomingResponse response;
 
         /** What comes now belongs to an interim answer. */
         private boolean interim;
@@ -431,89 +439,91 @@
         }
 
         /** Writes the message, unless the call has been given up or must not go out any more. */
-        void write(Call toWrite) {
-            if (toWrite.ended) {
+        void write(OutgoingRequest toWrite) {
+            if (toWrite.completed) {
                 channel.close();
             } else if (!channel.isActive()) {
-                broken();
-            } else if (!toWrite.outgoing.wanted().getAsBoolean()) {
-                call = null;
-                keep(0);
-                toWrite.end(Result.without(Outcome.NOT_SENT));
+                onConnectionLost();
+            } else if (!toWrite.spec.stillWanted().getAsBoolean()) {
+                request = null;
+                returnToPool(0);
+                toWrite.complete(Result.withoutResponse(Outcome.NOT_SENT));
             } else {
-                decoder.expectAnswer();
-                RequestBody body = toWrite.outgoing.body();
-                channel.writeAndFlush(toWrite.outgoing.message().get())
+                decoder.expectResponse();
+                RequestBody body = toWrite.spec.body();
+                channel.writeAndFlush(toWrite.spec.message().get())
                         .addListener(
-                                done -> {
-                                    if (!done.isSuccess()) {
+                                written -> {
+                                    if (!written.isSuccess()) {
                                         channel.close();
                                     } else if (body == null) {
-                                        toWrite.out();
+                                        toWrite.onWritten();
                                     }
                                 });
                 if (body != null) {
-                    body.sendTo(channel, new BodyOut(toWrite));
+                    body.sendTo(channel, new BodyListener(toWrite));
                 }
             }
         }
 
         /** A long answer whose start is here in time is passed on now, and its rest as it comes. */
-        boolean goesOn() {
-            return answer != null && answer.goesOn();
+        boolean streamIfLong() {
+            return response != null && response.streamIfLong();
         }
 
         /** The connection is given up, whatever it carries. */
-        void letGo() {
-            call = null;
-            dropAnswer();
+        void close() {
+            request = null;
+            dropResponse();
             channel.close();
         }
 
-        private void dropAnswer() {
-            Incoming dropped = answer;
-            answer = null;
+        private void dropResponse() {
+            IncomingResponse dropped = response;
+            response = null;
             if (dropped != null) {
                 dropped.drop();
             }
         }
 
         /** The connection is gone: before the last byte was written the request cannot have run. */
-        void broken() {
-            Call lost = call;
-            call = null;
-            dropAnswer();
+        void onConnectionLost() {
+            OutgoingRequest lost = request;
+            request = null;
+            dropResponse();
             if (lost != null) {
-                lost.end(Result.without(lost.written ? Outcome.RESET : Outcome.CONNECT_FAILED));
+                lost.complete(
+                        Result.withoutResponse(
+                                lost.written ? Outcome.RESET : Outcome.CONNECT_FAILED));
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
             if (part instanceof HttpResponse head) {
-                begin(ctx, head);
+                onResponseHead(ctx, head);
             }
             if (part instanceof HttpContent content) {
                 if (interim) {
                     interim = !(content instanceof LastHttpContent);
-                } else if (answer != null) {
-                    answer.take(content);
+                } else if (response != null) {
+                    response.onContent(content);
                 }
             }
         }
 
-        private void begin(ChannelHandlerContext ctx, HttpResponse head) {
+        private void onResponseHead(ChannelHandlerContext ctx, HttpResponse head) {
             interim = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
             if (interim) {
                 return;
             }
-            if (call == null) {
-                strayed(address, "an answer");
+            if (request == null) {
+                onUnsolicitedData(address, "an answer");
                 ctx.close();
-            } else if (answer == null) {
-                answer = new Incoming(this, call, head);
+            } else if (response == null) {
+                response = new IncomingResponse(this, request, head);
             } else {
-                answer.second(head);
+                response.onExtraResponse(head);
             }
         }
 
@@ -523,38 +533,44 @@
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            boolean surplus = decoder.surplus();
-            Call answered = call;
-            Incoming given = answer;
-            if (answered == null && surplus) {
-                strayed(address, "bytes");
+            boolean unsolicited = decoder.hasUnsolicitedBytes();
+            OutgoingRequest currentRequest = request;
+            IncomingResponse currentResponse = response;
+            if (currentRequest == null && unsolicited) {
+                onUnsolicitedData(address, "bytes");
                 ctx.close();
-            } else if (answered != null && given != null && given.complete()) {
-                if (surplus || !given.single) {
-                    strayed(address, "more than an answer");
+            } else if (currentRequest != null
+                    && currentResponse != null
+                    && currentResponse.isFinished()) {
+                if (unsolicited || !currentResponse.onlyResponse) {
+                    onUnsolicitedData(address, "more than an answer");
                 }
-                boolean again =
-                        given.keepAlive() && answered.written && !surplus && !decoder.peerEnded();
-                call = null;
-                answer = null;
-                if (again) {
-                    keep(restUs);
+                boolean reusable =
+                        currentResponse.keepAlive()
+                                && currentRequest.written
+                                && !unsolicited
+                                && !decoder.peerHalfClosed();
+                request = null;
+                response = null;
+                if (reusable) {
+                    returnToPool(reuseDelayUs);
                 } else {
                     ctx.close();
                 }
-                given.finish(surplus);
+                currentResponse.finish(unsolicited);
             }
             ctx.fireChannelReadComplete();
         }
 
-        private void keep(long rest) {
+        private void returnToPool(long delayUs) {
             channel.config().setAutoRead(true);
             idleSinceUs = clock.nowUs();
-            restsUntilUs = idleSinceUs + rest;
-            Deque<Connection> at = idle.computeIfAbsent(address, a -> new ArrayDeque<>());
-            at.addFirst(this);
-            if (at.size() > MOST_IDLE || idleUs <= 0) {
-                at.pollLast().channel.close();
+            reusableFromUs = idleSinceUs + delayUs;
+            Deque<Connection> connections =
+                    idleConnections.computeIfAbsent(address, a -> new ArrayDeque<>());
+            connections.addFirst(this);
+            if (connections.size() > MAX_IDLE_PER_BACKEND || idleTimeoutUs <= 0) {
+                connections.pollLast().channel.close();
             }
         }
 
@@ -571,11 +587,11 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            Deque<Connection> at = idle.get(address);
-            if (at != null) {
-                at.remove(this);
+            Deque<Connection> connections = idleConnections.get(address);
+            if (connections != null) {
+                connections.remove(this);
             }
-            broken();
+            onConnectionLost();
         }
 
         @Override
@@ -586,51 +602,52 @@
     }
 
     /** Hears how the body of a request went out. */
-    private record BodyOut(Call call) implements Relay.Listener {
+    private record BodyListener(OutgoingRequest request) implements Relay.Listener {
         @Override
         public void completed() {
-            call.out();
+            request.onWritten();
         }
 
         @Override
         public void failed() {
-            call.connection.channel.close();
+            request.connection.channel.close();
         }
     }
 
     /** An answer while it comes in. */
-    private final class Incoming implements ResponseStream {
+    private final class IncomingResponse implements ResponseStream {
         private final Connection connection;
-        private final Call call;
+        private final OutgoingRequest request;
         private final HttpResponse head;
         private final long length;
-        private final BufferedBytes held = new BufferedBytes(budget);
-        private final Future<?> hold;
-        private Future<?> stall;
+        private final BufferedBytes buffered = new BufferedBytes(budget);
+        private final Future<?> bufferingTimer;
+        private Future<?> idleTimer;
 
         /** It is read from, and something has come since the last look. */
-        private boolean moved;
+        private boolean receivedSinceCheck;
 
         private Relay relay;
         private long size;
-        private boolean begun;
-        private boolean whole;
+        private boolean streaming;
+        private boolean fullyReceived;
         private boolean malformed;
-        private boolean single = true;
+        private boolean onlyResponse = true;
 
-        Incoming(Connection connection, Call call, HttpResponse head) {
+        IncomingResponse(Connection connection, OutgoingRequest request, HttpResponse head) {
             this.connection = connection;
-            this.call = call;
+            this.request = request;
             this.head = head;
             this.length = HttpUtil.getContentLength(head, -1L);
             this.malformed =
                     head.decoderResult().isFailure()
                             || connection.decoder.malformed()
                             || length > RequestBody.MAX_BYTES;
-            boolean mayBeLong = length < 0 || length > MOST_HELD;
-            this.hold =
+            boolean mayBeLong = length < 0 || length > MAX_BUFFERED_BYTES;
+            this.bufferingTimer =
                     mayBeLong && head.status().equals(HttpResponseStatus.OK)
-                            ? loop.schedule(this::begin, HOLD_MS, TimeUnit.MILLISECONDS)
+                            ? loop.schedule(
+                                    this::startStreaming, MAX_BUFFERING_MS, TimeUnit.MILLISECONDS)
                             : null;
         }
 
@@ -638,43 +655,43 @@
          * A second answer to one request is dropped with its connection; one that is no HTTP may be
          * what is left of a body that was longer than its head said.
          */
-        void second(HttpResponse next) {
-            single = false;
-            malformed |= next.decoderResult().isFailure();
+        void onExtraResponse(HttpResponse extra) {
+            onlyResponse = false;
+            malformed |= extra.decoderResult().isFailure();
         }
 
-        void take(HttpContent content) {
-            moved = true;
+        void onContent(HttpContent content) {
+            receivedSinceCheck = true;
             size += content.content().readableBytes();
             malformed |= content.decoderResult().isFailure() || size > RequestBody.MAX_BYTES;
-            if (!single || malformed) {
+            if (!onlyResponse || malformed) {
                 return;
             }
             if (relay != null) {
                 relay.forward(content.content().retain());
             } else {
-                held.add(content.content());
+                buffered.add(content.content());
             }
-            whole |= content instanceof LastHttpContent;
-            if (!whole && held.size() > MOST_HELD) {
-                begin();
+            fullyReceived |= content instanceof LastHttpContent;
+            if (!fullyReceived && buffered.size() > MAX_BUFFERED_BYTES) {
+                startStreaming();
             }
         }
 
         /** From now on it goes on as it comes; where it is no 200, nobody wants the rest. */
-        private void begin() {
-            if (begun || whole || malformed || connection.answer != this) {
+        private void startStreaming() {
+            if (streaming || fullyReceived || malformed || connection.response != this) {
                 return;
             }
             if (head.status().equals(HttpResponseStatus.OK)) {
-                begun = true;
+                streaming = true;
                 connection.channel.config().setAutoRead(false);
-                call.stopClock();
-                watchStall();
-                call.listener.begun(this);
+                request.cancelTimeout();
+                scheduleIdleCheck();
+                request.listener.onStreamStarted(this);
             } else {
-                connection.letGo();
-                call.end(result(head, null));
+                connection.close();
+                request.complete(toResult(head, null));
             }
         }
 
@@ -682,21 +699,22 @@
          * Has it go on now if it is known to be long: of such the first bytes are timed, not the
          * last.
          */
-        boolean goesOn() {
-            if (length > MOST_HELD) {
-                begin();
+        boolean streamIfLong() {
+            if (length > MAX_BUFFERED_BYTES) {
+                startStreaming();
             }
-            return begun;
+            return streaming;
         }
 
         /** Of one that is not read from, as its client is slow, nothing can come. */
-        private void watchStall() {
-            stall =
+        private void scheduleIdleCheck() {
+            idleTimer =
                     loop.schedule(
                             () -> {
-                                if (moved || !connection.channel.config().isAutoRead()) {
-                                    moved = false;
-                                    watchStall();
+                                if (receivedSinceCheck
+                                        || !connection.channel.config().isAutoRead()) {
+                                    receivedSinceCheck = false;
+                                    scheduleIdleCheck();
                                 } else {
                                     log.line(
                                             "an answer from "
@@ -705,7 +723,7 @@
                                     connection.channel.close();
                                 }
                             },
-                            STALL_MS,
+                            RESPONSE_IDLE_TIMEOUT_MS,
                             TimeUnit.MILLISECONDS);
         }
 
@@ -722,36 +740,36 @@
                             loop,
                             budget,
                             on -> {
-                                if (!whole) {
+                                if (!fullyReceived) {
                                     connection.channel.config().setAutoRead(on);
                                 }
                             },
                             client,
                             listener);
-            relay.forward(Unpooled.wrappedBuffer(held.take()));
-            if (whole && relay != null) {
+            relay.forward(Unpooled.wrappedBuffer(buffered.take()));
+            if (fullyReceived && relay != null) {
                 relay.finish();
             }
         }
 
-        boolean complete() {
-            return whole || malformed;
+        boolean isFinished() {
+            return fullyReceived || malformed;
         }
 
         boolean keepAlive() {
-            return whole && single && !malformed && HttpUtil.isKeepAlive(head);
+            return fullyReceived && onlyResponse && !malformed && HttpUtil.isKeepAlive(head);
         }
 
         /** All that came with it has been read. */
-        void finish(boolean surplus) {
-            stopTimers();
-            byte[] body = begun ? null : held.take();
-            if (malformed || surplus && !begun) {
+        void finish(boolean unsolicited) {
+            cancelTimers();
+            byte[] body = streaming ? null : buffered.take();
+            if (malformed || unsolicited && !streaming) {
                 drop();
-                call.end(Result.without(Outcome.RESET));
+                request.complete(Result.withoutResponse(Outcome.RESET));
                 return;
             }
-            call.end(result(head, body));
+            request.complete(toResult(head, body));
             if (relay != null) {
                 relay.finish();
             }
@@ -759,35 +777,35 @@
 
         /** It will not be whole. */
         void drop() {
-            stopTimers();
-            held.drop();
+            cancelTimers();
+            buffered.drop();
             if (relay != null) {
                 relay.stop();
                 relay = null;
             }
         }
 
-        private void stopTimers() {
-            if (hold != null) {
-                hold.cancel(false);
+        private void cancelTimers() {
+            if (bufferingTimer != null) {
+                bufferingTimer.cancel(false);
             }
-            if (stall != null) {
-                stall.cancel(false);
+            if (idleTimer != null) {
+                idleTimer.cancel(false);
             }
         }
     }
 
-    private static Result result(HttpResponse response, byte[] body) {
+    private static Result toResult(HttpResponse response, byte[] body) {
         HttpResponseStatus status = response.status();
-        LoadReport report = LoadText.parse(response.headers().get("X-Load"));
+        LoadReport report = LoadReportParser.parse(response.headers().get("X-Load"));
         if (status.equals(HttpResponseStatus.OK)) {
             return new Result(Outcome.OK, body, report);
         }
         // Without the header a 503 or 504 may come from a tier behind, after the request ran.
-        boolean turnedAway =
+        boolean rejected =
                 (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                                 || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
                         && "1".equals(response.headers().get("X-Not-Run"));
-        return new Result(turnedAway ? Outcome.FULL : Outcome.ERROR, null, report);
+        return new Result(rejected ? Outcome.FULL : Outcome.ERROR, null, report);
     }
 }
--- a/src/main/java/passhatch/proxy/backend/LoadText.java
+++ b/src/main/java/passhatch/proxy/backend/LoadReportParser.java
@@ -5,11 +5,11 @@
 import passhatch.Balancer.LoadReport;
 
 /** Reads load reports such as {@code TEXT inflight=7, queue=2, util=0.61}. */
-public final class LoadText {
+public final class LoadReportParser {
 
-    private static final Pattern FIGURE = Pattern.compile("([a-z_0-9]+)=([0-9.eE+-]+)");
+    private static final Pattern FIELD = Pattern.compile("([a-z_0-9]+)=([0-9.eE+-]+)");
 
-    private LoadText() {}
+    private LoadReportParser() {}
 
     /** The report, or null where the text holds none. */
     public static LoadReport parse(String text) {
@@ -19,23 +19,23 @@
         double inFlight = -1;
         double queue = -1;
         double utilisation = -1;
-        Matcher figures = FIGURE.matcher(text);
-        boolean any = false;
-        while (figures.find()) {
+        Matcher fields = FIELD.matcher(text);
+        boolean found = false;
+        while (fields.find()) {
             double value;
             try {
-                value = Double.parseDouble(figures.group(2));
-            } catch (NumberFormatException bad) {
+                value = Double.parseDouble(fields.group(2));
+            } catch (NumberFormatException malformed) {
                 return null;
             }
-            any = true;
-            switch (figures.group(1)) {
+            found = true;
+            switch (fields.group(1)) {
                 case "inflight" -> inFlight = value;
                 case "queue" -> queue = value;
                 case "util" -> utilisation = value;
                 default -> {}
             }
         }
-        return any ? new LoadReport(inFlight, queue, utilisation) : null;
+        return found ? new LoadReport(inFlight, queue, utilisation) : null;
     }
 }
--- a/src/main/java/passhatch/proxy/backend/AnswerDecoder.java
+++ b/src/main/java/passhatch/proxy/backend/ResponseDecoder.java
@@ -13,23 +13,23 @@
  * too, for the end of an answer without a length. The channel has to allow half-closure, as that
  * tells its peer's own end from all others.
  */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class ResponseDecoder extends HttpResponseDecoder {
 
     /** The first character of the status code, as in {@code HTTP/1.1 100}. */
-    private static final int STATUS_AT = 9;
+    private static final int STATUS_CODE_OFFSET = 9;
 
     private boolean inHead;
-    private boolean startLine;
+    private boolean inStartLine;
     private boolean interim;
-    private boolean colon;
-    private boolean continued;
+    private boolean colonSeen;
+    private boolean foldedLine;
     private int lineLength;
     private boolean malformed;
-    private boolean peerEnded;
+    private boolean peerHalfClosed;
 
     /** A request has been written: what comes next is the head of its answer. */
-    void expectAnswer() {
-        beginHead();
+    void expectResponse() {
+        startHead();
         malformed = false;
     }
 
@@ -39,18 +39,18 @@
     }
 
     /** Whether bytes are there that belong to no answer read so far. */
-    boolean surplus() {
+    boolean hasUnsolicitedBytes() {
         return actualReadableBytes() > 0;
     }
 
     /** Whether the peer has ended its sending in an orderly way: nothing more can come. */
-    boolean peerEnded() {
-        return peerEnded;
+    boolean peerHalfClosed() {
+        return peerHalfClosed;
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-        peerEnded |= event instanceof ChannelInputShutdownEvent;
+        peerHalfClosed |= event instanceof ChannelInputShutdownEvent;
         super.userEventTriggered(ctx, event);
     }
 
@@ -58,7 +58,7 @@
     @Override
     protected void decodeLast(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
             throws Exception {
-        if (peerEnded) {
+        if (peerHalfClosed) {
             super.decodeLast(ctx, in, out);
         }
     }
@@ -67,46 +67,46 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
         if (message instanceof ByteBuf bytes) {
             for (int i = bytes.readerIndex(); inHead && i < bytes.writerIndex(); i++) {
-                check(bytes.getByte(i));
+                checkByte(bytes.getByte(i));
             }
         }
         super.channelRead(ctx, message);
     }
 
-    private void beginHead() {
+    private void startHead() {
         inHead = true;
-        startLine = true;
+        inStartLine = true;
         interim = false;
-        beginLine();
+        startLine();
     }
 
-    private void beginLine() {
-        colon = false;
-        continued = false;
+    private void startLine() {
+        colonSeen = false;
+        foldedLine = false;
         lineLength = 0;
     }
 
-    private void check(byte b) {
+    private void checkByte(byte b) {
         if (b == '\n') {
             endLine();
         } else if (b != '\r') {
-            colon |= b == ':';
-            continued |= lineLength == 0 && (b == ' ' || b == '\t');
-            interim |= startLine && lineLength == STATUS_AT && b == '1';
+            colonSeen |= b == ':';
+            foldedLine |= lineLength == 0 && (b == ' ' || b == '\t');
+            interim |= inStartLine && lineLength == STATUS_CODE_OFFSET && b == '1';
             lineLength++;
         }
     }
 
     private void endLine() {
-        if (lineLength == 0 && !startLine) {
+        if (lineLength == 0 && !inStartLine) {
             inHead = false;
             if (interim) {
-                beginHead();
+                startHead();
             }
             return;
         }
-        malformed |= !startLine && !colon && !continued;
-        startLine &= lineLength == 0;
-        beginLine();
+        malformed |= !inStartLine && !colonSeen && !foldedLine;
+        inStartLine &= lineLength == 0;
+        startLine();
     }
 }
--- a/src/main/java/passhatch/proxy/client/AcceptRetry.java
+++ b/src/main/java/passhatch/proxy/client/AcceptRetry.java
@@ -13,12 +13,12 @@
 final class AcceptRetry extends ChannelInboundHandlerAdapter {
 
     /** Long enough not to spin where no descriptor is left, and short against every deadline. */
-    static final long PAUSE_MS = 10;
+    static final long RETRY_DELAY_MS = 10;
 
-    private static final long SAY_AGAIN_NS = TimeUnit.SECONDS.toNanos(10);
+    private static final long LOG_INTERVAL_NS = TimeUnit.SECONDS.toNanos(10);
 
     private final EventLog log;
-    private long sayAgainNs = System.nanoTime();
+    private long nextLogNs = System.nanoTime();
 
     AcceptRetry(EventLog log) {
         this.log = log;
@@ -26,15 +26,15 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        long now = System.nanoTime();
-        if (now - sayAgainNs >= 0) {
-            sayAgainNs = now + SAY_AGAIN_NS;
+        long nowNs = System.nanoTime();
+        if (nowNs - nextLogNs >= 0) {
+            nextLogNs = nowNs + LOG_INTERVAL_NS;
             log.line("a connection could not be accepted: " + cause.getMessage());
         }
         ChannelConfig config = ctx.channel().config();
         config.setAutoRead(false);
         ctx.channel()
                 .eventLoop()
-                .schedule(() -> config.setAutoRead(true), PAUSE_MS, TimeUnit.MILLISECONDS);
+                .schedule(() -> config.setAutoRead(true), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/passhatch/proxy/client/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/client/ClientConnection.java
@@ -34,40 +34,40 @@
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
     /** Requests of one connection that may be unanswered before no more are taken from it. */
-    private static final int MOST_PIPELINED = 4;
+    private static final int MAX_PIPELINED = 4;
 
     /**
      * A peer that connects, or begins a request, and has sent no head by then is let go: it may
      * take 2 s for that (operators' days), and is owed a close within 3 s (terms).
      */
-    private static final long HEAD_WITHIN_US = 2_500_000;
+    private static final long HEAD_TIMEOUT_US = 2_500_000;
 
     /** A body may stand still for this long, beside the time that its bytes take at the slowest. */
-    private static final long BODY_PAUSE_US = 1_500_000;
+    private static final long MAX_BODY_PAUSE_US = 1_500_000;
 
     /** Half of the 64 kB a second that clients send at the slowest (operators' days), in pieces. */
-    private static final double BODY_BYTES_PER_US = 0.032;
+    private static final double MIN_BODY_BYTES_PER_US = 0.032;
 
-    private final ClientServer server;
+    private final HttpFrontend frontend;
     private final Channel channel;
     private final EventLoop loop;
-    private final ReadAhead reads;
-    private final ArrayDeque<Turn> turns = new ArrayDeque<>();
+    private final ReadAhead readAhead;
+    private final ArrayDeque<PendingRequest> pendingRequests = new ArrayDeque<>();
 
     /** The request that is coming in now, from its head to its end. */
-    private Turn receiving;
+    private PendingRequest incoming;
 
     /** Where the body that is coming in goes to is full: nothing more of it is wanted. */
-    private boolean bodyWaits;
+    private boolean bodyPaused;
 
     /** Ends the connection unless a whole request comes first; null while none is awaited. */
-    private Future<?> patience;
+    private Future<?> readTimeout;
 
     /** Bytes of a request have come, and not all of it. */
-    private boolean started;
+    private boolean requestStarted;
 
     private long idleSinceUs;
-    private long awaitedSinceUs;
+    private long awaitingSinceUs;
     private long bodySinceUs;
     private long bodyBytes;
 
@@ -75,37 +75,37 @@
      * It sent what is no request, or is sent away: it is told so, and nothing more is taken from
      * it.
      */
-    private boolean leaving;
+    private boolean closing;
 
     /** An answer has told it that it is the last: no request behind it is taken. */
-    private boolean lastAnswered;
+    private boolean closeAnnounced;
 
     /** It is ended once all of a body that nobody waits for has come. */
-    private boolean endsAfterBody;
+    private boolean closeAfterBody;
 
-    ClientConnection(ClientServer server, Channel channel, EventLoop loop) {
-        this.server = server;
+    ClientConnection(HttpFrontend frontend, Channel channel, EventLoop loop) {
+        this.frontend = frontend;
         this.channel = channel;
         this.loop = loop;
-        this.reads = server.readAhead();
+        this.readAhead = frontend.newReadAhead();
     }
 
     /** Its part of the pipeline, in front of the decoder. */
-    ChannelInboundHandlerAdapter reads() {
-        return reads;
+    ChannelInboundHandlerAdapter readAhead() {
+        return readAhead;
     }
 
     /** Whether a request has begun to come in, and is not whole. */
-    boolean started() {
-        return started;
+    boolean requestStarted() {
+        return requestStarted;
     }
 
     /** It has been without a request since then. */
-    void idleSince(long us) {
+    void idleSinceUs(long us) {
         idleSinceUs = us;
     }
 
-    long idleSince() {
+    long idleSinceUs() {
         return idleSinceUs;
     }
 
@@ -118,15 +118,15 @@
      * Ends it so that its last answer arrives, whatever its client is sending; nothing more is
      * taken.
      */
-    void end() {
-        leaving = true;
-        endPatience();
-        server.ending(this);
+    void closeGracefully() {
+        closing = true;
+        cancelReadTimeout();
+        frontend.closing(this);
         LingeringClose.begin(channel);
     }
 
     /** A request on a connection, until its answer is written. */
-    private static final class Turn implements RequestHandler.Responder {
+    private static final class PendingRequest implements RequestHandler.Responder {
         private final ClientConnection connection;
         private final HttpVersion version;
         boolean keepAlive;
@@ -134,59 +134,59 @@
         /** Null where it is none to pass on. */
         ProxyRequest request;
 
-        boolean taken;
+        boolean accepted;
         boolean wantsContinue;
-        Answer answer;
+        ProxyResponse response;
         ResponseStream stream;
-        Relay.Listener out;
+        Relay.Listener streamListener;
         boolean streaming;
         boolean streamed;
 
-        Turn(ClientConnection connection, HttpVersion version, boolean keepAlive) {
+        PendingRequest(ClientConnection connection, HttpVersion version, boolean keepAlive) {
             this.connection = connection;
             this.version = version;
             this.keepAlive = keepAlive;
         }
 
         @Override
-        public void answer(Answer given) {
-            answer = given;
-            connection.writeAnswers();
+        public void respond(ProxyResponse newResponse) {
+            response = newResponse;
+            connection.writeResponses();
         }
 
         @Override
-        public void stream(ResponseStream given, Relay.Listener told) {
-            stream = given;
-            out = told;
-            connection.writeAnswers();
+        public void stream(ResponseStream newStream, Relay.Listener listener) {
+            stream = newStream;
+            streamListener = listener;
+            connection.writeResponses();
         }
 
         @Override
-        public void broken() {
+        public void streamFailed() {
             if (streaming) {
-                connection.cutOff(this);
+                connection.abortStream(this);
             } else {
                 stream = null;
-                answer(Answer.failed());
+                respond(ProxyResponse.failed());
             }
         }
 
         /** Whether only the connection's end can show where its answer ends. */
-        boolean endsByClose() {
+        boolean endsWithClose() {
             return stream != null && stream.length() < 0 && !version.equals(HttpVersion.HTTP_1_1);
         }
 
-        boolean settled() {
-            return answer != null || stream != null;
+        boolean hasResponse() {
+            return response != null || stream != null;
         }
 
         /** Gives the request up, wherever it is. */
         void abandon() {
             if (request != null) {
-                connection.server.log().trace("abandoned", request.id(), connection.channel.id());
+                connection.frontend.log().trace("abandoned", request.id(), connection.channel.id());
             }
-            if (taken) {
-                connection.server.requests().clientGone(request.id());
+            if (accepted) {
+                connection.frontend.requests().clientGone(request.id());
             } else if (request != null) {
                 request.body().drop();
             }
@@ -196,236 +196,245 @@
     // ---- how long a peer may take
 
     /** Sees the bytes before they are a request. */
-    final class Arrivals extends ChannelInboundHandlerAdapter {
+    final class ReadObserver extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            if (receiving == null && turns.isEmpty()) {
-                started = true;
-                awaitRequest();
+            if (incoming == null && pendingRequests.isEmpty()) {
+                requestStarted = true;
+                startReadTimeout();
             }
-            server.active(ClientConnection.this);
+            frontend.bytesReceived(ClientConnection.this);
             ctx.fireChannelRead(bytes);
         }
     }
 
-    private void awaitRequest() {
-        if (patience == null) {
-            awaitedSinceUs = server.nowUs();
-            patience = loop.schedule(this::patienceOver, HEAD_WITHIN_US, TimeUnit.MICROSECONDS);
+    private void startReadTimeout() {
+        if (readTimeout == null) {
+            awaitingSinceUs = frontend.nowUs();
+            readTimeout =
+                    loop.schedule(this::onReadTimeout, HEAD_TIMEOUT_US, TimeUnit.MICROSECONDS);
         }
     }
 
-    private void patienceOver() {
-        long leftUs = patienceEndsUs() - server.nowUs();
+    private void onReadTimeout() {
+        long leftUs = readDeadlineUs() - frontend.nowUs();
         if (leftUs <= 0) {
             channel.close();
         } else {
-            patience = loop.schedule(this::patienceOver, leftUs, TimeUnit.MICROSECONDS);
+            readTimeout = loop.schedule(this::onReadTimeout, leftUs, TimeUnit.MICROSECONDS);
         }
     }
 
-    private long patienceEndsUs() {
-        long headUs = awaitedSinceUs + HEAD_WITHIN_US;
-        if (receiving == null) {
+    private long readDeadlineUs() {
+        long headUs = awaitingSinceUs + HEAD_TIMEOUT_US;
+        if (incoming == null) {
             return headUs;
         }
-        long sinceUs = bodyWaits ? server.nowUs() : bodySinceUs;
-        return Math.max(headUs, sinceUs + BODY_PAUSE_US + (long) (bodyBytes / BODY_BYTES_PER_US));
+        long sinceUs = bodyPaused ? frontend.nowUs() : bodySinceUs;
+        return Math.max(
+                headUs, sinceUs + MAX_BODY_PAUSE_US + (long) (bodyBytes / MIN_BODY_BYTES_PER_US));
     }
 
-    private void endPatience() {
-        if (patience != null) {
-            patience.cancel(false);
-            patience = null;
+    private void cancelReadTimeout() {
+        if (readTimeout != null) {
+            readTimeout.cancel(false);
+            readTimeout = null;
         }
     }
 
-    private void readBody(boolean on) {
-        if (on && bodyWaits) {
-            bodySinceUs = server.nowUs();
+    private void setBodyReading(boolean on) {
+        if (on && bodyPaused) {
+            bodySinceUs = frontend.nowUs();
             bodyBytes = 0;
         }
-        bodyWaits = !on;
-        regulate();
+        bodyPaused = !on;
+        updateReading();
     }
 
-    private void regulate() {
-        reads.want(turns.size() < MOST_PIPELINED && !bodyWaits);
+    private void updateReading() {
+        readAhead.setWanted(pendingRequests.size() < MAX_PIPELINED && !bodyPaused);
     }
 
     // ---- requests
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        awaitRequest();
-        server.arrived(this);
-        server.log().trace("accepted", "-", channel);
+        startReadTimeout();
+        frontend.connected(this);
+        frontend.log().trace("accepted", "-", channel);
         ctx.fireChannelActive();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-        if (leaving) {
+        if (closing) {
             return;
         }
-        if (part instanceof HttpRequest head && !lastAnswered) {
+        if (part instanceof HttpRequest head && !closeAnnounced) {
             begin(head);
         }
-        if (part instanceof HttpContent content && receiving != null) {
-            more(receiving, content);
+        if (part instanceof HttpContent content && incoming != null) {
+            onBodyContent(incoming, content);
         }
     }
 
     private void begin(HttpRequest head) {
         // Where a request ends is not known any more once one was malformed.
-        Turn turn =
-                new Turn(
+        PendingRequest pending =
+                new PendingRequest(
                         this,
                         head.protocolVersion(),
                         HttpUtil.isKeepAlive(head) && head.decoderResult().isSuccess());
-        turns.add(turn);
-        receiving = turn;
-        started = true;
-        bodySinceUs = server.nowUs();
+        pendingRequests.add(pending);
+        incoming = pending;
+        requestStarted = true;
+        bodySinceUs = frontend.nowUs();
         bodyBytes = 0;
-        awaitRequest();
-        regulate();
+        startReadTimeout();
+        updateReading();
         try {
-            readHead(turn, head);
-        } catch (RequestParser.BadRequest bad) {
-            turnDown(turn, bad);
+            readHead(pending, head);
+        } catch (RequestParser.BadRequestException badRequest) {
+            reject(pending, badRequest);
         }
     }
 
-    private void readHead(Turn turn, HttpRequest head) throws RequestParser.BadRequest {
+    private void readHead(PendingRequest pending, HttpRequest head)
+            throws RequestParser.BadRequestException {
         if (head.method().equals(HttpMethod.GET) && head.uri().equals("/ready")) {
-            turn.answer(
-                    Answer.of(
-                            server.ready()
+            pending.respond(
+                    ProxyResponse.of(
+                            frontend.ready()
                                     ? HttpResponseStatus.OK
                                     : HttpResponseStatus.SERVICE_UNAVAILABLE));
             return;
         }
-        ProxyRequest request = server.parser().parse(head, server.body(head, this::readBody));
+        ProxyRequest request =
+                frontend.parser().parse(head, frontend.newBody(head, this::setBodyReading));
         if (request.body().declaredLength() > RequestBody.MAX_BYTES) {
-            throw tooLarge();
+            throw bodyTooLarge();
         }
-        turn.request = request;
-        turn.wantsContinue = HttpUtil.is100ContinueExpected(head);
-        sayContinue();
+        pending.request = request;
+        pending.wantsContinue = HttpUtil.is100ContinueExpected(head);
+        sendContinue();
     }
 
-    private static RequestParser.BadRequest tooLarge() {
-        return new RequestParser.BadRequest(
+    private static RequestParser.BadRequestException bodyTooLarge() {
+        return new RequestParser.BadRequestException(
                 HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     }
 
-    private void more(Turn turn, HttpContent content) {
+    private void onBodyContent(PendingRequest pending, HttpContent content) {
         boolean last = content instanceof LastHttpContent;
         try {
             if (content.decoderResult().isFailure()) {
-                throw new RequestParser.BadRequest(
+                throw new RequestParser.BadRequestException(
                         HttpResponseStatus.BAD_REQUEST,
                         "the body is not HTTP: " + content.decoderResult().cause().getMessage());
             }
             bodyBytes += content.content().readableBytes();
-            if (turn.request != null) {
-                takeBody(turn, content, last);
+            if (pending.request != null) {
+                addToBody(pending, content, last);
             }
             if (last) {
-                received();
+                onRequestReceived();
             }
-        } catch (RequestParser.BadRequest bad) {
-            turnDown(turn, bad);
+        } catch (RequestParser.BadRequestException badRequest) {
+            reject(pending, badRequest);
         }
     }
 
-    private void takeBody(Turn turn, HttpContent content, boolean last)
-            throws RequestParser.BadRequest {
-        RequestBody body = turn.request.body();
+    private void addToBody(PendingRequest pending, HttpContent content, boolean last)
+            throws RequestParser.BadRequestException {
+        RequestBody body = pending.request.body();
         body.add(content.content());
         if (body.size() > RequestBody.MAX_BYTES) {
-            throw tooLarge();
+            throw bodyTooLarge();
         }
         if (last) {
             body.end();
         }
-        if (!turn.taken && (last || body.isLong())) {
-            if (!server.requests().take(turn.request, server.unreadUs(), turn)) {
-                throw new RequestParser.BadRequest(
+        if (!pending.accepted && (last || body.isLong())) {
+            if (!frontend.requests().accept(pending.request, frontend.unreadUs(), pending)) {
+                throw new RequestParser.BadRequestException(
                         HttpResponseStatus.BAD_REQUEST, "X-Request-Id is already in use");
             }
-            turn.taken = true;
-            server.log().trace("on", turn.request.id(), channel.id());
-            server.busy(this);
+            pending.accepted = true;
+            frontend.log().trace("on", pending.request.id(), channel.id());
+            frontend.markBusy(this);
         } else if (last) {
-            server.requests().bodyEnded(turn.request.id(), server.unreadUs());
+            frontend.requests().bodyCompleted(pending.request.id(), frontend.unreadUs());
         }
     }
 
     /** All of a request is in. */
-    private void received() {
-        receiving = null;
-        started = false;
-        bodyWaits = false;
-        endPatience();
-        server.busy(this);
-        if (endsAfterBody) {
-            end();
+    private void onRequestReceived() {
+        incoming = null;
+        requestStarted = false;
+        bodyPaused = false;
+        cancelReadTimeout();
+        frontend.markBusy(this);
+        if (closeAfterBody) {
+            closeGracefully();
         } else {
-            restIfDone();
+            markIdleIfDone();
         }
     }
 
-    private void turnDown(Turn turn, RequestParser.BadRequest bad) {
+    private void reject(PendingRequest pending, RequestParser.BadRequestException badRequest) {
         if (channel.isActive()) {
             // Else it is only cut off, as its peer has left or was let go.
-            server.log().line("request refused with " + bad.status() + ": " + bad.getMessage());
-        }
-        leaving = true;
-        endPatience();
-        receiving = null;
-        started = false;
-        turn.abandon();
-        turn.keepAlive = false;
-        if (!turns.contains(turn) || turn.streaming) {
+            frontend.log()
+                    .line(
+                            "request refused with "
+                                    + badRequest.status()
+                                    + ": "
+                                    + badRequest.getMessage());
+        }
+        closing = true;
+        cancelReadTimeout();
+        incoming = null;
+        requestStarted = false;
+        pending.abandon();
+        pending.keepAlive = false;
+        if (!pendingRequests.contains(pending) || pending.streaming) {
             channel.close();
         } else {
-            turn.answer(Answer.of(bad.status()));
+            pending.respond(ProxyResponse.of(badRequest.status()));
         }
     }
 
     // ---- answers
 
     /** Writes what is settled, up to the first request that is not. */
-    void writeAnswers() {
-        while (!turns.isEmpty() && turns.peek().settled()) {
-            Turn turn = turns.peek();
-            if (turn.stream == null) {
-                turns.poll();
-                write(turn.answer, turn);
-            } else if (!turn.streaming) {
-                begin(turn);
-            } else if (turn.streamed) {
-                turns.poll();
+    void writeResponses() {
+        while (!pendingRequests.isEmpty() && pendingRequests.peek().hasResponse()) {
+            PendingRequest pending = pendingRequests.peek();
+            if (pending.stream == null) {
+                pendingRequests.poll();
+                writeResponse(pending.response, pending);
+            } else if (!pending.streaming) {
+                begin(pending);
+            } else if (pending.streamed) {
+                pendingRequests.poll();
             } else {
                 break;
             }
         }
-        sayContinue();
-        restIfDone();
-        regulate();
+        sendContinue();
+        markIdleIfDone();
+        updateReading();
     }
 
-    private void restIfDone() {
-        if (turns.isEmpty() && receiving == null && channel.isActive() && !leaving) {
-            server.idle(this);
+    private void markIdleIfDone() {
+        if (pendingRequests.isEmpty() && incoming == null && channel.isActive() && !closing) {
+            frontend.markIdle(this);
         }
     }
 
     /** Only the request whose answer is the next may be told to go on. */
-    private void sayContinue() {
-        Turn next = turns.peek();
+    private void sendContinue() {
+        PendingRequest next = pendingRequests.peek();
         if (next != null && next.wantsContinue) {
             next.wantsContinue = false;
             channel.writeAndFlush(
@@ -440,87 +449,91 @@
      * Whether the connection stays after this answer. It does as well where more requests have come
      * on it, as they were taken: the last of them has its client sent away.
      */
-    private boolean keeps(Turn turn) {
-        boolean kept = server.keepsClient();
-        boolean keeps =
-                turn.keepAlive
-                        && !turn.endsByClose()
-                        && (kept || turns.stream().anyMatch(t -> t != turn));
-        lastAnswered |= !keeps;
-        return keeps;
-    }
-
-    private void write(Answer answer, Turn turn) {
-        DefaultFullHttpResponse response =
+    private boolean keepAliveAfter(PendingRequest pending) {
+        boolean allowed = frontend.keepAliveAfterResponse();
+        boolean keepAlive =
+                pending.keepAlive
+                        && !pending.endsWithClose()
+                        && (allowed
+                                || pendingRequests.stream().anyMatch(other -> other != pending));
+        closeAnnounced |= !keepAlive;
+        return keepAlive;
+    }
+
+    private void writeResponse(ProxyResponse response, PendingRequest pending) {
+        DefaultFullHttpResponse message =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
-                        answer.status(),
-                        Unpooled.wrappedBuffer(answer.body()));
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
-        if (answer.retryAfter() != null) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, answer.retryAfter());
+                        response.status(),
+                        Unpooled.wrappedBuffer(response.body()));
+        message.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+        if (response.retryAfter() != null) {
+            message.headers().set(HttpHeaderNames.RETRY_AFTER, response.retryAfter());
         }
-        boolean keep = keeps(turn);
-        if (!keep) {
-            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        boolean keepAlive = keepAliveAfter(pending);
+        if (!keepAlive) {
+            message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        channel.writeAndFlush(response)
+        channel.writeAndFlush(message)
                 .addListener(
-                        done -> {
-                            traceOut(turn, done.isSuccess());
-                            if (!keep) {
-                                endAfter(turn);
+                        written -> {
+                            traceLastByte(pending, written.isSuccess());
+                            if (!keepAlive) {
+                                closeAfter(pending);
                             }
                         });
     }
 
-    private void traceOut(Turn turn, boolean success) {
-        if (turn.request != null) {
-            server.log()
-                    .trace("last-byte", turn.request.id(), success ? channel.id() : "not written");
+    private void traceLastByte(PendingRequest pending, boolean success) {
+        if (pending.request != null) {
+            frontend.log()
+                    .trace(
+                            "last-byte",
+                            pending.request.id(),
+                            success ? channel.id() : "not written");
         }
     }
 
-    private void endAfter(Turn turn) {
-        if (receiving == turn) {
-            endsAfterBody = true;
+    private void closeAfter(PendingRequest pending) {
+        if (incoming == pending) {
+            closeAfterBody = true;
         } else {
-            end();
+            closeGracefully();
         }
     }
 
     /** Begins an answer that goes on as it comes. */
-    private void begin(Turn turn) {
-        turn.streaming = true;
-        boolean keep = keeps(turn);
+    private void begin(PendingRequest pending) {
+        pending.streaming = true;
+        boolean keepAlive = keepAliveAfter(pending);
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        if (turn.stream.length() >= 0) {
-            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, turn.stream.length());
-        } else if (!turn.endsByClose()) {
+        if (pending.stream.length() >= 0) {
+            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, pending.stream.length());
+        } else if (!pending.endsWithClose()) {
             head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        if (!keep) {
+        if (!keepAlive) {
             head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
         channel.writeAndFlush(head);
-        turn.stream.sendTo(
+        pending.stream.sendTo(
                 channel,
                 new Relay.Listener() {
                     @Override
                     public void completed() {
-                        turn.streamed = true;
-                        traceOut(turn, true);
-                        turn.out.completed();
-                        if (keep) {
-                            writeAnswers();
+                        pending.streamed = true;
+                        traceLastByte(pending, true);
+                        pending.streamListener.completed();
+                        if (keepAlive) {
+                            writeResponses();
                         } else {
-                            endAfter(turn);
+                            closeAfter(pending);
                         }
                     }
 
                     @Override
                     public void failed() {
-                        turn.out.failed();
+                        pending.streamListener.failed();
                     }
                 });
     }
@@ -528,8 +541,8 @@
     /**
      * The client must see that an answer is not whole; where only its end would tell, by a reset.
      */
-    private void cutOff(Turn turn) {
-        if (turn.endsByClose()) {
+    private void abortStream(PendingRequest pending) {
+        if (pending.endsWithClose()) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         }
         channel.close();
@@ -538,21 +551,21 @@
     // ---- the end of the connection
 
     /** Gives up all that it has out. */
-    private void gone() {
-        server.busy(this);
-        List<Turn> left = List.copyOf(turns);
-        turns.clear();
-        left.forEach(Turn::abandon);
+    private void abandonAll() {
+        frontend.markBusy(this);
+        List<PendingRequest> abandoned = List.copyOf(pendingRequests);
+        pendingRequests.clear();
+        abandoned.forEach(PendingRequest::abandon);
     }
 
     /** Gives up all that it has out, and tells a client that may still read so. */
-    private void fail() {
-        boolean awaitsAnswer = !turns.isEmpty() && !turns.peek().streaming;
-        gone();
-        if (awaitsAnswer) {
-            Turn last = new Turn(this, HttpVersion.HTTP_1_1, false);
-            receiving = null;
-            write(Answer.failed(), last);
+    private void failAll() {
+        boolean awaitsResponse = !pendingRequests.isEmpty() && !pendingRequests.peek().streaming;
+        abandonAll();
+        if (awaitsResponse) {
+            PendingRequest last = new PendingRequest(this, HttpVersion.HTTP_1_1, false);
+            incoming = null;
+            writeResponse(ProxyResponse.failed(), last);
         } else {
             channel.close();
         }
@@ -562,22 +575,22 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
-            fail();
+            failAll();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        endPatience();
-        server.log().trace("closed", "-", channel.id());
-        server.left(this);
-        gone();
+        cancelReadTimeout();
+        frontend.log().trace("closed", "-", channel.id());
+        frontend.disconnected(this);
+        abandonAll();
     }
 
     /** An error in here ends what this connection has out, and nothing else. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        server.log().line("client connection: " + cause);
-        fail();
+        frontend.log().line("client connection: " + cause);
+        failAll();
     }
 }
--- a/src/main/java/passhatch/proxy/client/ClientServer.java
+++ b/src/main/java/passhatch/proxy/client/HttpFrontend.java
@@ -26,18 +26,18 @@
 import passhatch.proxy.flow.RequestBody;
 
 /** The callers' side: takes requests over HTTP and gives each its one answer. */
-public final class ClientServer {
+public final class HttpFrontend {
 
-    private static final int BACKLOG = 1024;
+    private static final int ACCEPT_BACKLOG = 1024;
 
     /** While a newer process takes over, one in so many answers sends its client away. */
-    private static final int SENT_AWAY = 8;
+    private static final int RESPONSES_PER_HANDOVER_CLOSE = 8;
 
     /** Time between two lines on clients let go: there may be hundreds a second. */
-    private static final long SAY_AGAIN_US = 10_000_000;
+    private static final long LOG_INTERVAL_US = 10_000_000;
 
     /** A connection may be closed once it had no open request for this long. */
-    private static final long IDLE_US = 2_000_000;
+    private static final long MIN_IDLE_US = 2_000_000;
 
     /** As much as is kept of a body: the rest of most that do not fit, or some hundred requests. */
     private static final int READ_AHEAD = RequestBody.MAX_REPLAYABLE_BYTES;
@@ -52,22 +52,22 @@
     private final StallDetector holdUps;
 
     /** Connections that were served and have no request out, the longest idle first. */
-    private final Set<ClientConnection> idle = new LinkedHashSet<>();
+    private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
 
     /** Those that have never sent a whole request, the longest silent first. */
-    private final Set<ClientConnection> strangers = new LinkedHashSet<>();
+    private final Set<ClientConnection> newConnections = new LinkedHashSet<>();
 
     /** Those that were told to go and may not have seen it yet. */
-    private final Set<ClientConnection> ending = new LinkedHashSet<>();
+    private final Set<ClientConnection> closing = new LinkedHashSet<>();
 
-    private int letGo;
-    private long sayAgainUs = Long.MIN_VALUE;
+    private int evicted;
+    private long nextLogUs = Long.MIN_VALUE;
     private Channel listener;
-    private boolean unready;
+    private boolean markedUnready;
     private boolean stopped;
-    private boolean draining;
-    private boolean sharing;
-    private long answers;
+    private boolean closingAfterResponses;
+    private boolean handingOver;
+    private long responses;
 
     /**
      * A server that does not listen yet.
@@ -77,7 +77,7 @@
      * @param descriptors shared with the backends' side; where there are too few, some connection
      *     is closed
      */
-    public ClientServer(
+    public HttpFrontend(
             EventLoop loop,
             Clock clock,
             EventLog log,
@@ -102,8 +102,8 @@
         ChannelFuture bound =
                 new ServerBootstrap()
                         .group(loop)
-                        .channelFactory(Listener::new)
-                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .channelFactory(ListeningChannel::new)
+                        .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .handler(new AcceptRetry(log))
                         // At a change of version two processes listen here.
@@ -118,11 +118,11 @@
                                     protected void initChannel(SocketChannel channel) {
                                         ClientConnection connection =
                                                 new ClientConnection(
-                                                        ClientServer.this, channel, loop);
+                                                        HttpFrontend.this, channel, loop);
                                         channel.pipeline()
                                                 .addLast(
-                                                        connection.reads(),
-                                                        connection.new Arrivals(),
+                                                        connection.readAhead(),
+                                                        connection.new ReadObserver(),
                                                         new RequestDecoder(),
                                                         new HttpResponseEncoder(),
                                                         connection);
@@ -133,13 +133,13 @@
         if (!bound.isSuccess()) {
             throw new IOException(bound.cause().getMessage());
         }
-        InetSocketAddress at = (InetSocketAddress) bound.channel().localAddress();
-        loop.submit(() -> listensAt(bound.channel())).sync();
-        return at;
+        InetSocketAddress boundAddress = (InetSocketAddress) bound.channel().localAddress();
+        loop.submit(() -> onListening(bound.channel())).sync();
+        return boundAddress;
     }
 
     /** The order to end may have come before. */
-    private void listensAt(Channel channel) {
+    private void onListening(Channel channel) {
         listener = channel;
         if (stopped) {
             listener.close();
@@ -148,31 +148,33 @@
 
     /** Whether requests should come here: the list is known, and connections are taken. */
     public boolean ready() {
-        return listener != null && listener.isActive() && !unready && requests.ready();
+        return listener != null && listener.isActive() && !markedUnready && requests.ready();
     }
 
     /** From now on callers that ask are told not to begin with this proxy. */
-    public void unready() {
-        unready = true;
+    public void markUnready() {
+        markedUnready = true;
     }
 
     /** Lets each client go with its next answer. */
-    public void sendAway() {
-        draining = true;
+    public void closeAfterResponses() {
+        closingAfterResponses = true;
     }
 
     /** Whether clients should go over to a newer process, a few at a time. */
-    public void share(boolean on) {
-        sharing = on;
+    public void setHandover(boolean on) {
+        handingOver = on;
     }
 
     /**
      * Whether a client is kept for a next request; not where this process ends, or others wait for
      * room.
      */
-    boolean keepsClient() {
-        answers++;
-        return !draining && !descriptors.scarce() && !(sharing && answers % SENT_AWAY == 0);
+    boolean keepAliveAfterResponse() {
+        responses++;
+        return !closingAfterResponses
+                && !descriptors.scarce()
+                && !(handingOver && responses % RESPONSES_PER_HANDOVER_CLOSE == 0);
     }
 
     /**
@@ -187,25 +189,28 @@
     }
 
     /** Ends the connections on which nothing is out, as clients expect between requests. */
-    public void endIdle() {
-        unused().filter(c -> !c.started()).toList().forEach(ClientConnection::end);
+    public void closeIdle() {
+        withoutOpenRequest()
+                .filter(connection -> !connection.requestStarted())
+                .toList()
+                .forEach(ClientConnection::closeGracefully);
     }
 
     /**
      * Whether a connection is being ended and its client may not have seen it; it will not take
      * long.
      */
-    public boolean ending() {
-        return !ending.isEmpty();
+    public boolean closing() {
+        return !closing.isEmpty();
     }
 
     /** Whether a request has begun to come in on any connection, and is not whole. */
-    public boolean receiving() {
-        return unused().anyMatch(ClientConnection::started);
+    public boolean receivingRequest() {
+        return withoutOpenRequest().anyMatch(ClientConnection::requestStarted);
     }
 
-    private Stream<ClientConnection> unused() {
-        return Stream.concat(idle.stream(), strangers.stream());
+    private Stream<ClientConnection> withoutOpenRequest() {
+        return Stream.concat(idleConnections.stream(), newConnections.stream());
     }
 
     // ---- for the connections
@@ -226,22 +231,22 @@
         return clock.nowUs();
     }
 
-    ReadAhead readAhead() {
+    ReadAhead newReadAhead() {
         return new ReadAhead(budget, READ_AHEAD);
     }
 
     /** The body that comes after a head. */
-    RequestBody body(HttpRequest head, Relay.Source source) {
+    RequestBody newBody(HttpRequest head, Relay.Source source) {
         long declared =
                 head.decoderResult().isSuccess() ? HttpUtil.getContentLength(head, -1L) : -1;
         return new RequestBody(loop, budget, declared, source);
     }
 
-    void arrived(ClientConnection c) {
+    void connected(ClientConnection connection) {
         descriptors.addClients(1);
-        strangers.add(c);
+        newConnections.add(connection);
         if (descriptors.limitExceeded()) {
-            letOneGo(c);
+            evictOne(connection);
         }
     }
 
@@ -249,33 +254,33 @@
      * Bytes have come: of those that never sent a request, the one that is silent for longest goes
      * first.
      */
-    void active(ClientConnection c) {
-        if (strangers.remove(c)) {
-            strangers.add(c);
+    void bytesReceived(ClientConnection connection) {
+        if (newConnections.remove(connection)) {
+            newConnections.add(connection);
         }
     }
 
     /** It has sent a request. */
-    void busy(ClientConnection c) {
-        idle.remove(c);
-        strangers.remove(c);
+    void markBusy(ClientConnection connection) {
+        idleConnections.remove(connection);
+        newConnections.remove(connection);
     }
 
     /** All that it asked for is answered. */
-    void idle(ClientConnection c) {
-        c.idleSince(clock.nowUs());
-        idle.add(c);
+    void markIdle(ClientConnection connection) {
+        connection.idleSinceUs(clock.nowUs());
+        idleConnections.add(connection);
     }
 
     /** It was told to go. */
-    void ending(ClientConnection c) {
-        busy(c);
-        ending.add(c);
+    void closing(ClientConnection connection) {
+        markBusy(connection);
+        closing.add(connection);
     }
 
-    void left(ClientConnection c) {
-        busy(c);
-        ending.remove(c);
+    void disconnected(ClientConnection connection) {
+        markBusy(connection);
+        closing.remove(connection);
         descriptors.addClients(-1);
     }
 
@@ -283,31 +288,34 @@
      * Clients know that a connection may be closed once it has been idle for a while. A client that
      * was served just now comes after those that may never send anything.
      */
-    private void letOneGo(ClientConnection newcomer) {
-        letGo++;
-        if (clock.nowUs() >= sayAgainUs) {
-            sayAgainUs = clock.nowUs() + SAY_AGAIN_US;
+    private void evictOne(ClientConnection newcomer) {
+        evicted++;
+        if (clock.nowUs() >= nextLogUs) {
+            nextLogUs = clock.nowUs() + LOG_INTERVAL_US;
             log.line(
                     descriptors.clients()
                             + " clients are connected, too many: "
-                            + letGo
+                            + evicted
                             + " let go so far");
         }
-        ClientConnection longestIdle = idle.isEmpty() ? null : idle.iterator().next();
-        ClientConnection goes =
-                !ending.isEmpty()
-                        ? ending.iterator().next()
+        ClientConnection longestIdle =
+                idleConnections.isEmpty() ? null : idleConnections.iterator().next();
+        ClientConnection victim =
+                !closing.isEmpty()
+                        ? closing.iterator().next()
                         : longestIdle != null
-                                        && (strangers.size() <= 1
-                                                || longestIdle.idleSince()
-                                                        <= clock.nowUs() - IDLE_US)
+                                        && (newConnections.size() <= 1
+                                                || longestIdle.idleSinceUs()
+                                                        <= clock.nowUs() - MIN_IDLE_US)
                                 ? longestIdle
-                                : strangers.size() > 1 ? strangers.iterator().next() : newcomer;
+                                : newConnections.size() > 1
+                                        ? newConnections.iterator().next()
+                                        : newcomer;
         // The news of its end comes in a later step of the loop; until then it must not be chosen
         // again.
-        busy(goes);
-        ending.remove(goes);
-        goes.close();
+        markBusy(victim);
+        closing.remove(victim);
+        victim.close();
     }
 
     /** How long a request read now may have stood unread, in microseconds. */
--- a/src/main/java/passhatch/proxy/client/Listener.java
+++ b/src/main/java/passhatch/proxy/client/ListeningChannel.java
@@ -8,7 +8,7 @@
  * A listening socket that takes all connections that wait at it before it closes: the system would
  * reset them, though another process listens at the same address.
  */
-public final class Listener extends NioServerSocketChannel {
+public final class ListeningChannel extends NioServerSocketChannel {
 
     @Override
     protected void doClose() throws Exception {
--- a/src/main/java/passhatch/proxy/client/ReadAhead.java
+++ b/src/main/java/passhatch/proxy/client/ReadAhead.java
@@ -15,30 +15,30 @@
 final class ReadAhead extends ChannelInboundHandlerAdapter {
 
     private final BufferBudget budget;
-    private final int most;
-    private final ArrayDeque<ByteBuf> held = new ArrayDeque<>();
+    private final int maxBytes;
+    private final ArrayDeque<ByteBuf> buffered = new ArrayDeque<>();
     private ChannelHandlerContext context;
-    private long bytes;
+    private long bufferedBytes;
     private boolean wanted = true;
-    private boolean passing;
+    private boolean forwarding;
 
     /**
      * Holds nothing yet, and passes everything on.
      *
      * @param budget counts what is held
-     * @param most bytes to hold before no more are read; one read may go beyond it
+     * @param maxBytes bytes to hold before no more are read; one read may go beyond it
      */
-    ReadAhead(BufferBudget budget, int most) {
+    ReadAhead(BufferBudget budget, int maxBytes) {
         this.budget = budget;
-        this.most = most;
+        this.maxBytes = maxBytes;
     }
 
     /** Whether what comes is wanted now. */
-    void want(boolean on) {
-        wanted = on;
+    void setWanted(boolean value) {
+        wanted = value;
         if (context != null) {
-            pass();
-            regulate();
+            forward();
+            updateReading();
         }
     }
 
@@ -55,46 +55,48 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf buffer = (ByteBuf) message;
-        held.add(buffer);
-        count(buffer.readableBytes());
-        pass();
-        regulate();
+        buffered.add(buffer);
+        addBytes(buffer.readableBytes());
+        forward();
+        updateReading();
     }
 
     /**
      * What is passed on may make more wanted, or less; it is passed on in its order all the same.
      */
-    private void pass() {
-        if (passing) {
+    private void forward() {
+        if (forwarding) {
             return;
         }
-        passing = true;
+        forwarding = true;
         try {
-            while (wanted && !held.isEmpty()) {
-                ByteBuf next = held.poll();
-                count(-next.readableBytes());
+            while (wanted && !buffered.isEmpty()) {
+                ByteBuf next = buffered.poll();
+                addBytes(-next.readableBytes());
                 context.fireChannelRead(next);
             }
         } finally {
-            passing = false;
+            forwarding = false;
         }
     }
 
-    private void count(int change) {
-        bytes += change;
-        budget.add(change);
+    private void addBytes(int difference) {
+        bufferedBytes += difference;
+        budget.add(difference);
     }
 
-    private void regulate() {
+    private void updateReading() {
         if (context.channel().isActive()) {
-            context.channel().config().setAutoRead(wanted || bytes < most && !budget.exceeded());
+            context.channel()
+                    .config()
+                    .setAutoRead(wanted || bufferedBytes < maxBytes && !budget.exceeded());
         }
     }
 
     private void drop() {
-        while (!held.isEmpty()) {
-            ByteBuf next = held.poll();
-            count(-next.readableBytes());
+        while (!buffered.isEmpty()) {
+            ByteBuf next = buffered.poll();
+            addBytes(-next.readableBytes());
             next.release();
         }
     }
--- a/src/main/java/passhatch/proxy/client/RequestHandler.java
+++ b/src/main/java/passhatch/proxy/client/RequestHandler.java
@@ -8,13 +8,13 @@
 
     /** Where the final answer of a request goes. */
     interface Responder {
-        void answer(Answer answer);
+        void respond(ProxyResponse response);
 
         /** Passes an answer on as it comes, and has told how that ended once. */
-        void stream(ResponseStream answer, Relay.Listener out);
+        void stream(ResponseStream response, Relay.Listener listener);
 
         /** What was begun to be passed on will not be whole. */
-        void broken();
+        void streamFailed();
     }
 
     /** Whether requests should come here at all. */
@@ -26,13 +26,13 @@
      *
      * @param unreadUs how long its last bytes may have stood unread, in microseconds
      */
-    boolean take(ProxyRequest request, long unreadUs, Responder responder);
+    boolean accept(ProxyRequest request, long unreadUs, Responder responder);
 
     /**
      * All of a request has come, of which only a part had when it was taken: its time runs from now
      * on.
      */
-    void bodyEnded(String id, long unreadUs);
+    void bodyCompleted(String id, long unreadUs);
 
     /** The client has closed its connection, or spoilt its request: no answer is owed any more. */
     void clientGone(String id);
--- a/src/main/java/passhatch/proxy/client/RequestParser.java
+++ b/src/main/java/passhatch/proxy/client/RequestParser.java
@@ -18,16 +18,17 @@
 /** Turns a caller's HTTP request into a {@link ProxyRequest}, or says why it is none. */
 public final class RequestParser {
 
-    private static final Pattern DEADLINE = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)([mu])");
-    private static final Pattern ID = Pattern.compile("[\\x21-\\x7e]{1,128}");
-    private static final String BAD_DEADLINE = "X-Deadline is malformed";
+    private static final Pattern DEADLINE_PATTERN =
+            Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)([mu])");
+    private static final Pattern ID_PATTERN = Pattern.compile("[\\x21-\\x7e]{1,128}");
+    private static final String MALFORMED_DEADLINE = "X-Deadline is malformed";
 
     /** A request that cannot be taken, and the status that says so. */
-    static final class BadRequest extends Exception {
+    static final class BadRequestException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
 
-        BadRequest(HttpResponseStatus status, String message) {
+        BadRequestException(HttpResponseStatus status, String message) {
             super(message, null, false, false);
             this.status = status;
         }
@@ -49,27 +50,30 @@
     }
 
     /** Reads the head of a request. */
-    ProxyRequest parse(HttpRequest http, RequestBody body) throws BadRequest {
+    ProxyRequest parse(HttpRequest http, RequestBody body) throws BadRequestException {
         if (http.decoderResult().isFailure()) {
-            throw bad("the request is not HTTP: " + http.decoderResult().cause().getMessage());
+            throw badRequest(
+                    "the request is not HTTP: " + http.decoderResult().cause().getMessage());
         }
-        String coding = String.join(",", http.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING));
-        if (!coding.isEmpty() && !coding.strip().equalsIgnoreCase("chunked")) {
-            throw bad("Transfer-Encoding is not chunked");
+        String transferEncoding =
+                String.join(",", http.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING));
+        if (!transferEncoding.isEmpty() && !transferEncoding.strip().equalsIgnoreCase("chunked")) {
+            throw badRequest("Transfer-Encoding is not chunked");
         }
-        int kind = requestClass(http);
+        int requestClass = requestClass(http);
         HttpHeaders headers = http.headers();
         String id = headers.get("X-Request-Id", "");
-        if (!ID.matcher(id).matches()) {
-            throw bad("X-Request-Id is missing or malformed");
+        if (!ID_PATTERN.matcher(id).matches()) {
+            throw badRequest("X-Request-Id is missing or malformed");
         }
-        long budgetUs = deadlineUs(headers.get("X-Deadline"), classes.get(kind).deadlineUs());
+        long timeoutUs =
+                timeoutUs(headers.get("X-Deadline"), classes.get(requestClass).deadlineUs());
         return new ProxyRequest(
                 id,
-                kind,
+                requestClass,
                 tenant(headers.get("X-Tenant")),
-                budgetUs,
-                hintUs(headers.get("X-Cost-Hint")),
+                timeoutUs,
+                costHintUs(headers.get("X-Cost-Hint")),
                 "1".equals(headers.get("X-Retry")),
                 http.method(),
                 http.uri(),
@@ -80,13 +84,15 @@
     /**
      * The first part of the path; its effect must be the one that the method promises the caller.
      */
-    private int requestClass(HttpRequest http) throws BadRequest {
+    private int requestClass(HttpRequest http) throws BadRequestException {
         String path = new QueryStringDecoder(http.uri()).rawPath();
-        int end = path.indexOf('/', 1);
-        int kind =
-                path.startsWith("/") ? named(path.substring(1, end < 0 ? path.length() : end)) : -1;
-        if (kind < 0) {
-            throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no such path");
+        int segmentEnd = path.indexOf('/', 1);
+        int index =
+                path.startsWith("/")
+                        ? classIndex(path.substring(1, segmentEnd < 0 ? path.length() : segmentEnd))
+                        : -1;
+        if (index < 0) {
+            throw new BadRequestException(HttpResponseStatus.NOT_FOUND, "no such path");
         }
         Effect effect =
                 http.method().equals(HttpMethod.GET)
@@ -96,58 +102,58 @@
                                 : http.headers().contains("Idempotency-Key")
                                         ? Effect.KEYED
                                         : Effect.UNSAFE;
-        if (effect != classes.get(kind).effect()) {
-            throw bad("the method or Idempotency-Key does not fit the class");
+        if (effect != classes.get(index).effect()) {
+            throw badRequest("the method or Idempotency-Key does not fit the class");
         }
-        return kind;
+        return index;
     }
 
     /** A name that may not stand in a path as it is comes escaped (RFC 3986, 2.1). */
-    private int named(String part) {
-        int plain = classNames.indexOf(part);
+    private int classIndex(String segment) {
+        int unescaped = classNames.indexOf(segment);
         try {
-            return plain >= 0
-                    ? plain
+            return unescaped >= 0
+                    ? unescaped
                     : classNames.indexOf(
-                            URLDecoder.decode(part.replace("+", "%2B"), StandardCharsets.UTF_8));
+                            URLDecoder.decode(segment.replace("+", "%2B"), StandardCharsets.UTF_8));
         } catch (IllegalArgumentException malformed) {
             return -1;
         }
     }
 
-    private int tenant(String name) throws BadRequest {
+    private int tenant(String name) throws BadRequestException {
         if (name == null || tenants.isEmpty()) {
             return 0;
         }
         int tenant = tenants.indexOf(name);
         if (tenant < 0) {
-            throw bad("X-Tenant is not known");
+            throw badRequest("X-Tenant is not known");
         }
         return tenant;
     }
 
-    private static long deadlineUs(String text, long absentUs) throws BadRequest {
+    private static long timeoutUs(String text, long defaultUs) throws BadRequestException {
         if (text == null) {
-            return absentUs;
+            return defaultUs;
         }
-        Matcher parts = DEADLINE.matcher(text.strip());
+        Matcher parts = DEADLINE_PATTERN.matcher(text.strip());
         if (!parts.matches()) {
-            throw bad(BAD_DEADLINE);
+            throw badRequest(MALFORMED_DEADLINE);
         }
         return (long)
                 (Double.parseDouble(parts.group(1)) * (parts.group(2).equals("m") ? 1000 : 1));
     }
 
     /** A guess that cannot be read is no guess. */
-    private static long hintUs(String text) {
+    private static long costHintUs(String text) {
         try {
             return text == null ? 0 : Math.max(0, (long) Double.parseDouble(text));
-        } catch (NumberFormatException bad) {
+        } catch (NumberFormatException malformed) {
             return 0;
         }
     }
 
-    private static BadRequest bad(String message) {
-        return new BadRequest(HttpResponseStatus.BAD_REQUEST, message);
+    private static BadRequestException badRequest(String message) {
+        return new BadRequestException(HttpResponseStatus.BAD_REQUEST, message);
     }
 }
--- a/src/test/java/passhatch/cli/CommandsTest.java
+++ b/src/test/java/passhatch/cli/CommandsTest.java
@@ -18,15 +18,15 @@
 
     private int run(String... args) {
         CommandLine line =
-                Commands.line().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
+                Commands.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
         return line.execute(args);
     }
 
     @ParameterizedTest
     @ValueSource(
             strings = {"", "wrong", "--wrong", "serve extra", "adapter --wrong", "rehearse extra"})
-    void wrongUseIsOneLineAndExitCode2(String args) {
-        assertEquals(Commands.USAGE, run(args.isEmpty() ? new String[0] : args.split(" ")));
+    void aUsageErrorIsOneLineAndExitCode2(String args) {
+        assertEquals(Commands.EXIT_USAGE, run(args.isEmpty() ? new String[0] : args.split(" ")));
         assertEquals(1, err.toString().lines().count(), err.toString());
         assertTrue(err.toString().startsWith("passhatch: "), err.toString());
         assertEquals("", out.toString());
@@ -47,7 +47,7 @@
                 "1 | put fleet/enabled 1 --control 127.0.0.1:1 --control 127.0.0.1:1",
                 "1 | status --control 127.0.0.1:1"
             })
-    void aChangeThatCannotBeMadeIsOneLine(int status, String arguments) {
+    void aFailedChangeIsOneLine(int status, String arguments) {
         assertEquals(status, run(("changes " + arguments).split(" ")), err.toString());
         assertEquals(1, err.toString().lines().count(), err.toString());
         assertEquals("", out.toString());
@@ -64,9 +64,9 @@
 
     /** The deployed program must not need what only the tools have. */
     @Test
-    void namesTheToolsWithoutHavingThem() {
+    void helpNamesTheLabToolsThatItDoesNotInclude() {
         run("--help");
         assertTrue(out.toString().contains("passhatch-lab.jar"), out.toString());
-        assertEquals(Commands.USAGE, run("drill"));
+        assertEquals(Commands.EXIT_USAGE, run("drill"));
     }
 }
--- a/src/test/java/passhatch/cli/StoreCommandTest.java
+++ b/src/test/java/passhatch/cli/StoreCommandTest.java
@@ -24,7 +24,7 @@
         StringWriter outs = new StringWriter();
         StringWriter errs = new StringWriter();
         int status =
-                Commands.line()
+                Commands.commandLine()
                         .setOut(new PrintWriter(outs))
                         .setErr(new PrintWriter(errs))
                         .execute(args);
--- a/src/test/java/passhatch/lab/distribution/ScaleInputTest.java
+++ b/src/test/java/passhatch/lab/distribution/ScaleInputTest.java
@@ -27,7 +27,7 @@
         StringWriter err = new StringWriter();
         CommandLine line = Commands.oneLineErrors(ScaleCommand.line());
         line.setErr(new PrintWriter(err));
-        assertEquals(Commands.USAGE, line.execute("distribution", option));
+        assertEquals(Commands.EXIT_USAGE, line.execute("distribution", option));
         assertTrue(err.toString().strip().lines().count() == 1, err.toString());
     }
 }
--- a/src/test/java/passhatch/lab/drill/ChangesIT.java
+++ b/src/test/java/passhatch/lab/drill/ChangesIT.java
@@ -55,7 +55,7 @@
             all.add("--control=" + Local.text(field.agent(i).control()));
         }
         int ended =
-                Commands.line()
+                Commands.commandLine()
                         .setOut(new PrintWriter(out))
                         .setErr(new PrintWriter(out))
                         .execute(all.toArray(String[]::new));
@@ -93,9 +93,9 @@
         int leader = field.leader();
         Map<String, String> before = field.values(leader);
         long version = field.version(leader);
-        changes(Commands.USAGE, "put", KEY, "0");
-        changes(Commands.USAGE, "put", "service/claims/unknown", "1");
-        changes(Commands.FAILED, "put", KEY, "700", "--if-version", "0");
+        changes(Commands.EXIT_USAGE, "put", KEY, "0");
+        changes(Commands.EXIT_USAGE, "put", "service/claims/unknown", "1");
+        changes(Commands.EXIT_FAILURE, "put", KEY, "700", "--if-version", "0");
         for (String call : List.of(KEY + " 0", KEY + " 700 0", "service/claims/unknown 1")) {
             String answer = field.agent(leader).ask("change-put " + call);
             assertTrue(answer.startsWith("error refused: "), answer);
--- a/src/test/java/passhatch/lab/scale/MembershipScaleCommandTest.java
+++ b/src/test/java/passhatch/lab/scale/MembershipScaleCommandTest.java
@@ -31,7 +31,7 @@
 
     private void assertRefused(String option, String... options) {
         errors.getBuffer().setLength(0);
-        assertEquals(Commands.USAGE, run(options));
+        assertEquals(Commands.EXIT_USAGE, run(options));
         assertEquals(1, errors.toString().lines().count(), errors::toString);
         assertTrue(errors.toString().contains(option), errors::toString);
     }
--- a/src/test/java/passhatch/lab/scale/ScaleCommandTest.java
+++ b/src/test/java/passhatch/lab/scale/ScaleCommandTest.java
@@ -24,7 +24,7 @@
         StringWriter err = new StringWriter();
         CommandLine line = Commands.oneLineErrors(ScaleCommand.line());
         line.setErr(new PrintWriter(err, true));
-        assertEquals(Commands.USAGE, line.execute(args), String.join(" ", args));
+        assertEquals(Commands.EXIT_USAGE, line.execute(args), String.join(" ", args));
         assertEquals(1, err.toString().lines().count(), err.toString());
     }
 
--- a/src/test/java/passhatch/proxy/BodiesTest.java
+++ b/src/test/java/passhatch/proxy/BodiesTest.java
@@ -30,7 +30,7 @@
 @Timeout(60)
 final class BodiesTest {
 
-    private static final int LONG = 32_000_000;
+    private static final int LONG_BODY_BYTES = 32_000_000;
 
     @TempDir Path folder;
     private Rig rig;
@@ -55,7 +55,7 @@
         return "POST /move/1 HTTP/1.1\r\nHost: p\r\nX-Request-Id: r\r\n" + framing + "\r\n\r\n";
     }
 
-    private Rig with(ScriptedServer.Script script) throws Exception {
+    private Rig startWithBackend(ScriptedServer.Script script) throws Exception {
         ScriptedServer backend = rig.backend(script);
         return rig.start(Rig.entry("s", backend.address(), "SERVING"));
     }
@@ -68,32 +68,35 @@
         }
     }
 
-    private static void answer(HttpConnection connection, byte[] body) throws IOException {
+    private static void respond(HttpConnection connection, byte[] body) throws IOException {
         connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
         connection.write(body);
     }
 
     /** A client that does not read holds the backend up, and nothing piles up between them. */
     @Test
-    void aLongAnswerWaitsForASlowClient() throws Exception {
-        byte[] body = random(LONG);
-        AtomicLong given = new AtomicLong();
-        with(
+    void aLongResponseIsThrottledByASlowClient() throws Exception {
+        byte[] body = random(LONG_BODY_BYTES);
+        AtomicLong sentBytes = new AtomicLong();
+        startWithBackend(
                 (connection, request) -> {
-                    connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n");
-                    for (int at = 0; at < LONG; at += 16_000) {
-                        connection.write(Arrays.copyOfRange(body, at, Math.min(LONG, at + 16_000)));
-                        given.addAndGet(16_000);
+                    connection.write(
+                            "HTTP/1.1 200 OK\r\nContent-Length: " + LONG_BODY_BYTES + "\r\n\r\n");
+                    for (int at = 0; at < LONG_BODY_BYTES; at += 16_000) {
+                        connection.write(
+                                Arrays.copyOfRange(
+                                        body, at, Math.min(LONG_BODY_BYTES, at + 16_000)));
+                        sentBytes.addAndGet(16_000);
                     }
                 });
         HttpConnection client = rig.client();
         client.write(Rig.get("r", ""));
         long before = -1;
-        while (before != given.get() || before == 0) {
-            before = given.get();
+        while (before != sentBytes.get() || before == 0) {
+            before = sentBytes.get();
             Thread.sleep(300);
         }
-        assertTrue(before < LONG, "all of it was taken from the backend");
+        assertTrue(before < LONG_BODY_BYTES, "all of it was taken from the backend");
         rig.awaitMetric("inflight", 1);
         assertArrayEquals(body, client.read().body());
         rig.awaitMetric("success{tier=\"board\"}", 1);
@@ -101,9 +104,9 @@
     }
 
     @Test
-    void manyLongAnswersAtOnceComeWhole() throws Exception {
+    void manyConcurrentLongResponsesAreComplete() throws Exception {
         byte[] body = random(4_000_000);
-        with((connection, request) -> answer(connection, body));
+        startWithBackend((connection, request) -> respond(connection, body));
         HttpConnection[] clients = new HttpConnection[20];
         for (int i = 0; i < clients.length; i++) {
             clients[i] = rig.client();
@@ -115,28 +118,28 @@
     }
 
     @Test
-    void aLongRequestGoesOnAsItComes() throws Exception {
-        byte[] body = random(LONG);
-        CountDownLatch first = new CountDownLatch(1);
-        BlockingQueue<byte[]> got = new LinkedBlockingQueue<>();
+    void aLongRequestIsStreamed() throws Exception {
+        byte[] body = random(LONG_BODY_BYTES);
+        CountDownLatch headReceived = new CountDownLatch(1);
+        BlockingQueue<byte[]> receivedBodies = new LinkedBlockingQueue<>();
         ScriptedServer backend =
                 rig.backend(
                         (connection, request) -> {
-                            got.add(request.body());
+                            receivedBodies.add(request.body());
                             connection.respond("200 OK", "done");
                         });
-        backend.setHeadAction(first::countDown);
+        backend.setHeadAction(headReceived::countDown);
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         HttpConnection client = rig.client();
-        client.write(post("Content-Length: " + LONG));
+        client.write(post("Content-Length: " + LONG_BODY_BYTES));
         client.write(Arrays.copyOf(body, 100_000));
         assertTrue(
-                first.await(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                headReceived.await(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS),
                 "held back until it is whole");
         assertEquals(0, rig.metric("inflight"), "not taken before its last byte");
-        client.write(Arrays.copyOfRange(body, 100_000, LONG));
+        client.write(Arrays.copyOfRange(body, 100_000, LONG_BODY_BYTES));
         assertEquals("done", client.read().text());
-        assertArrayEquals(body, got.take());
+        assertArrayEquals(body, receivedBodies.take());
         assertEquals(1, rig.metric("backend_calls"));
         client.write(Rig.get("next", ""));
         assertEquals("done", client.read().text());
@@ -146,10 +149,10 @@
     @ValueSource(ints = {5, 200_000})
     void aChunkedRequestWithTrailersAndAnExpectationIsServed(int size) throws Exception {
         byte[] body = random(size);
-        BlockingQueue<byte[]> got = new LinkedBlockingQueue<>();
-        with(
+        BlockingQueue<byte[]> receivedBodies = new LinkedBlockingQueue<>();
+        startWithBackend(
                 (connection, request) -> {
-                    got.add(request.body());
+                    receivedBodies.add(request.body());
                     connection.respond("200 OK", "done");
                 });
         HttpConnection client = rig.client();
@@ -163,7 +166,7 @@
         }
         client.write("0\r\nX-Sum: 7\r\n\r\n");
         assertEquals("done", client.read().text());
-        assertArrayEquals(body, got.take());
+        assertArrayEquals(body, receivedBodies.take());
     }
 
     @ParameterizedTest
@@ -177,7 +180,7 @@
                 "Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
                 "Transfer-Encoding: chunked\r\n\r\n-1\r\n",
             })
-    void framingThatIsMalformedIsRefusedAndTheConnectionClosed(String framing) throws Exception {
+    void malformedFramingIsRejectedAndTheConnectionClosed(String framing) throws Exception {
         ScriptedServer backend =
                 rig.backend((connection, request) -> connection.respond("200 OK", ""));
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
@@ -190,16 +193,16 @@
 
     /** The attempt is given up, as nobody knows where the request ends. */
     @Test
-    void aChunkThatIsMalformedAfterALongStartEndsTheAttempt() throws Exception {
-        CountDownLatch first = new CountDownLatch(1);
+    void aMalformedChunkInAStreamedBodyEndsTheAttempt() throws Exception {
+        CountDownLatch headReceived = new CountDownLatch(1);
         ScriptedServer backend =
                 rig.backend((connection, request) -> connection.respond("200 OK", ""));
-        backend.setHeadAction(first::countDown);
+        backend.setHeadAction(headReceived::countDown);
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         HttpConnection client = rig.client();
         client.write(post("Transfer-Encoding: chunked"));
         client.write("18000\r\n" + "x".repeat(0x18000) + "\r\n");
-        first.await();
+        headReceived.await();
         client.write("nonsense\r\n");
         assertEquals(400, client.read().status());
         backend.awaitConnectionEnd();
@@ -209,16 +212,16 @@
     }
 
     @Test
-    void aClientThatBreaksOffInALongRequestEndsTheAttempt() throws Exception {
-        CountDownLatch first = new CountDownLatch(1);
+    void aClientThatResetsDuringALongRequestEndsTheAttempt() throws Exception {
+        CountDownLatch headReceived = new CountDownLatch(1);
         ScriptedServer backend =
                 rig.backend((connection, request) -> connection.respond("200 OK", ""));
-        backend.setHeadAction(first::countDown);
+        backend.setHeadAction(headReceived::countDown);
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         HttpConnection client = rig.client();
         client.write(post("Content-Length: 900000"));
         client.write(random(300_000));
-        first.await();
+        headReceived.await();
         client.reset();
         backend.awaitConnectionEnd();
         assertTrue(backend.received.isEmpty());
@@ -227,7 +230,7 @@
 
     /** What has gone out is not kept, so a repeat would not be the same request. */
     @Test
-    void aLongRequestIsNotSentAgainThoughItsClassMayRepeat() throws Exception {
+    void aLongRequestIsNotRetriedThoughItsClassAllowsRetries() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.reset());
         ScriptedServer other = rig.backend((connection, request) -> connection.reset());
         rig.start(
@@ -244,7 +247,7 @@
 
     /** A backend that is full says so before it has read all. */
     @Test
-    void anAnswerThatComesBeforeTheRequestIsWholeIsPassedOn() throws Exception {
+    void aResponseThatPrecedesTheEndOfTheRequestIsForwarded() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         backend.respondAtHead("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
@@ -259,8 +262,8 @@
     }
 
     @Test
-    void anAnswerThatBreaksOffIsSeenToBeCutOffAndCountsAsFailed() throws Exception {
-        with(
+    void aTruncatedResponseIsVisibleToTheClientAndCountsAsFailed() throws Exception {
+        startWithBackend(
                 (connection, request) -> {
                     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n");
                     connection.write(random(200_000));
@@ -280,8 +283,8 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"Transfer-Encoding: chunked\r\n\r\n5\r\nbegun\r\n", "\r\nbegun"})
-    void anAnswerThatNeverEndsIsBrokenOff(String begun) throws Exception {
-        with((connection, request) -> connection.write("HTTP/1.1 200 OK\r\n" + begun));
+    void aResponseThatNeverEndsIsAborted(String start) throws Exception {
+        startWithBackend((connection, request) -> connection.write("HTTP/1.1 200 OK\r\n" + start));
         HttpConnection client = rig.client();
         client.write(Rig.get("r", ""));
         assertThrows(EOFException.class, client::read);
@@ -291,9 +294,9 @@
 
     /** Only its peer's own end of the connection ends an answer without a length. */
     @Test
-    void anAnswerWithoutALengthThatIsResetIsSeenToBeCutOff() throws Exception {
+    void aResetInAResponseWithoutLengthIsVisibleToTheClient() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
-        with(
+        startWithBackend(
                 (connection, request) -> {
                     connection.write("HTTP/1.1 200 OK\r\n\r\nbegun");
                     seen.await();
@@ -313,9 +316,9 @@
      * long.
      */
     @Test
-    void aLongAnswerThatHasBegunInTimeGoesOn() throws Exception {
+    void aLongResponseThatStartsInTimeIsNotTimedOut() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
-        with(
+        startWithBackend(
                 (connection, request) -> {
                     connection.write(
                             "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
@@ -334,7 +337,7 @@
      * yet.
      */
     @Test
-    void anAnswerThatBreaksOffEarlyIsAskedForElsewhere() throws Exception {
+    void aResponseThatIsTruncatedEarlyIsRetriedElsewhere() throws Exception {
         ScriptedServer.Script once =
                 (connection, request) -> {
                     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\nshort");
@@ -352,9 +355,9 @@
     }
 
     @Test
-    void aClientThatLeavesInALongAnswerEndsTheAttempt() throws Exception {
+    void aClientThatDisconnectsDuringALongResponseEndsTheAttempt() throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> answer(connection, random(LONG)));
+                rig.backend((connection, request) -> respond(connection, random(LONG_BODY_BYTES)));
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         HttpConnection client = rig.client();
         client.write(Rig.get("r", ""));
@@ -367,9 +370,9 @@
 
     @ParameterizedTest
     @ValueSource(ints = {3, 300_000})
-    void anAnswerThatEndsByACloseOrInChunksComesWhole(int size) throws Exception {
+    void aResponseEndedByCloseOrInChunksIsComplete(int size) throws Exception {
         byte[] body = random(size);
-        with(
+        startWithBackend(
                 (connection, request) -> {
                     connection.write("HTTP/1.1 103 Early Hints\r\nLink: <x>\r\n\r\n");
                     if (request.header("X-Request-Id").equals("close")) {
@@ -394,9 +397,9 @@
 
     /** It may go on for long, so it is not held until it is whole. */
     @Test
-    void anAnswerOfUnknownLengthThatTricklesIsPassedOnMeanwhile() throws Exception {
+    void aSlowResponseOfUnknownLengthIsStreamed() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
-        with(
+        startWithBackend(
                 (connection, request) -> {
                     connection.write(
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n");
@@ -412,13 +415,13 @@
     }
 
     @Test
-    void longAnswersToPipelinedRequestsKeepTheirOrder() throws Exception {
-        with(
+    void longResponsesToPipelinedRequestsKeepTheirOrder() throws Exception {
+        startWithBackend(
                 (connection, request) -> {
                     if (request.header("X-Request-Id").equals("a")) {
                         Thread.sleep(300);
                     }
-                    answer(
+                    respond(
                             connection,
                             random(request.header("X-Request-Id").equals("a") ? 200_001 : 200_002));
                 });
@@ -430,22 +433,22 @@
 
     /** A slow client has 2 s for its head; single bytes are as good as whole lines. */
     @Test
-    void aHeadThatTakesTwoSecondsIsTaken() throws Exception {
-        with((connection, request) -> connection.respond("200 OK", "x"));
+    void aHeadSentOverTwoSecondsIsAccepted() throws Exception {
+        startWithBackend((connection, request) -> connection.respond("200 OK", "x"));
         HttpConnection client = rig.client();
         String head = Rig.get("r", "");
         for (int i = 0; i < head.length(); i++) {
             client.write(head.substring(i, i + 1));
             Thread.sleep(2_000 / head.length());
         }
-        Message answer = client.read();
-        assertEquals("x", answer.text());
+        Message response = client.read();
+        assertEquals("x", response.text());
     }
 
     /** Slower than 64 kB a second in a body of 1 s at that speed: it is let go, not waited for. */
     @Test
-    void aBodyThatStandsStillIsLetGo() throws Exception {
-        with((connection, request) -> connection.respond("200 OK", "x"));
+    void aConnectionWhoseBodyStallsIsClosed() throws Exception {
+        startWithBackend((connection, request) -> connection.respond("200 OK", "x"));
         HttpConnection client = rig.client();
         client.write(post("Content-Length: 900000"));
         client.write(new byte[1_000]);
--- a/src/test/java/passhatch/proxy/ClientConnectionTest.java
+++ b/src/test/java/passhatch/proxy/ClientConnectionTest.java
@@ -45,7 +45,7 @@
                 "POST /move HTTP/1.1\r\nHost: p\r\nX-Request-Id: r\r\n"
                         + "Content-Length: 9\r\n\r\nhalf"
             })
-    void aPeerThatSendsNoWholeRequestIsLetGoWithinThreeSeconds(String part) throws Exception {
+    void aPeerThatSendsNoCompleteRequestIsClosedWithinThreeSeconds(String part) throws Exception {
         rig.start();
         long start = System.nanoTime();
         HttpConnection peer = rig.client();
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void peersThatSendNothingDoNotPushAClientOut() throws Exception {
+    void silentPeersDoNotEvictAnIdleClient() throws Exception {
         ScriptedServer backend =
                 rig.backend((connection, request) -> connection.respond("200 OK", "x"));
         rig.start(up("s", backend));
@@ -72,7 +72,7 @@
 
     /** Each of them would hold a descriptor that another needs. */
     @Test
-    void inACrowdNoClientIsKeptForANextRequest() throws Exception {
+    void connectionsAreClosedAfterTheResponseWhenManyAreOpen() throws Exception {
         ScriptedServer backend =
                 rig.backend((connection, request) -> connection.respond("200 OK", "x"));
         rig.start(up("s", backend));
@@ -90,7 +90,7 @@
 
     /** Slow clients write a head for 2 s: silence counts, not age, when one has to go. */
     @Test
-    void aSlowHeadStaysWhileThousandsComeAndSayNothing() throws Exception {
+    void aSlowHeadIsNotEvictedByThousandsOfSilentPeers() throws Exception {
         ScriptedServer backend =
                 rig.backend((connection, request) -> connection.respond("200 OK", "x"));
         rig.start(up("s", backend));
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void aClientThatIsIdleOrWaitsForItsAnswerIsNotLetGo() throws Exception {
+    void aClientThatIsIdleOrAwaitsItsResponseIsNotClosed() throws Exception {
         ScriptedServer backend =
                 rig.backend(
                         (connection, request) -> {
@@ -128,18 +128,18 @@
 
     /** One peer sent 600 at a time: answering each cost the time of requests that counted. */
     @Test
-    void nothingMoreIsTakenFromAPeerThatSentNoRequest() throws Exception {
+    void noFurtherRequestIsAcceptedAfterABadOne() throws Exception {
         rig.start();
         HttpConnection peer = rig.client();
         peer.write(("GET /nothing HTTP/1.1\r\nHost: p\r\n\r\n").repeat(50));
-        Message answer = peer.read();
-        assertEquals(404, answer.status());
-        assertEquals("close", answer.header("Connection"));
+        Message response = peer.read();
+        assertEquals(404, response.status());
+        assertEquals("close", response.header("Connection"));
         assertNull(peer.read());
     }
 
     @Test
-    void answersPipelinedRequestsInOrder() throws Exception {
+    void respondsToPipelinedRequestsInOrder() throws Exception {
         ScriptedServer backend =
                 rig.backend(
                         (connection, request) ->
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void aClientThatLeavesEndsItsAttempt() throws Exception {
+    void aClientThatDisconnectsEndsItsAttempt() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.start(up("s", backend));
         HttpConnection leaves = rig.client();
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void aClientThatEndsItsSendingIsAnsweredAndLetGo() throws Exception {
+    void aClientThatHalfClosesGetsAResponseAndAClose() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.start(up("s", backend));
         HttpConnection client = rig.client();
--- a/src/test/java/passhatch/proxy/ClientLeavesTest.java
+++ b/src/test/java/passhatch/proxy/ClientDisconnectTest.java
@@ -35,30 +35,30 @@
  * is used.
  */
 @Timeout(60)
-final class ClientLeavesTest {
+final class ClientDisconnectTest {
 
     /** Ways to leave. */
-    enum Leaving {
+    enum Disconnect {
         FIN {
             @Override
-            void leave(HttpConnection client) throws IOException {
+            void perform(HttpConnection client) throws IOException {
                 client.close();
             }
         },
         RESET {
             @Override
-            void leave(HttpConnection client) throws IOException {
+            void perform(HttpConnection client) throws IOException {
                 client.reset();
             }
         },
         HALF_CLOSE {
             @Override
-            void leave(HttpConnection client) throws IOException {
+            void perform(HttpConnection client) throws IOException {
                 client.socket.shutdownOutput();
             }
         };
 
-        abstract void leave(HttpConnection client) throws IOException;
+        abstract void perform(HttpConnection client) throws IOException;
     }
 
     @TempDir Path folder;
@@ -66,9 +66,9 @@
     private ScriptedServer server;
 
     /** Requests in the order in which the module heard of them, and of their clients' going. */
-    private final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> requested = new LinkedBlockingQueue<>();
 
-    private final BlockingQueue<String> gone = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> disconnected = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
 
     @BeforeEach
@@ -77,7 +77,7 @@
                 new Rig(folder)
                         .balancerFactory(
                                 (settings, seed, actions) ->
-                                        overheard(new Logic(settings, seed, actions)));
+                                        recorded(new Logic(settings, seed, actions)));
         server = rig.backend((connection, request) -> connection.respond("200 OK", "served"));
     }
 
@@ -86,7 +86,7 @@
         rig.close();
     }
 
-    private Balancer overheard(Balancer logic) {
+    private Balancer recorded(Balancer logic) {
         return (Balancer)
                 Proxy.newProxyInstance(
                         getClass().getClassLoader(),
@@ -99,9 +99,9 @@
                                 throw thrown.getCause();
                             }
                             if (method.getName().equals("request")) {
-                                asked.add(((Balancer.Request) args[1]).id());
+                                requested.add(((Balancer.Request) args[1]).id());
                             } else if (method.getName().equals("clientGone")) {
-                                gone.add((String) args[1]);
+                                disconnected.add((String) args[1]);
                             } else if (method.getName().equals("serversChanged")) {
                                 lists.add(String.valueOf(args[2]));
                             }
@@ -109,11 +109,11 @@
                         });
     }
 
-    private static void await(BlockingQueue<String> heard, int many) throws InterruptedException {
-        for (int i = 0; i < many; i++) {
+    private static void await(BlockingQueue<String> events, int count) throws InterruptedException {
+        for (int i = 0; i < count; i++) {
             assertNotNull(
-                    heard.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS),
-                    i + " of " + many);
+                    events.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                    i + " of " + count);
         }
     }
 
@@ -121,7 +121,7 @@
      * From now on there is a server for what waits; nothing goes to it but what a client still
      * waits for.
      */
-    private void nothingOfThemIsSentOn() throws Exception {
+    private void assertNothingIsForwarded() throws Exception {
         lists.clear();
         rig.lines.add(Rig.list(9, true, Rig.entry("late", server.address(), "SERVING")));
         await(lists, 1);
@@ -130,26 +130,26 @@
         assertEquals(0, server.received.size());
     }
 
-    private void leavesAndNothingIsSentOn(HttpConnection client, Leaving how, int requests)
-            throws Exception {
-        how.leave(client);
-        await(gone, requests);
-        nothingOfThemIsSentOn();
+    private void disconnectAndAssertNothingIsForwarded(
+            HttpConnection client, Disconnect how, int requests) throws Exception {
+        how.perform(client);
+        await(disconnected, requests);
+        assertNothingIsForwarded();
     }
 
     @ParameterizedTest
     @EnumSource
-    void whileItsRequestWaitsInTheModule(Leaving how) throws Exception {
+    void whileItsRequestIsQueuedInTheModule(Disconnect how) throws Exception {
         rig.start();
         HttpConnection client = rig.client();
         client.write(Rig.get("left", ""));
-        await(asked, 1);
-        leavesAndNothingIsSentOn(client, how, 1);
+        await(requested, 1);
+        disconnectAndAssertNothingIsForwarded(client, how, 1);
     }
 
     @ParameterizedTest
     @EnumSource
-    void whileItsRequestWaitsBetweenTwoAttempts(Leaving how) throws Exception {
+    void whileItsRequestWaitsBetweenTwoAttempts(Disconnect how) throws Exception {
         ScriptedServer full =
                 rig.backend(
                         (connection, request) ->
@@ -161,21 +161,21 @@
         HttpConnection client = rig.client();
         client.write(Rig.post("/move", "left", ""));
         full.nextRequest();
-        leavesAndNothingIsSentOn(client, how, 1);
+        disconnectAndAssertNothingIsForwarded(client, how, 1);
     }
 
     /** More than are taken from one connection at a time, and more than that behind them. */
     @ParameterizedTest
     @EnumSource
-    void behindManyOnTheSameConnection(Leaving how) throws Exception {
+    void afterManyPipelinedRequests(Disconnect how) throws Exception {
         rig.start();
         HttpConnection client = rig.client();
         for (int i = 0; i < 4; i++) {
             client.write(Rig.get("left" + i, ""));
-            await(asked, 1);
+            await(requested, 1);
         }
         client.write(Rig.get("left4", "").repeat(20));
-        leavesAndNothingIsSentOn(client, how, 4);
+        disconnectAndAssertNothingIsForwarded(client, how, 4);
     }
 
     /**
@@ -183,32 +183,34 @@
      */
     @ParameterizedTest
     @EnumSource
-    void behindItsBody(Leaving how) throws Exception {
+    void afterALongBody(Disconnect how) throws Exception {
         rig.start();
         HttpConnection client = rig.client();
         client.write(
                 "POST /buy/1 HTTP/1.1\r\nHost: p\r\nX-Request-Id: left\r\nIdempotency-Key: k\r\n"
                         + "Content-Length: 110000\r\n\r\n"
                         + "x".repeat(110_000));
-        await(asked, 1);
-        leavesAndNothingIsSentOn(client, how, 1);
+        await(requested, 1);
+        disconnectAndAssertNothingIsForwarded(client, how, 1);
     }
 
     /** Its connection to the server is not up yet; once it is, nothing is written on it. */
     @ParameterizedTest
     @EnumSource
-    void whileItsConnectionComesUp(Leaving how) throws Exception {
-        comesUpLate(true, how);
+    void whileItsBackendConnectionIsBeingEstablished(Disconnect how) throws Exception {
+        disconnectBeforeTheBackendConnects(true, how);
     }
 
     /** The same where attempts may not be called off. */
     @ParameterizedTest
     @EnumSource
-    void whileItsConnectionComesUpAndNothingIsCalledOff(Leaving how) throws Exception {
-        comesUpLate(false, how);
+    void whileItsBackendConnectionIsBeingEstablishedWithoutCancellation(Disconnect how)
+            throws Exception {
+        disconnectBeforeTheBackendConnects(false, how);
     }
 
-    private void comesUpLate(boolean cancel, Leaving how) throws Exception {
+    private void disconnectBeforeTheBackendConnects(boolean cancel, Disconnect how)
+            throws Exception {
         try (ServerSocket late = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress at = (InetSocketAddress) late.getLocalSocketAddress();
             List<Socket> waiting = new ArrayList<>();
@@ -219,9 +221,9 @@
                 rig.limit("cancel", cancel).start(Rig.entry("s", at, "SERVING"));
                 HttpConnection client = rig.client();
                 client.write(Rig.get("left", ""));
-                await(asked, 1);
-                how.leave(client);
-                await(gone, 1);
+                await(requested, 1);
+                how.perform(client);
+                await(disconnected, 1);
                 waiting.add(late.accept());
                 waiting.add(late.accept());
                 // Where it is not called off it comes up now, with the system's next try a second
@@ -230,9 +232,9 @@
                     Socket up = late.accept();
                     waiting.add(up);
                     up.setSoTimeout(300);
-                    assertFalse(hears(up), "the request was sent on");
+                    assertFalse(receivesBytes(up), "the request was sent on");
                 }
-                nothingOfThemIsSentOn();
+                assertNothingIsForwarded();
             } finally {
                 for (Socket socket : waiting) {
                     socket.close();
@@ -241,7 +243,7 @@
         }
     }
 
-    private static boolean hears(Socket socket) throws IOException {
+    private static boolean receivesBytes(Socket socket) throws IOException {
         try {
             return socket.getInputStream().read() >= 0;
         } catch (SocketTimeoutException silent) {
@@ -251,7 +253,7 @@
 
     /** Many at once, each in its own way. */
     @Test
-    void manyInABurst() throws Exception {
+    void manyAtOnce() throws Exception {
         rig.start();
         List<HttpConnection> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -259,11 +261,11 @@
             client.write(Rig.get("left" + i, ""));
             clients.add(client);
         }
-        await(asked, clients.size());
+        await(requested, clients.size());
         for (int i = 0; i < clients.size(); i++) {
-            Leaving.values()[i % 3].leave(clients.get(i));
+            Disconnect.values()[i % 3].perform(clients.get(i));
         }
-        await(gone, clients.size());
-        nothingOfThemIsSentOn();
+        await(disconnected, clients.size());
+        assertNothingIsForwarded();
     }
 }
--- a/src/test/java/passhatch/proxy/ClosesTest.java
+++ b/src/test/java/passhatch/proxy/ConnectionCloseTest.java
@@ -28,17 +28,17 @@
  * arrives, its client sees an end and no reset, and nothing of what came is sent on.
  */
 @Timeout(60)
-final class ClosesTest {
+final class ConnectionCloseTest {
 
     private static final String CLOSE = "Connection: close\r\n";
 
     /** As long as may be held whole; more than the system takes for a narrow client. */
-    private static final String LONG = "x".repeat(60_000);
+    private static final String LONG_BODY = "x".repeat(60_000);
 
     @TempDir Path folder;
     private Rig rig;
     private final CountDownLatch served = new CountDownLatch(1);
-    private final List<String> asked = Collections.synchronizedList(new ArrayList<>());
+    private final List<String> requested = Collections.synchronizedList(new ArrayList<>());
 
     @BeforeEach
     void setUp() throws IOException {
@@ -54,9 +54,9 @@
      * The module has one request served and all others refused at once, of these one after this has
      * run on the loop: what comes by then is not read yet.
      */
-    private void answersAfter(String id, Runnable crossing) throws Exception {
+    private void startWithScriptedModule(String id, Runnable beforeRefusal) throws Exception {
         ScriptedServer backend =
-                rig.backend((connection, request) -> connection.respond("200 OK", LONG));
+                rig.backend((connection, request) -> connection.respond("200 OK", LONG_BODY));
         rig.balancerFactory(
                         (settings, seed, actions) ->
                                 Rig.scriptedBalancer(
@@ -64,23 +64,24 @@
                                             if (method.equals("outcome")) {
                                                 served.countDown();
                                             } else if (method.equals("request")) {
-                                                String of = ((Balancer.Request) args[1]).id();
-                                                asked.add(of);
-                                                if (of.equals("before")) {
-                                                    actions.send(of, "s", 0);
+                                                String requestId =
+                                                        ((Balancer.Request) args[1]).id();
+                                                requested.add(requestId);
+                                                if (requestId.equals("before")) {
+                                                    actions.send(requestId, "s", 0);
                                                     return;
                                                 }
-                                                if (of.equals(id)) {
-                                                    crossing.run();
+                                                if (requestId.equals(id)) {
+                                                    beforeRefusal.run();
                                                 }
-                                                actions.refuse(of, 0);
+                                                actions.refuse(requestId, 0);
                                             }
                                         }))
                 .start(Rig.entry("s", backend.address(), "SERVING"));
     }
 
     /** A client that was answered and has not read that: a reset would destroy it on its way. */
-    private HttpConnection clientWithAnAnswerOnItsWay() throws Exception {
+    private HttpConnection clientWithAnUnreadResponse() throws Exception {
         HttpConnection client = HttpConnection.withSmallReceiveBuffer(rig.proxy().address());
         client.write(Rig.get("before", "X-Deadline: 9000m\r\n"));
         served.await();
@@ -88,16 +89,16 @@
     }
 
     /** A socket that was closed is given back to the system some turns of the loop later. */
-    private void awaitTurns() throws InterruptedException {
-        for (int turns = 0; turns < 3; turns++) {
+    private void awaitLoopIterations() throws InterruptedException {
+        for (int iterations = 0; iterations < 3; iterations++) {
             rig.proxy().awaitSubmittedTasks();
         }
     }
 
     /** Reads what is on its way, once all that the proxy did about its connection is done. */
-    private void readsOnlyNow(HttpConnection client) throws Exception {
-        awaitTurns();
-        assertEquals(LONG, client.read().text());
+    private void assertUnreadResponseArrives(HttpConnection client) throws Exception {
+        awaitLoopIterations();
+        assertEquals(LONG_BODY, client.read().text());
     }
 
     private static void write(HttpConnection client, String text) {
@@ -108,7 +109,7 @@
         }
     }
 
-    private static String more(String what) {
+    private static String extraInput(String what) {
         return switch (what) {
             case "a request" -> Rig.get("behind", "");
             case "half a head" -> "GET /board/7 HTTP/1.1\r\nX-Req";
@@ -118,24 +119,24 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"a request", "half a head", "nonsense"})
-    void behindTheLastAnswer(String what) throws Exception {
-        BlockingQueue<HttpConnection> asks = new LinkedBlockingQueue<>();
+    void bytesAfterTheLastRequest(String what) throws Exception {
+        BlockingQueue<HttpConnection> clients = new LinkedBlockingQueue<>();
         CountDownLatch crossed = new CountDownLatch(1);
-        answersAfter(
+        startWithScriptedModule(
                 "last",
                 () -> {
-                    write(asks.remove(), more(what));
+                    write(clients.remove(), extraInput(what));
                     crossed.countDown();
                 });
-        try (HttpConnection client = clientWithAnAnswerOnItsWay()) {
-            asks.add(client);
+        try (HttpConnection client = clientWithAnUnreadResponse()) {
+            clients.add(client);
             client.write(Rig.get("last", CLOSE));
             crossed.await();
-            readsOnlyNow(client);
+            assertUnreadResponseArrives(client);
             assertEquals(503, client.read().status());
             assertNull(client.read());
         }
-        assertEquals(List.of("before", "last"), asked);
+        assertEquals(List.of("before", "last"), requested);
     }
 
     /**
@@ -143,7 +144,7 @@
      * taken.
      */
     @Test
-    void whileTheLastAnswerIsWritten() throws Exception {
+    void aRequestWhileTheLastResponseIsWritten() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
         ScriptedServer backend =
                 rig.backend(
@@ -169,36 +170,36 @@
      * The request comes when the process that ends lets resting clients go, and is not read before.
      */
     @Test
-    void onARestingConnectionAtTheEnd() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
+    void aRequestOnAnIdleConnectionAtShutdown() throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
         rig.deadlineUs(200_000);
-        answersAfter(
+        startWithScriptedModule(
                 "held",
                 () -> {
-                    held.countDown();
+                    blocked.countDown();
                     // Longer than a process with short deadlines serves on.
                     LockSupport.parkNanos(
                             ShutdownSchedule.of(200).closeClientsMs() * 1_000_000 + 50_000_000);
                 });
-        try (HttpConnection resting = clientWithAnAnswerOnItsWay()) {
-            HttpConnection holds = rig.client();
+        try (HttpConnection idle = clientWithAnUnreadResponse()) {
+            HttpConnection blocking = rig.client();
             rig.proxy().shutDown();
             rig.proxy().awaitSubmittedTasks();
-            holds.write(Rig.get("held", ""));
-            held.await();
-            resting.write(Rig.get("crossing", ""));
-            assertEquals(503, holds.read().status());
-            readsOnlyNow(resting);
-            assertNull(resting.read());
+            blocking.write(Rig.get("held", ""));
+            blocked.await();
+            idle.write(Rig.get("crossing", ""));
+            assertEquals(503, blocking.read().status());
+            assertUnreadResponseArrives(idle);
+            assertNull(idle.read());
         }
         assertTrue(rig.proxy().awaitTermination(HttpConnection.TIMEOUT_MS));
-        assertEquals(List.of("before", "held"), asked);
+        assertEquals(List.of("before", "held"), requested);
     }
 
     /** A client that does not end its side is not waited for long. */
     @Test
-    void aClientThatGoesOnSendingIsLetGo() throws Exception {
-        answersAfter("last", () -> {});
+    void aClientThatKeepsItsSideOpenIsClosed() throws Exception {
+        startWithScriptedModule("last", () -> {});
         HttpConnection client = rig.client();
         client.write(Rig.get("last", CLOSE));
         assertEquals(503, client.read().status());
@@ -208,13 +209,13 @@
 
     /** What operators are told arrives though they have sent more than the one line. */
     @Test
-    void behindAnOperatorsCall() throws Exception {
+    void bytesAfterAnOperatorCall() throws Exception {
         rig.control().safeClass("c".repeat(50_000)).start();
-        try (HttpConnection caller =
+        try (HttpConnection operator =
                 HttpConnection.withSmallReceiveBuffer(rig.proxy().controlAddress())) {
-            caller.write("vars\n" + "x".repeat(60_000));
-            awaitTurns();
-            String text = caller.readAll();
+            operator.write("vars\n" + "x".repeat(60_000));
+            awaitLoopIterations();
+            String text = operator.readAll();
             assertTrue(text.endsWith("end\n"), () -> text.length() + " characters");
         }
     }
