--- a/src/test/java/passhatch/proxy/ForwardingTest.java
+++ b/src/test/java/passhatch/proxy/ForwardingTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void passesRequestAndBodyOnUnchanged() throws Exception {
+    void forwardsRequestAndBodyUnchanged() throws Exception {
         byte[] body = new byte[60_000];
         new Random(5).nextBytes(body);
         ScriptedServer backend =
@@ -73,9 +73,9 @@
                         + body.length
                         + "\r\n\r\n");
         client.write(body);
-        Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertArrayEquals(body, answer.body());
+        Message response = client.read();
+        assertEquals(200, response.status());
+        assertArrayEquals(body, response.body());
         Message sent = backend.nextRequest();
         assertEquals("POST /buy/3?q=%20a HTTP/1.1", sent.startLine());
         assertArrayEquals(body, sent.body());
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void refusesWithRetryAfterWhereNothingRan() throws Exception {
+    void refusesWithRetryAfterIfNothingRan() throws Exception {
         ScriptedServer full =
                 rig.backend(
                         (connection, request) ->
@@ -95,13 +95,13 @@
                                                 + "X-Not-Run: 1\r\n"
                                                 + "Content-Length: 0\r\n\r\n"));
         rig.aimUs(300_000).start(up("s", full));
-        Message answer = rig.send(Rig.post("/move", "r", "X-Deadline: 9000m\r\n"));
-        assertEquals(503, answer.status());
-        assertEquals("2", answer.header("Retry-After"));
+        Message response = rig.send(Rig.post("/move", "r", "X-Deadline: 9000m\r\n"));
+        assertEquals(503, response.status());
+        assertEquals("2", response.header("Retry-After"));
     }
 
     @Test
-    void unsafeIsNotSentAgainAfterAReset() throws Exception {
+    void anUnsafeRequestIsNotRetriedAfterAReset() throws Exception {
         ScriptedServer.Script breaks = (connection, request) -> connection.reset();
         ScriptedServer a = rig.backend(breaks);
         ScriptedServer b = rig.backend(breaks);
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void unsafeIsSentElsewhereWhereItDidNotRun() throws Exception {
+    void anUnsafeRequestIsRetriedIfItDidNotRun() throws Exception {
         ScriptedServer.Script once =
                 (connection, request) -> {
                     if (request.header("X-Request-Id").equals("r")) {
@@ -133,7 +133,7 @@
 
     /** The module repeats in time; the connection comes up when the key is no longer remembered. */
     @Test
-    void aRepeatByKeyIsNotWrittenOnceItsServerWouldNoLongerDropIt() throws Exception {
+    void aKeyedRetryIsNotWrittenAfterTheDedupWindow() throws Exception {
         ScriptedServer first = rig.backend((connection, request) -> connection.reset());
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         try (ServerSocket late = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -184,7 +184,7 @@
 
     /** Whatever the module throws, its request is answered and later ones are decided on. */
     @Test
-    void decidesOnAfterAnErrorInTheModule() throws Exception {
+    void continuesAfterAnErrorInTheModule() throws Exception {
         rig.balancerFactory(
                         (settings, seed, actions) ->
                                 scriptedBalancer(
@@ -204,24 +204,25 @@
     }
 
     @Test
-    void nothingIsWrittenToABackendThatDrainsWhileConnecting() throws Exception {
+    void nothingIsWrittenToABackendThatStartsDrainingWhileConnecting() throws Exception {
         ScriptedServer backend =
                 rig.backend((connection, request) -> connection.respond("200 OK", ""));
-        assertNotWrittenOnceListed(backend, Rig.entry("s", backend.address(), "DRAINING"));
+        assertNotWrittenAfterListChange(backend, Rig.entry("s", backend.address(), "DRAINING"));
     }
 
     /** What is at the old address may be another server by then. */
     @Test
-    void nothingIsWrittenToAnAddressThatABackendLeftWhileConnecting() throws Exception {
+    void nothingIsWrittenToABackendsOldAddress() throws Exception {
         ScriptedServer backend =
                 rig.backend((connection, request) -> connection.respond("200 OK", ""));
         ScriptedServer elsewhere =
                 rig.backend((connection, request) -> connection.respond("200 OK", ""));
-        assertNotWrittenOnceListed(backend, up("s", elsewhere));
+        assertNotWrittenAfterListChange(backend, up("s", elsewhere));
     }
 
     /** The list changes between the send and the moment the connection is up. */
-    private void assertNotWrittenOnceListed(ScriptedServer backend, String entry) throws Exception {
+    private void assertNotWrittenAfterListChange(ScriptedServer backend, String entry)
+            throws Exception {
         EndpointList changed =
                 EndpointList.parse(
                         JSON.std.mapFrom(Rig.list(9, false, entry)), List.of("a"), List.of("m"));
@@ -250,7 +251,7 @@
     }
 
     @Test
-    void probesAskForTheLoad() throws Exception {
+    void probesRequestTheLoad() throws Exception {
         ScriptedServer backend =
                 rig.backend(
                         (connection, request) ->
--- a/src/test/java/passhatch/proxy/HandoverTest.java
+++ b/src/test/java/passhatch/proxy/HandoverTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import passhatch.proxy.base.EventLog;
-import passhatch.proxy.client.Listener;
+import passhatch.proxy.client.ListeningChannel;
 
 /** The parts of a handover to a new version. */
 @Timeout(60)
@@ -42,7 +42,7 @@
             Channel listener =
                     new ServerBootstrap()
                             .group(loop)
-                            .channelFactory(Listener::new)
+                            .channelFactory(ListeningChannel::new)
                             .childHandler(
                                     new ChannelInitializer<SocketChannel>() {
                                         @Override
--- a/src/test/java/passhatch/proxy/RequestValidationTest.java
+++ b/src/test/java/passhatch/proxy/RequestValidationTest.java
@@ -34,7 +34,7 @@
 
     /** A malformed head leaves no place to read on from. */
     @Test
-    void whatIsNotHttpIsTurnedDownAndTheConnectionClosed() throws Exception {
+    void malformedHttpIsRejectedAndTheConnectionClosed() throws Exception {
         rig.start();
         HttpConnection client = rig.client();
         client.write("GET /board HTTP/9.x\r\nbad\r\n\r\n");
@@ -57,7 +57,7 @@
                     400 | GET /board HTTP/1.1             | X-Tenant: nobody
                     413 | POST /move HTTP/1.1             | Content-Length: 33554433
                     """)
-    void turnsMalformedRequestsDownAndSendsNothing(int status, String start, String header)
+    void rejectsMalformedRequestsAndSendsNothing(int status, String start, String header)
             throws Exception {
         ScriptedServer backend =
                 rig.backend((connection, request) -> connection.respond("200 OK", ""));
@@ -73,7 +73,7 @@
 
     /** Its body is neither waited for nor read. */
     @Test
-    void aBodyThatIsTooLargeIsTurnedDownAtItsAnnouncement() throws Exception {
+    void aBodyThatIsTooLargeIsRejectedFromItsContentLength() throws Exception {
         rig.start();
         HttpConnection peer = rig.client();
         peer.write(
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void anIdStillHeldIsNotTakenTwice() throws Exception {
+    void anIdStillInUseIsRejected() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.start(up("s", backend));
         rig.client().write(Rig.get("same", ""));
@@ -98,7 +98,7 @@
     /** The name of a class may be any text, and comes escaped where it may not stand in a path. */
     @ParameterizedTest
     @CsvSource({"a class/ä+%, /a%20class%2F%C3%A4%2B%25/7", "board, /%62oard", "b+c, /b+c/1"})
-    void takesAClassWhoseNameComesEscaped(String name, String path) throws Exception {
+    void acceptsAnEscapedClassName(String name, String path) throws Exception {
         ScriptedServer backend =
                 rig.backend((connection, request) -> connection.respond("200 OK", "x"));
         rig.safeClass(name).start(up("s", backend));
--- a/src/test/java/passhatch/proxy/backend/BackendPoolTest.java
+++ b/src/test/java/passhatch/proxy/backend/BackendPoolTest.java
@@ -39,7 +39,7 @@
 import passhatch.proxy.HttpConnection;
 import passhatch.proxy.ScriptedServer;
 import passhatch.proxy.backend.BackendPool.Handle;
-import passhatch.proxy.backend.BackendPool.Outgoing;
+import passhatch.proxy.backend.BackendPool.RequestSpec;
 import passhatch.proxy.backend.BackendPool.Result;
 import passhatch.proxy.base.Clock;
 import passhatch.proxy.base.DescriptorLimits;
@@ -50,7 +50,7 @@
 @Timeout(60)
 final class BackendPoolTest {
 
-    private static final long LONG_US = 15_000_000;
+    private static final long LONG_TIMEOUT_US = 15_000_000;
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -67,12 +67,12 @@
         pool = pool(10_000_000, 0);
     }
 
-    private BackendPool pool(long keepaliveUs, long restUs) {
-        return pool(keepaliveUs, restUs, BackendChannel::new);
+    private BackendPool pool(long keepaliveUs, long reuseDelayUs) {
+        return pool(keepaliveUs, reuseDelayUs, BackendChannel::new);
     }
 
     private BackendPool pool(
-            long keepaliveUs, long restUs, ChannelFactory<BackendChannel> sockets) {
+            long keepaliveUs, long reuseDelayUs, ChannelFactory<BackendChannel> channelFactory) {
         return new BackendPool(
                 loop,
                 new Clock(),
@@ -80,13 +80,13 @@
                 budget,
                 10_000_000,
                 keepaliveUs,
-                restUs,
+                reuseDelayUs,
                 descriptors,
-                sockets);
+                channelFactory);
     }
 
     @Test
-    void aLackOfDescriptorsHereIsNoFailureOfTheBackendAndLeaksNone() throws Exception {
+    void aLackOfLocalDescriptorsIsNotABackendFailureAndLeaksNone() throws Exception {
         pool =
                 pool(
                         10_000_000,
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aLackOfPortsOrRoutesHereIsNoFailureOfTheBackend() throws Exception {
+    void aLackOfLocalPortsOrRoutesIsNotABackendFailure() throws Exception {
         for (SocketException local :
                 List.of(
                         new BindException("Cannot assign requested address"),
@@ -124,7 +124,7 @@
     private void assertNotSentThreeTimes() throws Exception {
         InetSocketAddress nowhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
         for (int i = 0; i < 3; i++) {
-            send(nowhere, true, LONG_US);
+            send(nowhere, true, LONG_TIMEOUT_US);
             assertEquals(Outcome.NOT_SENT, results.poll(5, TimeUnit.SECONDS).outcome());
         }
         loop.submit(() -> assertEquals(0, descriptors.backends())).sync();
@@ -135,30 +135,31 @@
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private Handle send(InetSocketAddress address, boolean wanted, long timeoutUs)
+    private Handle send(InetSocketAddress address, boolean stillWanted, long timeoutUs)
             throws Exception {
-        return loop.submit(() -> pool.send(address, outgoing(wanted, timeoutUs), results::add))
+        return loop.submit(
+                        () -> pool.send(address, requestSpec(stillWanted, timeoutUs), results::add))
                 .get();
     }
 
-    private static Outgoing outgoing(boolean wanted, long timeoutUs) {
-        return new Outgoing(
-                BackendPoolTest::message, null, () -> wanted, timeoutUs, Outcome.TIMEOUT);
+    private static RequestSpec requestSpec(boolean stillWanted, long timeoutUs) {
+        return new RequestSpec(
+                BackendPoolTest::message, null, () -> stillWanted, timeoutUs, Outcome.TIMEOUT);
     }
 
     private static FullHttpRequest message() {
         return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/x");
     }
 
-    private Outcome result() throws InterruptedException {
+    private Outcome awaitOutcome() throws InterruptedException {
         Result result = results.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertNotNull(result, "no result came");
         return result.outcome();
     }
 
-    private Outcome call(InetSocketAddress address) throws Exception {
-        send(address, true, LONG_US);
-        return result();
+    private Outcome sendAndAwait(InetSocketAddress address) throws Exception {
+        send(address, true, LONG_TIMEOUT_US);
+        return awaitOutcome();
     }
 
     @ParameterizedTest
@@ -186,7 +187,7 @@
                     OK    | 100 Continue;;HTTP/1.1 200 OK        | Content-Length: 2
                     RESET | 100 Continue;;HTTP/1.1 200 OK        | Content-Length: 2;no colon here
                     """)
-    void readsAnswers(Outcome outcome, String status, String headers) throws Exception {
+    void mapsResponsesToOutcomes(Outcome outcome, String status, String headers) throws Exception {
         try (ScriptedServer backend =
                 new ScriptedServer(
                         (connection, request) -> {
@@ -195,7 +196,7 @@
                                             + "\r\n\r\nab");
                             connection.close();
                         })) {
-            assertEquals(outcome, call(backend.address()));
+            assertEquals(outcome, sendAndAwait(backend.address()));
         }
     }
 
@@ -204,22 +205,22 @@
      * answer.
      */
     @Test
-    void aSecondAnswerToOneRequestIsNotTakenForTheNextOnes() throws Exception {
-        AtomicInteger calls = new AtomicInteger();
+    void aSecondResponseToOneRequestIsNotUsedForTheNextRequest() throws Exception {
+        AtomicInteger responses = new AtomicInteger();
         try (ScriptedServer backend =
                 new ScriptedServer(
                         (connection, request) -> {
-                            String answer =
+                            String response =
                                     "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
-                                            + calls.incrementAndGet();
-                            connection.write(answer + answer);
+                                            + responses.incrementAndGet();
+                            connection.write(response + response);
                         })) {
             BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
             loop.submit(
                             () ->
                                     pool.send(
                                             backend.address(),
-                                            outgoing(true, LONG_US),
+                                            requestSpec(true, LONG_TIMEOUT_US),
                                             first -> {
                                                 bodies.add(
                                                         new String(
@@ -227,7 +228,7 @@
                                                                 StandardCharsets.UTF_8));
                                                 pool.send(
                                                         backend.address(),
-                                                        outgoing(true, LONG_US),
+                                                        requestSpec(true, LONG_TIMEOUT_US),
                                                         next ->
                                                                 bodies.add(
                                                                         new String(
@@ -243,7 +244,7 @@
 
     /** Without the end of a line no answer is read from them, yet they would spoil the next one. */
     @Test
-    void bytesOnAnIdleConnectionEndIt() throws Exception {
+    void bytesOnAnIdleConnectionCloseIt() throws Exception {
         try (ScriptedServer backend =
                 new ScriptedServer(
                         (connection, request) -> {
@@ -251,48 +252,48 @@
                             results.take();
                             connection.write("stray");
                         })) {
-            send(backend.address(), true, LONG_US);
+            send(backend.address(), true, LONG_TIMEOUT_US);
             backend.awaitConnectionEnd();
         }
     }
 
     /** What is on its way to a resting connection when it is taken for the next call. */
-    enum Crossing {
-        END {
+    enum ConcurrentEvent {
+        CLOSE {
             @Override
-            void happen(HttpConnection connection, ScriptedServer backend) throws Exception {
+            void trigger(HttpConnection connection, ScriptedServer backend) throws Exception {
                 connection.close();
                 backend.awaitConnectionEnd();
             }
         },
         RESET {
             @Override
-            void happen(HttpConnection connection, ScriptedServer backend) throws Exception {
+            void trigger(HttpConnection connection, ScriptedServer backend) throws Exception {
                 connection.reset();
                 // A socket that a thread reads from is closed by that thread.
                 backend.awaitConnectionEnd();
             }
         },
-        HALF_A_LINE {
+        PARTIAL_LINE {
             @Override
-            void happen(HttpConnection connection, ScriptedServer backend) throws Exception {
+            void trigger(HttpConnection connection, ScriptedServer backend) throws Exception {
                 connection.write("HTTP/1.1 2");
             }
         },
-        SECOND_ANSWER {
+        SECOND_RESPONSE {
             @Override
-            void happen(HttpConnection connection, ScriptedServer backend) throws Exception {
+            void trigger(HttpConnection connection, ScriptedServer backend) throws Exception {
                 connection.respond("200 OK", "stray");
             }
         };
 
-        abstract void happen(HttpConnection connection, ScriptedServer backend) throws Exception;
+        abstract void trigger(HttpConnection connection, ScriptedServer backend) throws Exception;
     }
 
     /** The loop has not heard of it yet, as it takes the connection in the same turn. */
     @ParameterizedTest
     @EnumSource
-    void aConnectionOnWhichSomethingHasJustComeIsNotUsedAgain(Crossing crossing) throws Exception {
+    void aConnectionWithUnreadInputIsNotReused(ConcurrentEvent event) throws Exception {
         BlockingQueue<HttpConnection> first = new LinkedBlockingQueue<>();
         try (ScriptedServer backend =
                 new ScriptedServer(
@@ -300,13 +301,15 @@
                             connection.respond("200 OK", "own");
                             first.add(connection);
                         })) {
-            assertEquals(Outcome.OK, call(backend.address()));
+            assertEquals(Outcome.OK, sendAndAwait(backend.address()));
             HttpConnection kept = first.take();
             loop.submit(
                             () -> {
-                                crossing.happen(kept, backend);
+                                event.trigger(kept, backend);
                                 return pool.send(
-                                        backend.address(), outgoing(true, LONG_US), results::add);
+                                        backend.address(),
+                                        requestSpec(true, LONG_TIMEOUT_US),
+                                        results::add);
                             })
                     .get();
             Result result = results.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -316,7 +319,7 @@
         }
     }
 
-    private static ScriptedServer answeringTwice() throws IOException {
+    private static ScriptedServer respondingTwice() throws IOException {
         return new ScriptedServer(
                 (connection, request) ->
                         connection.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".repeat(2)));
@@ -327,10 +330,10 @@
      * once backends were seen to send what nothing asked for.
      */
     @Test
-    void aSecondAnswerThatComesLateIsNotTakenForTheNextOnes() throws Exception {
+    void aLateSecondResponseIsNotUsedForTheNextRequest() throws Exception {
         pool = pool(10_000_000, 60_000_000);
-        try (ScriptedServer twice = answeringTwice()) {
-            assertEquals(Outcome.OK, call(twice.address()));
+        try (ScriptedServer twice = respondingTwice()) {
+            assertEquals(Outcome.OK, sendAndAwait(twice.address()));
         }
         BlockingQueue<HttpConnection> first = new LinkedBlockingQueue<>();
         try (ScriptedServer backend =
@@ -345,8 +348,8 @@
                                 connection.respond("200 OK", "next");
                             }
                         })) {
-            assertEquals(Outcome.OK, call(backend.address()));
-            send(backend.address(), true, LONG_US);
+            assertEquals(Outcome.OK, sendAndAwait(backend.address()));
+            send(backend.address(), true, LONG_TIMEOUT_US);
             Result result = results.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertEquals("next", new String(result.body(), StandardCharsets.UTF_8));
         }
@@ -354,42 +357,42 @@
 
     /** Where no backend sends what nothing asked for, no connection is opened for that. */
     @Test
-    void connectionsNeedNoRestWhereAllAnswerOnce() throws Exception {
+    void connectionsAreReusedAtOnceIfAllBackendsRespondOnce() throws Exception {
         pool = pool(10_000_000, 60_000_000);
         try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
-            assertEquals(Outcome.OK, call(backend.address()));
-            assertEquals(Outcome.OK, call(backend.address()));
+            assertEquals(Outcome.OK, sendAndAwait(backend.address()));
+            assertEquals(Outcome.OK, sendAndAwait(backend.address()));
             assertEquals(1, backend.connections.get());
         }
     }
 
     /** Once it has rested it is used again. */
     @Test
-    void aConnectionThatHasRestedIsUsedAgain() throws Exception {
+    void aConnectionIsReusedAfterTheReuseDelay() throws Exception {
         pool = pool(10_000_000, 1_000);
         try (ScriptedServer backend = ScriptedServer.respondingWith("x");
-                ScriptedServer twice = answeringTwice()) {
-            assertEquals(Outcome.OK, call(twice.address()));
-            int calls = 0;
+                ScriptedServer twice = respondingTwice()) {
+            assertEquals(Outcome.OK, sendAndAwait(twice.address()));
+            int requests = 0;
             do {
-                assertEquals(Outcome.OK, call(backend.address()));
-                calls++;
-            } while (backend.connections.get() == calls);
-            assertTrue(backend.connections.get() < calls);
+                assertEquals(Outcome.OK, sendAndAwait(backend.address()));
+                requests++;
+            } while (backend.connections.get() == requests);
+            assertTrue(backend.connections.get() < requests);
         }
     }
 
     @Test
-    void aBreakAfterTheRequestIsAReset() throws Exception {
+    void aConnectionLostAfterTheRequestIsAReset() throws Exception {
         try (ScriptedServer backend =
                 new ScriptedServer((connection, request) -> connection.reset())) {
-            assertEquals(Outcome.RESET, call(backend.address()));
+            assertEquals(Outcome.RESET, sendAndAwait(backend.address()));
         }
     }
 
     /** Without a length only the peer's own end of the connection is the end of an answer. */
     @Test
-    void aResetEndsNoAnswer() throws Exception {
+    void aResetDoesNotCompleteAResponse() throws Exception {
         CountDownLatch read = new CountDownLatch(1);
         try (ScriptedServer backend =
                 new ScriptedServer(
@@ -398,18 +401,18 @@
                             read.await();
                             connection.reset();
                         })) {
-            send(backend.address(), true, LONG_US);
+            send(backend.address(), true, LONG_TIMEOUT_US);
             while (loop.submit(budget::bufferedBytes).get() == 0) {
                 Thread.onSpinWait();
             }
             read.countDown();
-            assertEquals(Outcome.RESET, result());
+            assertEquals(Outcome.RESET, awaitOutcome());
         }
     }
 
     /** The answer without a length ends the connection, so the next call must not go out on it. */
     @Test
-    void aConnectionThatEndedAnAnswerIsNotUsedAgain() throws Exception {
+    void aConnectionWhoseCloseEndedAResponseIsNotReused() throws Exception {
         try (ScriptedServer backend =
                 new ScriptedServer(
                         (connection, request) -> {
@@ -420,90 +423,90 @@
                             () ->
                                     pool.send(
                                             backend.address(),
-                                            outgoing(true, LONG_US),
+                                            requestSpec(true, LONG_TIMEOUT_US),
                                             first -> {
                                                 results.add(first);
                                                 pool.send(
                                                         backend.address(),
-                                                        outgoing(true, LONG_US),
+                                                        requestSpec(true, LONG_TIMEOUT_US),
                                                         results::add);
                                             }))
                     .get();
-            assertEquals(Outcome.OK, result());
-            assertEquals(Outcome.OK, result());
+            assertEquals(Outcome.OK, awaitOutcome());
+            assertEquals(Outcome.OK, awaitOutcome());
             assertEquals(2, backend.connections.get());
         }
     }
 
     @Test
-    void aRefusedConnectionCouldNotBeMade() throws Exception {
+    void aRefusedConnectionIsAConnectFailure() throws Exception {
         InetSocketAddress nobody;
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = (InetSocketAddress) closed.getLocalSocketAddress();
         }
-        assertEquals(Outcome.CONNECT_FAILED, call(nobody));
+        assertEquals(Outcome.CONNECT_FAILED, sendAndAwait(nobody));
     }
 
     /** The time-out covers connecting, and what was never written cannot have run. */
     @Test
-    void aConnectionThatNeverComesUpCouldNotBeMade() throws Exception {
+    void aConnectionThatIsNeverEstablishedIsAConnectFailure() throws Exception {
         try (ServerSocket stuck = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress at = (InetSocketAddress) stuck.getLocalSocketAddress();
             try (Socket a = new Socket(at.getAddress(), at.getPort());
                     Socket b = new Socket(at.getAddress(), at.getPort())) {
                 assertTrue(a.isConnected() && b.isConnected());
                 send(at, true, 200_000);
-                assertEquals(Outcome.CONNECT_FAILED, result());
+                assertEquals(Outcome.CONNECT_FAILED, awaitOutcome());
             }
         }
     }
 
     @Test
-    void silenceTimesOutAndEndsTheConnection() throws Exception {
+    void aSilentBackendTimesOutAndItsConnectionIsClosed() throws Exception {
         try (ScriptedServer backend = new ScriptedServer(ScriptedServer.NO_RESPONSE)) {
             send(backend.address(), true, 300_000);
             backend.nextRequest();
-            assertEquals(Outcome.TIMEOUT, result());
+            assertEquals(Outcome.TIMEOUT, awaitOutcome());
             backend.awaitConnectionEnd();
         }
     }
 
     @Test
-    void aCancelledCallEndsOnceAndItsConnectionToo() throws Exception {
+    void aCancelledRequestCompletesOnceAndClosesItsConnection() throws Exception {
         try (ScriptedServer backend = new ScriptedServer(ScriptedServer.NO_RESPONSE)) {
-            Handle call = send(backend.address(), true, LONG_US);
+            Handle request = send(backend.address(), true, LONG_TIMEOUT_US);
             backend.nextRequest();
-            loop.submit(call::cancel).get();
-            loop.submit(call::cancel).get();
-            assertEquals(Outcome.CANCELLED, result());
+            loop.submit(request::cancel).get();
+            loop.submit(request::cancel).get();
+            assertEquals(Outcome.CANCELLED, awaitOutcome());
             backend.awaitConnectionEnd();
             assertTrue(results.isEmpty());
         }
     }
 
     @Test
-    void whatIsNoLongerWantedIsNotWritten() throws Exception {
+    void aRequestThatIsNoLongerWantedIsNotWritten() throws Exception {
         try (ScriptedServer backend = ScriptedServer.respondingWith("hm")) {
-            send(backend.address(), false, LONG_US);
-            assertEquals(Outcome.NOT_SENT, result());
-            assertEquals(Outcome.OK, call(backend.address()));
+            send(backend.address(), false, LONG_TIMEOUT_US);
+            assertEquals(Outcome.NOT_SENT, awaitOutcome());
+            assertEquals(Outcome.OK, sendAndAwait(backend.address()));
             assertEquals(1, backend.connections.get(), "the connection is kept for the next call");
             assertEquals(1, backend.received.size());
         }
     }
 
     @Test
-    void keepsAConnectionAndOpensAnotherWhereItIsBusy() throws Exception {
+    void reusesAnIdleConnection() throws Exception {
         try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
-            assertEquals(Outcome.OK, call(backend.address()));
-            assertEquals(Outcome.OK, call(backend.address()));
+            assertEquals(Outcome.OK, sendAndAwait(backend.address()));
+            assertEquals(Outcome.OK, sendAndAwait(backend.address()));
             assertEquals(1, backend.connections.get());
         }
     }
 
     /** A kept connection that the backend ends on the next request: that request may have run. */
     @Test
-    void aStaleConnectionIsAResetAndNothingIsSentAgain() throws Exception {
+    void aStaleConnectionIsAResetAndTheRequestIsNotResent() throws Exception {
         try (ScriptedServer backend =
                 new ScriptedServer(
                         (connection, request) -> {
@@ -514,18 +517,18 @@
                                 connection.respond("200 OK", "first");
                             }
                         })) {
-            assertEquals(Outcome.OK, call(backend.address()));
-            assertEquals(Outcome.RESET, call(backend.address()));
+            assertEquals(Outcome.OK, sendAndAwait(backend.address()));
+            assertEquals(Outcome.RESET, sendAndAwait(backend.address()));
             assertEquals(2, backend.received.size());
             assertEquals(1, backend.connections.get());
         }
     }
 
     @Test
-    void closesIdleConnectionsBeforeTheBackendMay() throws Exception {
+    void closesIdleConnectionsBeforeTheBackendDoes() throws Exception {
         pool = pool(1_000, 0);
         try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
-            assertEquals(Outcome.OK, call(backend.address()));
+            assertEquals(Outcome.OK, sendAndAwait(backend.address()));
             Thread.sleep(1);
             loop.submit(pool::closeStale).get();
             backend.awaitConnectionEnd();
@@ -533,25 +536,25 @@
     }
 
     @Test
-    void closesIdleConnectionsWhenTold() throws Exception {
+    void closesIdleConnectionsOnDemand() throws Exception {
         try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
-            assertEquals(Outcome.OK, call(backend.address()));
+            assertEquals(Outcome.OK, sendAndAwait(backend.address()));
             loop.submit(() -> pool.closeIdle(backend.address())).get();
             backend.awaitConnectionEnd();
         }
     }
 
     @Test
-    void sendsNothingPastItsLimitOfConnections() throws Exception {
+    void sendsNothingBeyondTheConnectionLimit() throws Exception {
         try (ScriptedServer backend = new ScriptedServer(ScriptedServer.NO_RESPONSE)) {
-            send(backend.address(), true, LONG_US);
-            send(backend.address(), true, LONG_US);
-            assertEquals(Outcome.NOT_SENT, call(backend.address()));
+            send(backend.address(), true, LONG_TIMEOUT_US);
+            send(backend.address(), true, LONG_TIMEOUT_US);
+            assertEquals(Outcome.NOT_SENT, sendAndAwait(backend.address()));
         }
     }
 
     @Test
-    void passesALoadReportOn() throws Exception {
+    void forwardsALoadReport() throws Exception {
         try (ScriptedServer backend =
                 new ScriptedServer(
                         (connection, request) ->
@@ -559,7 +562,7 @@
                                         "HTTP/1.1 200 OK\r\n"
                                                 + "X-Load: TEXT inflight=7, queue=2, util=0.61\r\n"
                                                 + "Content-Length: 0\r\n\r\n"))) {
-            send(backend.address(), true, LONG_US);
+            send(backend.address(), true, LONG_TIMEOUT_US);
             Result result = results.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertEquals(new passhatch.Balancer.LoadReport(7, 2, 0.61), result.report());
         } catch (IOException e) {
--- a/src/test/java/passhatch/proxy/client/AcceptRetryTest.java
+++ b/src/test/java/passhatch/proxy/client/AcceptRetryTest.java
@@ -25,17 +25,17 @@
 final class AcceptRetryTest {
 
     /** A request with the shortest deadline, 0.15 s, is not to be late for this. */
-    private static final long WITHIN_MS = 150;
+    private static final long MAX_DELAY_MS = 150;
 
     @Test
-    void aConnectionIsNotLeftWaitingForASecondAfterAFailedAccept() throws Exception {
+    void acceptsAgainWithinTheShortestDeadlineAfterAFailedAccept() throws Exception {
         CountDownLatch accepted = new CountDownLatch(1);
         MultiThreadIoEventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         Channel listener =
                 new ServerBootstrap()
                         .group(group)
-                        .channelFactory(Listener::new)
+                        .channelFactory(ListeningChannel::new)
                         .handler(
                                 new AcceptRetry(
                                         new EventLog(
@@ -62,7 +62,7 @@
                     .sync();
             InetSocketAddress at = (InetSocketAddress) listener.localAddress();
             try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-                assertTrue(accepted.await(WITHIN_MS, TimeUnit.MILLISECONDS), "" + client);
+                assertTrue(accepted.await(MAX_DELAY_MS, TimeUnit.MILLISECONDS), "" + client);
             }
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
