--- a/src/main/java/passhatch/cli/AgentCall.java
+++ b/src/main/java/passhatch/cli/AgentCall.java
@@ -12,7 +12,7 @@
 import passhatch.proxy.base.Addresses;
 import picocli.CommandLine.Option;
 
-/** What commands that ask a running agent have in common. */
+/** The options and the connection that commands share which query a running agent. */
 final class AgentCall {
 
     private static final int TIMEOUT_MS = 5_000;
@@ -21,13 +21,15 @@
             names = "--control",
             required = true,
             paramLabel = "ADDRESS",
-            description = "Where the agent can be asked, like 127.0.0.1:9911.")
+            description = "Control address of the agent, like 127.0.0.1:9911.")
     private String control;
 
-    @Option(names = "--json", description = "As the agent answers, one line of JSON.")
+    @Option(
+            names = "--json",
+            description = "Prints the agent's reply as received, one line of JSON.")
     private boolean json;
 
-    /** Writes the answer to a call, as it came or as a table. */
+    /** Prints the reply to a call, either as received or as a table. */
     void print(String call, PrintWriter out, BiConsumer<Map<String, Object>, PrintWriter> table)
             throws IOException {
         String reply = ask(call, "{");
@@ -39,7 +41,11 @@
         out.flush();
     }
 
-    /** The answer to a call, which has to begin with this. */
+    /**
+     * Returns the reply to a call.
+     *
+     * @throws IOException if there is no reply, or it starts with something else
+     */
     String ask(String call, String expectedPrefix) throws IOException {
         InetSocketAddress address = parseAddress(control);
         String reply;
@@ -49,12 +55,12 @@
             throw new IOException(control + ": " + failed.getMessage(), failed);
         }
         if (!reply.startsWith(expectedPrefix)) {
-            throw new IOException(control + ": " + (reply.isBlank() ? "no answer" : reply.strip()));
+            throw new IOException(control + ": " + (reply.isBlank() ? "no reply" : reply.strip()));
         }
         return reply;
     }
 
-    /** The address that an option gives. */
+    /** Parses the value of the option {@code --control}. */
     static InetSocketAddress parseAddress(String control) {
         try {
             return Addresses.parse(control);
@@ -63,7 +69,7 @@
         }
     }
 
-    /** A connection to an agent, for one call. */
+    /** Opens a connection to an agent for a single call. */
     static Socket connect(InetSocketAddress address) throws IOException {
         Socket socket = new Socket();
         try {
@@ -76,7 +82,7 @@
         }
     }
 
-    /** Makes the call of a connection, and gives its answer. */
+    /** Sends the call and returns the reply, which ends with the connection. */
     static String exchange(Socket socket, String call) throws IOException {
         socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.US_ASCII));
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
--- a/src/main/java/passhatch/cli/AgentCommand.java
+++ b/src/main/java/passhatch/cli/AgentCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command {@code agent}. */
+/** The command {@code agent}, which runs this machine's agent. */
 @Command(
         name = "agent",
         mixinStandardHelpOptions = true,
@@ -21,7 +21,7 @@
             names = "--config",
             required = true,
             paramLabel = "FILE",
-            description = "Its configuration, in TOML.")
+            description = "The agent's configuration, in TOML.")
     private Path file;
 
     @Override
--- a/src/main/java/passhatch/cli/ChangesCall.java
+++ b/src/main/java/passhatch/cli/ChangesCall.java
@@ -7,7 +7,10 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Option;
 
-/** What the commands on changes have in common: the agents that they ask, one after the other. */
+/**
+ * The option and the calls that the subcommands of {@code changes} share: agents are tried one
+ * after the other.
+ */
 final class ChangesCall {
 
     private static final String NOT_LEADER = "error not the leader";
@@ -22,10 +25,10 @@
             required = true,
             paramLabel = "ADDRESS",
             description =
-                    "Where an agent can be asked, like 127.0.0.1:9911; several are tried in turn.")
+                    "Control address of an agent, like 127.0.0.1:9911; several are tried in turn.")
     private List<String> controls;
 
-    /** The answer of the first agent that gives one. */
+    /** Returns the reply of the first agent that gives one. */
     String ask(String call) throws IOException {
         checkAddresses();
         IOException last = null;
@@ -39,23 +42,26 @@
         throw last;
     }
 
-    /** All of them first, so that a bad one is told whether or not it would be tried. */
+    /**
+     * Checks all addresses first, so that a malformed one is reported whether or not it would be
+     * tried.
+     */
     private void checkAddresses() {
         controls.forEach(AgentCall::parseAddress);
     }
 
     private static String requireSuccess(String control, String reply) throws IOException {
         if (reply.isBlank() || reply.startsWith("error")) {
-            throw new IOException(control + ": " + (reply.isBlank() ? "no answer" : reply.strip()));
+            throw new IOException(control + ": " + (reply.isBlank() ? "no reply" : reply.strip()));
         }
         return reply.strip();
     }
 
     /**
-     * Submits a change to the agent that leads and waits until it is committed.
+     * Submits a change to the leader and waits until it is committed.
      *
-     * @return its version
-     * @throws IOException where it is refused, nobody leads, or its outcome is not known
+     * @return the version of the change
+     * @throws IOException if the change is refused, no agent leads, or its outcome is not known
      */
     long submit(String call) throws IOException, InterruptedException {
         checkAddresses();
@@ -80,15 +86,18 @@
             failures.append(failures.isEmpty() ? "" : "; ").append(control).append(": ");
             failures.append(reply.startsWith(NOT_LEADER) ? "not the leader" : reply);
         }
-        throw new IOException("nobody takes the change: " + failures);
+        throw new IOException("no agent accepts the change: " + failures);
     }
 
-    /** Once the call has been sent it may have been carried out, also where no answer comes. */
+    /**
+     * Sends the change and returns the reply. A change that has been sent may have been made even
+     * if no reply arrives.
+     */
     private static String sendChange(Socket socket, String call) throws OutcomeUnknownException {
         try {
             String reply = AgentCall.exchange(socket, call).strip();
             if (reply.isEmpty() || reply.startsWith(OUTCOME_UNKNOWN)) {
-                throw new OutcomeUnknownException(reply.isEmpty() ? "no answer" : reply);
+                throw new OutcomeUnknownException(reply.isEmpty() ? "no reply" : reply);
             }
             return reply;
         } catch (OutcomeUnknownException unknown) {
@@ -123,12 +132,12 @@
         }
     }
 
-    /** A change was submitted, and whether it is made is not known. */
+    /** A change was submitted, and it is not known whether it was made. */
     private static final class OutcomeUnknownException extends IOException {
         private static final long serialVersionUID = 1;
 
         OutcomeUnknownException(String reason) {
-            super("the outcome is not known, look at the value before trying again: " + reason);
+            super("the outcome is not known, read the value before trying again: " + reason);
         }
     }
 }
--- a/src/main/java/passhatch/cli/ChangesCommand.java
+++ b/src/main/java/passhatch/cli/ChangesCommand.java
@@ -14,15 +14,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command {@code changes}: shows and makes changes of the fleet's configuration. */
+/** The command {@code changes}: shows and changes the fleet's configuration. */
 @Command(
         name = "changes",
         mixinStandardHelpOptions = true,
-        description =
-                "Shows and makes changes of the fleet's configuration (docs/distribution.md).")
+        description = "Shows and changes the fleet's configuration (docs/distribution.md).")
 final class ChangesCommand extends CommandGroup {
 
-    /** With its subcommands. */
+    /** Creates the command with its subcommands. */
     static CommandLine commandLine() {
         return new CommandLine(new ChangesCommand())
                 .addSubcommand(new Status())
@@ -32,12 +31,12 @@
                 .addSubcommand(new Initialize());
     }
 
-    /** What all subcommands have. */
+    /** The base of all subcommands: runs against the agents and prints one line. */
     private abstract static class Subcommand implements Callable<Integer> {
         @Spec private CommandSpec spec;
         @Mixin private ChangesCall agents;
 
-        /** The line to print. */
+        /** Runs the subcommand and returns the line to print. */
         abstract String execute(ChangesCall agents) throws IOException, InterruptedException;
 
         @Override
@@ -49,7 +48,7 @@
         }
     }
 
-    /** What the subcommands that make a change have. */
+    /** The base of the subcommands that make a change. */
     private abstract static class Change extends Subcommand {
         @Parameters(
                 index = "0",
@@ -60,7 +59,8 @@
         @Option(
                 names = "--if-version",
                 paramLabel = "VERSION",
-                description = "Only where this is the version of the key's value; 0: not set.")
+                description =
+                        "Makes the change only if the key has this version; 0: it is not set.")
         private Long ifVersion;
 
         String submit(ChangesCall agents, String verb, String value)
@@ -87,7 +87,7 @@
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
-            description = "Shows an agent's part: role, version, age, followers.")
+            description = "Shows an agent's state: role, version, age, followers.")
     private static final class Status extends Subcommand {
         @Override
         String execute(ChangesCall agents) throws IOException {
@@ -98,7 +98,7 @@
     @Command(
             name = "put",
             mixinStandardHelpOptions = true,
-            description = "Sets a key; answers once a majority of replicas has it on disk.")
+            description = "Sets a key; returns once a majority of replicas has the change on disk.")
     private static final class Put extends Change {
         @Parameters(index = "1", paramLabel = "VALUE")
         private String value;
@@ -112,7 +112,8 @@
     @Command(
             name = "delete",
             mixinStandardHelpOptions = true,
-            description = "Deletes a key; answers once a majority of replicas has that on disk.")
+            description =
+                    "Deletes a key; returns once a majority of replicas has the change on disk.")
     private static final class Delete extends Change {
         @Override
         String execute(ChangesCall agents) throws IOException, InterruptedException {
@@ -142,8 +143,8 @@
             name = "found",
             mixinStandardHelpOptions = true,
             description =
-                    "Once, at each replica, when the log is founded: lets it count towards"
-                            + " majorities although its disk is empty.")
+                    "To be run once at each replica when the log is initialized: lets it count"
+                            + " towards majorities although its disk is empty.")
     private static final class Initialize extends Subcommand {
         @Override
         String execute(ChangesCall agents) throws IOException {
--- a/src/main/java/passhatch/cli/CommandGroup.java
+++ b/src/main/java/passhatch/cli/CommandGroup.java
@@ -4,7 +4,10 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command that only has commands of its own: without one it names them, as wrong use. */
+/**
+ * A command that only groups subcommands; used without one, it reports a usage error that lists
+ * them.
+ */
 public abstract class CommandGroup implements Runnable {
 
     @Spec private CommandSpec spec;
@@ -13,6 +16,7 @@
     public final void run() {
         throw new CommandLine.ParameterException(
                 spec.commandLine(),
-                "no command is given: " + String.join(", ", spec.subcommands().keySet()));
+                "no command is given, expected one of: "
+                        + String.join(", ", spec.subcommands().keySet()));
     }
 }
--- a/src/main/java/passhatch/cli/Commands.java
+++ b/src/main/java/passhatch/cli/Commands.java
@@ -15,22 +15,20 @@
 import picocli.CommandLine.ParameterException;
 
 /**
- * The commands with their options and help. Exit codes: 0 done, 1 failed while it ran, 2 wrong use
- * or a file that cannot be used; an error is one line.
+ * The program's commands with their options and help. Exit codes: 0 for success, 1 for a failure at
+ * run time, 2 for a usage error or an unusable file. An error is printed as one line.
  */
 public final class Commands {
 
-    /** The exit status of a command that failed while it ran. */
+    /** Exit code of a command that failed at run time. */
     public static final int EXIT_FAILURE = 1;
 
-    /** The exit status of wrong use. */
+    /** Exit code of a usage error. */
     public static final int EXIT_USAGE = 2;
 
     private Commands() {}
 
-    /**
-     * The whole command line, to which tools outside the deployed jar add commands of their own.
-     */
+    /** Creates the whole command line; tools outside the deployed jar add commands of their own. */
     public static CommandLine commandLine() {
         CommandLine line = new CommandLine(new Root());
         line.addSubcommand(new Serve())
@@ -44,7 +42,7 @@
         return oneLineErrors(line);
     }
 
-    /** Has errors told in one line, without the usage text. */
+    /** Makes the command line report each error in one line, without the usage text. */
     public static CommandLine oneLineErrors(CommandLine line) {
         line.setParameterExceptionHandler(Commands::onUsageError);
         line.setExecutionExceptionHandler(
@@ -69,7 +67,7 @@
         PrintWriter err = line.getErr();
         err.println(
                 "passhatch: "
-                        + error.getMessage().lines().findFirst().orElse("wrong use")
+                        + error.getMessage().lines().findFirst().orElse("usage error")
                         + "; see '"
                         + line.getCommandSpec().qualifiedName()
                         + " --help'");
@@ -89,8 +87,8 @@
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
             description =
-                    "Runs one proxy, as PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_CONFIG"
-                            + " say.")
+                    "Runs one proxy; PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_CONFIG"
+                            + " configure it.")
     private static final class Serve implements Callable<Integer> {
         @Override
         public Integer call() throws InterruptedException {
@@ -103,8 +101,8 @@
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
             description =
-                    "Decides for a simulator: batches on standard input, replies on standard"
-                            + " output.")
+                    "Decides for a simulator: reads batches on standard input, writes replies to"
+                            + " standard output.")
     private static final class RunAdapter implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -120,7 +118,7 @@
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
             description =
-                    "Serves a few requests of its own, for the build's archive of the classes in"
+                    "Serves a few requests of its own, so that the build can archive the classes in"
                             + " use.")
     private static final class Rehearse implements Callable<Integer> {
         @Override
@@ -129,13 +127,15 @@
         }
     }
 
-    /** The program's version, from the jar's manifest; empty where it is not packaged. */
+    /**
+     * Returns the program's version from the jar's manifest; empty if the program is not packaged.
+     */
     static String version() {
         String version = Commands.class.getPackage().getImplementationVersion();
         return version == null ? "" : version;
     }
 
-    /** Shows it. */
+    /** Provides the text of the option {@code --version}. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/src/main/java/passhatch/cli/DutiesCommand.java
+++ b/src/main/java/passhatch/cli/DutiesCommand.java
@@ -11,12 +11,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code duties}: asks a running agent, or has it give one up. */
+/** The command {@code duties}: queries a running agent, or makes it give up a duty. */
 @Command(
         name = "duties",
         mixinStandardHelpOptions = true,
         description =
-                "Shows the duties that an agent holds, and as a voter has granted"
+                "Shows the duties that an agent holds, and those that it has granted as a voter"
                         + " (docs/duties.md).")
 final class DutiesCommand implements Callable<Integer> {
 
@@ -26,20 +26,20 @@
     @Option(
             names = "--give-up",
             paramLabel = "DUTY",
-            description = "Has the agent give it up, if it holds it.")
+            description = "Makes the agent give up this duty if it holds it.")
     private String giveUp;
 
     @Option(
             names = "--to",
             paramLabel = "NAME",
-            description = "The member that should have it then.")
+            description = "The member that should hold the duty next.")
     private String to;
 
     @Option(
             names = "--found",
             description =
-                    "Once, at each voter, when the first voters are founded: lets "
-                            + "it vote although its disk remembers nothing.")
+                    "To be run once at each voter when the first voters are set up: lets "
+                            + "it vote although its disk holds no earlier votes.")
     private boolean initialize;
 
     @Override
@@ -83,10 +83,10 @@
         }
         String vote =
                 !Boolean.TRUE.equals(reply.get("voter"))
-                        ? "no voter"
+                        ? "not a voter"
                         : Boolean.TRUE.equals(reply.get("votes"))
                                 ? "a voter"
-                                : "a voter that does not vote, as its disk remembers nothing";
+                                : "a voter that does not vote, as its disk holds no earlier votes";
         out.printf(
                 "%nself %s, %s, voters %s of epoch %s%n",
                 reply.get("self"), vote, reply.get("voters"), reply.get("epoch"));
--- a/src/main/java/passhatch/cli/Main.java
+++ b/src/main/java/passhatch/cli/Main.java
@@ -10,9 +10,9 @@
 import passhatch.proxy.Rehearsal;
 
 /**
- * Where the program starts. The commands that the platform calls are told apart here by hand: at
- * half a core a start has no time to load a library for options that they do not have. All others
- * are {@link Commands}'.
+ * The entry point of the program. The commands that the platform runs are recognized here without a
+ * library: at half a core, startup leaves no time to load one for options that they do not have.
+ * All other commands are parsed by {@link Commands}.
  */
 public final class Main {
 
@@ -21,9 +21,8 @@
     /** Runs the command and exits with its status. */
     public static void main(String[] args) throws Exception {
         if (args.length != 1 || !args[0].equals("adapter")) {
-            // Else it finds the agent's logging library in the jar, and a proxy would load and
-            // write through
-            // it.
+            // Otherwise Netty finds the agent's logging library in the jar, and a proxy would load
+            // it and log through it.
             InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         }
         int status =
--- a/src/main/java/passhatch/cli/MembersCommand.java
+++ b/src/main/java/passhatch/cli/MembersCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The command {@code members}: asks a running agent. */
+/** The command {@code members}: shows the members that a running agent knows. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
@@ -45,9 +45,9 @@
         }
         boolean superseded = Boolean.TRUE.equals(reply.get("given_way"));
         out.printf(
-                "%nself %s%s, local health %s (0 is well, 8 is worst), held up %s times%n",
+                "%nself %s%s, local health %s (0 is best, 8 is worst), stalled %s times%n",
                 reply.get("self"),
-                superseded ? " (gave way to a newer process of this name)" : "",
+                superseded ? " (superseded by a newer process of this name)" : "",
                 reply.get("local_health"),
                 reply.get("held_up"));
         out.printf(
--- a/src/main/java/passhatch/cli/StoreCommand.java
+++ b/src/main/java/passhatch/cli/StoreCommand.java
@@ -22,12 +22,12 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command {@code store} with what belongs to it. A folder that a process has is not looked at.
+ * The command {@code store} with its subcommands. A folder in use by another process is not read.
  */
 @Command(
         name = "store",
         mixinStandardHelpOptions = true,
-        description = "Looks at what a process keeps on disk; docs/recovery.md says more.")
+        description = "Inspects the store that a process keeps on disk (docs/recovery.md).")
 final class StoreCommand extends CommandGroup {
 
     static CommandLine commandLine() {
@@ -37,7 +37,7 @@
                 .addSubcommand(new Salvage());
     }
 
-    /** One that looks at a folder and leaves it as it is. */
+    /** The base of the subcommands that read a folder and leave it unchanged. */
     private abstract static class ReadOnlySubcommand implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
@@ -56,7 +56,7 @@
 
     private static FolderDisk openFolder(Path folder) throws IOException, StoreException {
         if (!Files.isDirectory(folder)) {
-            throw new InvalidInputException(folder + ": there is no such folder");
+            throw new InvalidInputException(folder + ": no such folder");
         }
         return FolderDisk.open(folder);
     }
@@ -78,7 +78,7 @@
             name = "verify",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads all of a store and changes nothing; exit code 1 where something is"
+                    "Reads a whole store and changes nothing; exit code 1 if something is"
                             + " damaged.")
     private static final class Verify extends ReadOnlySubcommand {
         @Override
@@ -90,8 +90,7 @@
     @Command(
             name = "dump",
             mixinStandardHelpOptions = true,
-            description =
-                    "Writes each record that can be read as a line of JSON, its bytes in Base64.")
+            description = "Prints each readable record as a line of JSON, its bytes in Base64.")
     private static final class Dump extends ReadOnlySubcommand {
         @Override
         int inspect(FolderDisk disk, CommandLine line) throws StoreException {
@@ -117,23 +116,26 @@
             name = "salvage",
             mixinStandardHelpOptions = true,
             description =
-                    "Brings what can be read to a new folder; the damaged one stays as it is.")
+                    "Copies the readable records to a new folder; the damaged one stays unchanged.")
     private static final class Salvage implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
         @Parameters(index = "0", paramLabel = "DIR")
         private Path folder;
 
-        @Parameters(index = "1", paramLabel = "TO", description = "A folder that is not there yet.")
+        @Parameters(
+                index = "1",
+                paramLabel = "TO",
+                description = "The new folder, which must not exist yet.")
         private Path to;
 
-        @Option(names = "--owner", required = true, description = "Whose the new store is.")
+        @Option(names = "--owner", required = true, description = "The owner of the new store.")
         private String owner;
 
         @Override
         public Integer call() throws IOException, StoreException {
             if (Files.exists(to)) {
-                throw new InvalidInputException(to + ": is there already");
+                throw new InvalidInputException(to + ": already exists");
             }
             try (FolderDisk from = openFolder(folder);
                     FolderDisk disk = FolderDisk.open(to)) {
--- a/src/main/java/passhatch/cli/package-info.java
+++ b/src/main/java/passhatch/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line. */
+/** The command line: the program's entry point, its commands and their options. */
 package passhatch.cli;
--- a/src/main/java/passhatch/proxy/backend/BackendChannel.java
+++ b/src/main/java/passhatch/proxy/backend/BackendChannel.java
@@ -4,16 +4,16 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A connection to a backend that can be asked whether it is still as it was left. */
+/** A connection to a backend that can be checked for unread input. */
 class BackendChannel extends NioSocketChannel {
 
     private final ByteBuffer singleByte = ByteBuffer.allocate(1);
 
     /**
-     * Whether nothing has come since all was read, not even the peer's end. The loop hears of what
-     * has come only in its next turn: a request that is written in this one would meet a closed
-     * connection, or find its answer behind bytes that are no part of it. Where something has come
-     * the connection is of no more use.
+     * Returns whether nothing has arrived since the last read, not even the peer's close. The event
+     * loop sees new input only in its next iteration: a request written in this one could meet a
+     * closed connection, or its response could follow bytes that do not belong to it. A connection
+     * with input must not be used again.
      */
     boolean hasNoInput() {
         try {
--- a/src/main/java/passhatch/proxy/backend/BackendPool.java
+++ b/src/main/java/passhatch/proxy/backend/BackendPool.java
@@ -45,43 +45,54 @@
 import passhatch.proxy.flow.ResponseStream;
 
 /**
- * The connections to the backends. A connection carries one request at a time and is kept for the
- * next. Nothing is ever sent a second time from here, not on a stale connection either: whether to
- * repeat is the module's to decide.
+ * A pool of HTTP/1.1 connections to the backends. A connection carries one request at a time and is
+ * kept for the next one. The pool never sends a request twice, not even after a stale connection
+ * failed: the decision module alone decides on retries.
  */
 public final class BackendPool {
 
-    /** Idle connections kept to one backend: more only fill its table. */
+    /**
+     * Maximum number of idle connections per backend; more would only fill the backend's connection
+     * table.
+     */
     private static final int MAX_IDLE_PER_BACKEND = 8;
 
     /**
-     * Part of the backends' idle time after which a connection is closed, before they may close it.
+     * Fraction of the backends' idle timeout after which an idle connection is closed here, before
+     * the backend may close it.
      */
     private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
-    /** An answer of up to this size is held until it is whole; a longer one goes on as it comes. */
+    /**
+     * A response of up to this many bytes is buffered until it is complete; a longer one is
+     * streamed.
+     */
     private static final int MAX_BUFFERED_BYTES = 1 << 16;
 
     /**
-     * So does one that may become longer and is not whole by then. Until then it may still break
-     * and be asked for elsewhere, as spoilt answers often tell a length that is not theirs.
+     * Time in milliseconds after which an incomplete response that may exceed the buffer is
+     * streamed. Until then a truncated response can still be retried on another backend; broken
+     * responses often declare a wrong length.
      */
     private static final long MAX_BUFFERING_MS = 200;
 
     /**
-     * An answer that goes on as it comes, and of which nothing has come for so long though it was
-     * read from, never ends: it is broken off, so that its client sees it. Slow peers pause for a
-     * second or two.
+     * Time in milliseconds after which a streamed response is aborted if it was being read and
+     * nothing arrived, so that its client sees that it is incomplete. Slow peers pause for one or
+     * two seconds.
      */
     private static final long RESPONSE_IDLE_TIMEOUT_MS = 5_000;
 
-    /** Backends that sent what nothing asked for are taken to do so again for this long. */
+    /**
+     * How long, in microseconds, connections are reused only after a delay once a backend has sent
+     * unsolicited data.
+     */
     private static final long DISTRUST_PERIOD_US = 60_000_000;
 
     /**
-     * How a call ended.
+     * The result of a request.
      *
-     * @param body of a 200 answer that was held, else null
+     * @param body the body of a buffered 200 response, else null
      */
     public record Result(Outcome outcome, byte[] body, LoadReport report) {
         public static Result withoutResponse(Outcome outcome) {
@@ -89,34 +100,40 @@
         }
     }
 
-    /** Hears of a call. */
+    /** Receives the events of one request. */
     public interface Listener {
-        /** The message was written whole. */
+        /** Called when the request has been written completely. */
         default void onRequestWritten() {}
 
-        /** An answer begins that goes on as it comes; from now on the time-out is off. */
+        /** Called when a streamed response starts; from then on the request has no timeout. */
         default void onStreamStarted(ResponseStream response) {}
 
-        /** It has ended, once. */
+        /** Called exactly once, when the request has completed. */
         void onResult(Result result);
     }
 
-    /** A call that may be given up. */
+    /** Controls a request that has been sent. */
     public interface Handle {
-        /** Closes its connection; it ends as cancelled unless it has ended already. */
+        /**
+         * Closes the request's connection. The request completes as cancelled unless it has
+         * completed already.
+         */
         void cancel();
 
-        /** Gives it this long from now on. */
+        /** Replaces the timeout by one that starts now, in microseconds. */
         void setTimeout(long timeoutUs);
     }
 
     /**
-     * What to send.
+     * A request to send.
      *
-     * @param message makes the message, or the head of one, when it can be written
-     * @param body goes out after the head as it comes; null where the message is whole
-     * @param stillWanted asked just before it is written: false where it must not be sent any more
-     * @param timeoutOutcome how it ends when its time is up after it was written
+     * @param message creates the message, or only its head if there is a body, when it can be
+     *     written
+     * @param body streamed after the head; null if the message is complete without it
+     * @param stillWanted evaluated just before the message is written; the request is not sent if
+     *     it returns false
+     * @param timeoutUs time for the whole request, with the connection setup, in microseconds
+     * @param timeoutOutcome the outcome if the timeout expires after the request was written
      */
     public record RequestSpec(
             Supplier<HttpRequest> message,
@@ -133,7 +150,8 @@
     private final long reuseDelayUs;
 
     /**
-     * Until then connections rest: it would cost more of them where no backend does such a thing.
+     * Until this time a connection is reused only after a delay. Without unsolicited data from a
+     * backend the delay would only cost more connections.
      */
     private long distrustUntilUs = Long.MIN_VALUE;
 
@@ -142,14 +160,16 @@
     private final Map<InetSocketAddress, Deque<Connection>> idleConnections = new HashMap<>();
 
     /**
-     * A pool without connections.
+     * Creates a pool without connections.
      *
-     * @param budget of the bytes that it passes on
-     * @param keepaliveUs after which backends close idle connections; 0 where none may be kept
-     * @param reuseDelayUs how long a connection rests after an answer before it is used again while
-     *     backends send what nothing asked for, in microseconds: a second answer to the same
-     *     request may follow some milliseconds later, and would pass for the answer to the next
-     * @param descriptors shared with the callers' side
+     * @param budget limits the response bytes that are buffered or streamed
+     * @param connectTimeoutUs timeout of the connection setup, in microseconds
+     * @param keepaliveUs idle time after which backends close connections, in microseconds; 0 if no
+     *     connection may be kept
+     * @param reuseDelayUs how long a connection is not reused after a response while backends send
+     *     unsolicited data, in microseconds: a second response to the same request may follow some
+     *     milliseconds later and would be taken for the response to the next one
+     * @param descriptors counts the open connections, together with those of clients
      */
     public BackendPool(
             EventLoop loop,
@@ -172,7 +192,7 @@
                 BackendChannel::new);
     }
 
-    /** With sockets made in another way. */
+    /** Creates a pool whose channels come from the given factory. */
     BackendPool(
             EventLoop loop,
             Clock clock,
@@ -206,7 +226,9 @@
                                                 TimeUnit.MICROSECONDS.toMillis(connectTimeoutUs)));
     }
 
-    /** Closes connections that backends might soon close themselves; to be called now and then. */
+    /**
+     * Closes idle connections that backends might soon close themselves; to be called periodically.
+     */
     public void closeStale() {
         long staleBeforeUs = clock.nowUs() - idleTimeoutUs;
         for (Deque<Connection> connections : idleConnections.values()) {
@@ -217,7 +239,7 @@
         idleConnections.values().removeIf(Deque::isEmpty);
     }
 
-    /** Closes the idle connections to a backend. */
+    /** Closes all idle connections to a backend. */
     public void closeIdle(InetSocketAddress address) {
         Deque<Connection> connections = idleConnections.remove(address);
         if (connections != null) {
@@ -225,12 +247,12 @@
         }
     }
 
-    /** How many connections are kept for later. */
+    /** Returns the number of idle connections. */
     public int idleCount() {
         return idleConnections.values().stream().mapToInt(Deque::size).sum();
     }
 
-    /** Sends a message to a backend, on a kept connection if there is one. */
+    /** Sends a request to a backend, on an idle connection if there is one. */
     public Handle send(InetSocketAddress address, RequestSpec spec, Listener listener) {
         OutgoingRequest request = new OutgoingRequest(spec, listener);
         Connection pooled = takeIdle(address);
@@ -239,7 +261,7 @@
         }
         if (pooled == null && descriptors.backendsFull()) {
             log.line(
-                    "no connection left for "
+                    "no connection available for "
                             + address
                             + ": "
                             + descriptors.backends()
@@ -281,10 +303,12 @@
 
     private void onUnsolicitedData(InetSocketAddress backend, String what) {
         distrustUntilUs = clock.nowUs() + DISTRUST_PERIOD_US;
-        log.line(what + " from " + backend + " that nothing asked for");
+        log.line(what + " from " + backend + "; connections are reused with a delay for now");
     }
 
-    /** Makes room for one to another backend. */
+    /**
+     * Closes the connection that has been idle longest, to make room for one to another backend.
+     */
     private void closeLongestIdle() {
         idleConnections.values().stream()
                 .filter(connections -> !connections.isEmpty())
@@ -318,7 +342,7 @@
         connection.channel = channel;
         request.connection = connection;
         descriptors.addBackends(1);
-        // Runs in a later step of the loop even where the connection fails at once.
+        // Runs in a later iteration of the event loop, even if connecting fails at once.
         connecting.addListener(
                 connected ->
                         loop.execute(
@@ -334,23 +358,25 @@
         connection.channel.closeFuture().addListener(closed -> descriptors.addBackends(-1));
     }
 
-    /** Nothing of this is the backend's doing. */
+    /** Completes a request as not sent after a local failure, which is not the backend's fault. */
     private void completeNotSent(
             OutgoingRequest request, InetSocketAddress address, Throwable cause) {
         if (!request.completed) {
-            log.line("no connection could be made here to " + address + ": " + cause);
+            log.line("local failure while connecting to " + address + ": " + cause);
             request.complete(Result.withoutResponse(Outcome.NOT_SENT));
         }
     }
 
-    /** One call, from its start to its only result. */
+    /** One request, from its start to its only result. */
     private final class OutgoingRequest implements Handle {
         final RequestSpec spec;
         private final Listener listener;
         Connection connection;
         Future<?> timeoutTimer;
 
-        /** All of the message has been handed to the network: from now on it may run. */
+        /**
+         * The message has been handed to the network completely: from now on the request may run.
+         */
         boolean written;
 
         boolean completed;
@@ -382,7 +408,7 @@
             }
         }
 
-        /** All of the message has been handed to the network. */
+        /** Called when the message has been handed to the network completely. */
         void onWritten() {
             if (!completed) {
                 written = true;
@@ -394,7 +420,8 @@
             if (connection != null && connection.streamIfLong()) {
                 return;
             }
-            // What was never written whole cannot run: the connection did not come up in time.
+            // A request that was not written completely cannot run: it counts as if its connection
+            // had not been established in time.
             abort(written ? spec.timeoutOutcome() : Outcome.CONNECT_FAILED);
         }
 
@@ -419,7 +446,7 @@
         }
     }
 
-    /** A connection, and the call that it carries now. */
+    /** A connection and the request that it carries now. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final InetSocketAddress address;
         final ResponseDecoder decoder = new ResponseDecoder();
@@ -428,17 +455,17 @@
         long idleSinceUs;
         long reusableFromUs;
 
-        /** The answer to the call, until all that came with it has been read. */
+        /** The response to the request, until all input that arrived with it has been read. */
         private IncomingResponse response;
 
-        /** What comes now belongs to an interim answer. */
+        /** The input now belongs to an interim (1xx) response. */
         private boolean interim;
 
         Connection(InetSocketAddress address) {
             this.address = address;
         }
 
-        /** Writes the message, unless the call has been given up or must not go out any more. */
+        /** Writes the message, unless the request has completed or must no longer be sent. */
         void write(OutgoingRequest toWrite) {
             if (toWrite.completed) {
                 channel.close();
@@ -466,12 +493,15 @@
             }
         }
 
-        /** A long answer whose start is here in time is passed on now, and its rest as it comes. */
+        /**
+         * Starts to stream the response if it is known to be long. Returns whether the response is
+         * streamed: if so, its start arrived in time.
+         */
         boolean streamIfLong() {
             return response != null && response.streamIfLong();
         }
 
-        /** The connection is given up, whatever it carries. */
+        /** Closes the connection without completing the request that it carries. */
         void close() {
             request = null;
             dropResponse();
@@ -486,7 +516,10 @@
             }
         }
 
-        /** The connection is gone: before the last byte was written the request cannot have run. */
+        /**
+         * Completes the request after the connection is lost: if it was not written completely it
+         * cannot have run.
+         */
         void onConnectionLost() {
             OutgoingRequest lost = request;
             request = null;
@@ -518,7 +551,7 @@
                 return;
             }
             if (request == null) {
-                onUnsolicitedData(address, "an answer");
+                onUnsolicitedData(address, "unsolicited response");
                 ctx.close();
             } else if (response == null) {
                 response = new IncomingResponse(this, request, head);
@@ -528,8 +561,9 @@
         }
 
         /**
-         * The answer counts, and its connection may serve again, only when all that has arrived is
-         * read: what came after its end would pass for the answer to the next request.
+         * Completes the response, and reuses its connection, only when all received input has been
+         * read: bytes after the end of the response would be taken for the response to the next
+         * request.
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -537,13 +571,13 @@
             OutgoingRequest currentRequest = request;
             IncomingResponse currentResponse = response;
             if (currentRequest == null && unsolicited) {
-                onUnsolicitedData(address, "bytes");
+                onUnsolicitedData(address, "unsolicited bytes");
                 ctx.close();
             } else if (currentRequest != null
                     && currentResponse != null
                     && currentResponse.isFinished()) {
                 if (unsolicited || !currentResponse.onlyResponse) {
-                    onUnsolicitedData(address, "more than an answer");
+                    onUnsolicitedData(address, "unsolicited data after a response");
                 }
                 boolean reusable =
                         currentResponse.keepAlive()
@@ -575,8 +609,8 @@
         }
 
         /**
-         * The peer has ended its sending: what it answered was read before this, and nothing more
-         * comes.
+         * Closes the connection once the peer has closed its side: its response was read before
+         * this event, and nothing more can arrive.
          */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
@@ -601,7 +635,7 @@
         }
     }
 
-    /** Hears how the body of a request went out. */
+    /** Receives the outcome of streaming a request's body. */
     private record BodyListener(OutgoingRequest request) implements Relay.Listener {
         @Override
         public void completed() {
@@ -614,7 +648,7 @@
         }
     }
 
-    /** An answer while it comes in. */
+    /** A response that is being received. */
     private final class IncomingResponse implements ResponseStream {
         private final Connection connection;
         private final OutgoingRequest request;
@@ -624,7 +658,7 @@
         private final Future<?> bufferingTimer;
         private Future<?> idleTimer;
 
-        /** It is read from, and something has come since the last look. */
+        /** Content has arrived since the last idle check. */
         private boolean receivedSinceCheck;
 
         private Relay relay;
@@ -652,8 +686,9 @@
         }
 
         /**
-         * A second answer to one request is dropped with its connection; one that is no HTTP may be
-         * what is left of a body that was longer than its head said.
+         * Records a second response to the same request: it is dropped, and the connection is not
+         * reused. If it is not valid HTTP, it may be the rest of a body that was longer than its
+         * head declared, so the first response counts as malformed.
          */
         void onExtraResponse(HttpResponse extra) {
             onlyResponse = false;
@@ -678,7 +713,10 @@
             }
         }
 
-        /** From now on it goes on as it comes; where it is no 200, nobody wants the rest. */
+        /**
+         * Starts to stream the response. If it is not a 200, its body is not needed: the request
+         * completes and the connection is closed.
+         */
         private void startStreaming() {
             if (streaming || fullyReceived || malformed || connection.response != this) {
                 return;
@@ -696,8 +734,9 @@
         }
 
         /**
-         * Has it go on now if it is known to be long: of such the first bytes are timed, not the
-         * last.
+         * Starts to stream the response if its declared length exceeds the buffer: the timeout of
+         * such a response ends with its first bytes, not with its last. Returns whether it is
+         * streamed.
          */
         boolean streamIfLong() {
             if (length > MAX_BUFFERED_BYTES) {
@@ -706,7 +745,10 @@
             return streaming;
         }
 
-        /** Of one that is not read from, as its client is slow, nothing can come. */
+        /**
+         * Schedules the next idle check. It passes while the response is not read because its
+         * client is slow, as then nothing can arrive.
+         */
         private void scheduleIdleCheck() {
             idleTimer =
                     loop.schedule(
@@ -717,9 +759,9 @@
                                     scheduleIdleCheck();
                                 } else {
                                     log.line(
-                                            "an answer from "
+                                            "response from "
                                                     + connection.address
-                                                    + " does not end");
+                                                    + " aborted: no more data arrives");
                                     connection.channel.close();
                                 }
                             },
@@ -734,7 +776,7 @@
 
         @Override
         public void sendTo(Channel client, Relay.Listener listener) {
-            // Once it is whole its connection may serve another call.
+            // Once the response is complete, its connection may carry another request.
             relay =
                     new Relay(
                             loop,
@@ -760,7 +802,7 @@
             return fullyReceived && onlyResponse && !malformed && HttpUtil.isKeepAlive(head);
         }
 
-        /** All that came with it has been read. */
+        /** Completes the request once all input that arrived with the response has been read. */
         void finish(boolean unsolicited) {
             cancelTimers();
             byte[] body = streaming ? null : buffered.take();
@@ -775,7 +817,7 @@
             }
         }
 
-        /** It will not be whole. */
+        /** Drops a response that will not be completed. */
         void drop() {
             cancelTimers();
             buffered.drop();
@@ -801,7 +843,7 @@
         if (status.equals(HttpResponseStatus.OK)) {
             return new Result(Outcome.OK, body, report);
         }
-        // Without the header a 503 or 504 may come from a tier behind, after the request ran.
+        // Without this header a 503 or 504 may come from a later tier, after the request ran.
         boolean rejected =
                 (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                                 || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
--- a/src/main/java/passhatch/proxy/backend/ResponseDecoder.java
+++ b/src/main/java/passhatch/proxy/backend/ResponseDecoder.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * Reads a backend's answers and tells where they are no proper HTTP though Netty's decoder lets
- * them pass: a header line without a colon is taken for a header without a value there, bytes after
- * the end of an answer are taken for the start of the next, and any end of the connection, a reset
- * too, for the end of an answer without a length. The channel has to allow half-closure, as that
- * tells its peer's own end from all others.
+ * Decodes a backend's responses and detects malformed HTTP that Netty's decoder accepts. Netty
+ * takes a header line without a colon for a header without a value, bytes after the end of a
+ * response for the start of the next one, and any end of the connection, even a reset, for the end
+ * of a response without a length. The channel must allow half-closure, since that distinguishes an
+ * orderly close by the peer from all others.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
-    /** The first character of the status code, as in {@code HTTP/1.1 100}. */
+    /** Offset of the status code in the status line, as in {@code HTTP/1.1 100}. */
     private static final int STATUS_CODE_OFFSET = 9;
 
     private boolean inHead;
@@ -27,23 +27,26 @@
     private boolean malformed;
     private boolean peerHalfClosed;
 
-    /** A request has been written: what comes next is the head of its answer. */
+    /** Called when a request is written: the next input is the head of its response. */
     void expectResponse() {
         startHead();
         malformed = false;
     }
 
-    /** Whether the head of the answer holds a line that is no header. */
+    /** Returns whether the head of the response has a line that is not a header. */
     boolean malformed() {
         return malformed;
     }
 
-    /** Whether bytes are there that belong to no answer read so far. */
+    /** Returns whether there are undecoded bytes, which belong to no response read so far. */
     boolean hasUnsolicitedBytes() {
         return actualReadableBytes() > 0;
     }
 
-    /** Whether the peer has ended its sending in an orderly way: nothing more can come. */
+    /**
+     * Returns whether the peer has closed its side in an orderly way, so that nothing more can
+     * arrive.
+     */
     boolean peerHalfClosed() {
         return peerHalfClosed;
     }
@@ -54,7 +57,10 @@
         super.userEventTriggered(ctx, event);
     }
 
-    /** What the connection's end makes whole: nothing, unless the peer has ended it. */
+    /**
+     * Completes a response at the end of the connection only if the peer closed it in an orderly
+     * way.
+     */
     @Override
     protected void decodeLast(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
             throws Exception {
--- a/src/main/java/passhatch/proxy/backend/package-info.java
+++ b/src/main/java/passhatch/proxy/backend/package-info.java
@@ -1,2 +1,2 @@
-/** The backends' side: connections and what comes back on them. */
+/** The backend side of the proxy: pooled connections and the decoding of responses. */
 package passhatch.proxy.backend;
--- a/src/main/java/passhatch/proxy/client/AcceptRetry.java
+++ b/src/main/java/passhatch/proxy/client/AcceptRetry.java
@@ -7,12 +7,14 @@
 import passhatch.proxy.base.EventLog;
 
 /**
- * Goes on accepting after an accept has failed. By itself a server of Netty stops accepting for a
- * second, in which requests with short deadlines that wait at the listener run out of time.
+ * Keeps accepting connections after an accept has failed. By default Netty stops accepting for one
+ * second, in which requests with short deadlines expire in the listener's queue.
  */
 final class AcceptRetry extends ChannelInboundHandlerAdapter {
 
-    /** Long enough not to spin where no descriptor is left, and short against every deadline. */
+    /**
+     * Long enough not to spin while no descriptor is left, and short compared with every deadline.
+     */
     static final long RETRY_DELAY_MS = 10;
 
     private static final long LOG_INTERVAL_NS = TimeUnit.SECONDS.toNanos(10);
--- a/src/main/java/passhatch/proxy/client/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/client/ClientConnection.java
@@ -30,22 +30,29 @@
 import passhatch.proxy.flow.RequestBody;
 import passhatch.proxy.flow.ResponseStream;
 
-/** One client's connection. Answers leave in the order of the requests. */
+/** One client's connection. Responses are written in the order of the requests. */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-    /** Requests of one connection that may be unanswered before no more are taken from it. */
+    /**
+     * Maximum number of unanswered requests on one connection; no more are processed until one is
+     * answered.
+     */
     private static final int MAX_PIPELINED = 4;
 
     /**
-     * A peer that connects, or begins a request, and has sent no head by then is let go: it may
-     * take 2 s for that (operators' days), and is owed a close within 3 s (terms).
+     * Time from the connect, or from the start of a request, until its head must be complete, in
+     * microseconds; the connection is closed otherwise. Slow clients take up to 2 s, and such a
+     * connection must be closed within 3 s.
      */
     private static final long HEAD_TIMEOUT_US = 2_500_000;
 
-    /** A body may stand still for this long, beside the time that its bytes take at the slowest. */
+    /**
+     * Time that a request body may stall, in microseconds, in addition to the time that its bytes
+     * take at the minimum rate.
+     */
     private static final long MAX_BODY_PAUSE_US = 1_500_000;
 
-    /** Half of the 64 kB a second that clients send at the slowest (operators' days), in pieces. */
+    /** Half of the 64 kB a second that the slowest clients send, since they send in bursts. */
     private static final double MIN_BODY_BYTES_PER_US = 0.032;
 
     private final HttpFrontend frontend;
@@ -54,16 +61,18 @@
     private final ReadAhead readAhead;
     private final ArrayDeque<PendingRequest> pendingRequests = new ArrayDeque<>();
 
-    /** The request that is coming in now, from its head to its end. */
+    /** The request that is being received, from its head to its end; null in between. */
     private PendingRequest incoming;
 
-    /** Where the body that is coming in goes to is full: nothing more of it is wanted. */
+    /** The destination of the incoming body is full, so no more of it is read. */
     private boolean bodyPaused;
 
-    /** Ends the connection unless a whole request comes first; null while none is awaited. */
+    /**
+     * Closes the connection unless a complete request arrives first; null while none is expected.
+     */
     private Future<?> readTimeout;
 
-    /** Bytes of a request have come, and not all of it. */
+    /** A request has been received in part, but not completely. */
     private boolean requestStarted;
 
     private long idleSinceUs;
@@ -72,15 +81,17 @@
     private long bodyBytes;
 
     /**
-     * It sent what is no request, or is sent away: it is told so, and nothing more is taken from
-     * it.
+     * The connection is being closed, after an invalid request or by the proxy: further input is
+     * ignored.
      */
     private boolean closing;
 
-    /** An answer has told it that it is the last: no request behind it is taken. */
+    /** A response has announced the close: requests after it are not processed. */
     private boolean closeAnnounced;
 
-    /** It is ended once all of a body that nobody waits for has come. */
+    /**
+     * The connection is closed once the current body, which is no longer needed, has been received.
+     */
     private boolean closeAfterBody;
 
     ClientConnection(HttpFrontend frontend, Channel channel, EventLoop loop) {
@@ -90,17 +101,17 @@
         this.readAhead = frontend.newReadAhead();
     }
 
-    /** Its part of the pipeline, in front of the decoder. */
+    /** Returns the handler that precedes the decoder in the channel's pipeline. */
     ChannelInboundHandlerAdapter readAhead() {
         return readAhead;
     }
 
-    /** Whether a request has begun to come in, and is not whole. */
+    /** Returns whether a request has been received in part, but not completely. */
     boolean requestStarted() {
         return requestStarted;
     }
 
-    /** It has been without a request since then. */
+    /** Sets the time at which the last open request was answered, in microseconds. */
     void idleSinceUs(long us) {
         idleSinceUs = us;
     }
@@ -109,14 +120,14 @@
         return idleSinceUs;
     }
 
-    /** Ends it where nothing is to arrive on it any more. */
+    /** Closes the connection at once; unsent responses are lost. */
     void close() {
         channel.close();
     }
 
     /**
-     * Ends it so that its last answer arrives, whatever its client is sending; nothing more is
-     * taken.
+     * Closes the connection in such a way that the last response arrives even if the client is
+     * still sending. Further input is ignored.
      */
     void closeGracefully() {
         closing = true;
@@ -125,13 +136,13 @@
         LingeringClose.begin(channel);
     }
 
-    /** A request on a connection, until its answer is written. */
+    /** A request on a connection until its response is written. */
     private static final class PendingRequest implements RequestHandler.Responder {
         private final ClientConnection connection;
         private final HttpVersion version;
         boolean keepAlive;
 
-        /** Null where it is none to pass on. */
+        /** Null if the request is not forwarded. */
         ProxyRequest request;
 
         boolean accepted;
@@ -171,7 +182,7 @@
             }
         }
 
-        /** Whether only the connection's end can show where its answer ends. */
+        /** Returns whether only the close of the connection marks the end of the response. */
         boolean endsWithClose() {
             return stream != null && stream.length() < 0 && !version.equals(HttpVersion.HTTP_1_1);
         }
@@ -180,7 +191,7 @@
             return response != null || stream != null;
         }
 
-        /** Gives the request up, wherever it is. */
+        /** Abandons the request, whether or not the handler has accepted it. */
         void abandon() {
             if (request != null) {
                 connection.frontend.log().trace("abandoned", request.id(), connection.channel.id());
@@ -193,9 +204,9 @@
         }
     }
 
-    // ---- how long a peer may take
+    // ---- read timeouts
 
-    /** Sees the bytes before they are a request. */
+    /** Observes the input before it is decoded into requests. */
     final class ReadObserver extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
@@ -279,7 +290,7 @@
     }
 
     private void begin(HttpRequest head) {
-        // Where a request ends is not known any more once one was malformed.
+        // The end of a malformed request is unknown, so its connection cannot be kept.
         PendingRequest pending =
                 new PendingRequest(
                         this,
@@ -367,7 +378,7 @@
         }
     }
 
-    /** All of a request is in. */
+    /** Called when a request has been received completely. */
     private void onRequestReceived() {
         incoming = null;
         requestStarted = false;
@@ -383,10 +394,11 @@
 
     private void reject(PendingRequest pending, RequestParser.BadRequestException badRequest) {
         if (channel.isActive()) {
-            // Else it is only cut off, as its peer has left or was let go.
+            // On a closed connection the request is merely truncated, because its peer left or was
+            // closed.
             frontend.log()
                     .line(
-                            "request refused with "
+                            "request rejected with "
                                     + badRequest.status()
                                     + ": "
                                     + badRequest.getMessage());
@@ -404,9 +416,9 @@
         }
     }
 
-    // ---- answers
+    // ---- responses
 
-    /** Writes what is settled, up to the first request that is not. */
+    /** Writes the available responses, up to the first request that has none. */
     void writeResponses() {
         while (!pendingRequests.isEmpty() && pendingRequests.peek().hasResponse()) {
             PendingRequest pending = pendingRequests.peek();
@@ -432,7 +444,7 @@
         }
     }
 
-    /** Only the request whose answer is the next may be told to go on. */
+    /** Sends 100 Continue if the request expects it whose response is the next in order. */
     private void sendContinue() {
         PendingRequest next = pendingRequests.peek();
         if (next != null && next.wantsContinue) {
@@ -446,8 +458,9 @@
     }
 
     /**
-     * Whether the connection stays after this answer. It does as well where more requests have come
-     * on it, as they were taken: the last of them has its client sent away.
+     * Returns whether the connection stays open after this response. It also does while later
+     * requests on it are pending, since these were accepted; the response to the last of them then
+     * announces the close.
      */
     private boolean keepAliveAfter(PendingRequest pending) {
         boolean allowed = frontend.keepAliveAfterResponse();
@@ -502,7 +515,7 @@
         }
     }
 
-    /** Begins an answer that goes on as it comes. */
+    /** Starts a streamed response. */
     private void begin(PendingRequest pending) {
         pending.streaming = true;
         boolean keepAlive = keepAliveAfter(pending);
@@ -539,7 +552,8 @@
     }
 
     /**
-     * The client must see that an answer is not whole; where only its end would tell, by a reset.
+     * Aborts a response so that the client sees that it is incomplete: by a reset where an orderly
+     * close would mark its end.
      */
     private void abortStream(PendingRequest pending) {
         if (pending.endsWithClose()) {
@@ -548,9 +562,9 @@
         channel.close();
     }
 
-    // ---- the end of the connection
+    // ---- closing
 
-    /** Gives up all that it has out. */
+    /** Abandons all pending requests. */
     private void abandonAll() {
         frontend.markBusy(this);
         List<PendingRequest> abandoned = List.copyOf(pendingRequests);
@@ -558,7 +572,7 @@
         abandoned.forEach(PendingRequest::abandon);
     }
 
-    /** Gives up all that it has out, and tells a client that may still read so. */
+    /** Abandons all pending requests and sends a failure to a client that may still read. */
     private void failAll() {
         boolean awaitsResponse = !pendingRequests.isEmpty() && !pendingRequests.peek().streaming;
         abandonAll();
@@ -571,7 +585,7 @@
         }
     }
 
-    /** A client that ends its sending has gone; one that reads on is told that it gets nothing. */
+    /** Treats a half-close as a disconnect; a client that still reads gets a failure. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
@@ -587,7 +601,7 @@
         abandonAll();
     }
 
-    /** An error in here ends what this connection has out, and nothing else. */
+    /** Limits an error to this connection: only its own requests are abandoned. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         frontend.log().line("client connection: " + cause);
--- a/src/main/java/passhatch/proxy/client/HttpFrontend.java
+++ b/src/main/java/passhatch/proxy/client/HttpFrontend.java
@@ -25,21 +25,27 @@
 import passhatch.proxy.flow.Relay;
 import passhatch.proxy.flow.RequestBody;
 
-/** The callers' side: takes requests over HTTP and gives each its one answer. */
+/** Accepts client connections, and gives each HTTP request its one response. */
 public final class HttpFrontend {
 
     private static final int ACCEPT_BACKLOG = 1024;
 
-    /** While a newer process takes over, one in so many answers sends its client away. */
+    /** While a newer process takes over, one in this many responses closes its connection. */
     private static final int RESPONSES_PER_HANDOVER_CLOSE = 8;
 
-    /** Time between two lines on clients let go: there may be hundreds a second. */
+    /**
+     * Time between two log lines on evicted connections, in microseconds: there may be hundreds of
+     * evictions a second.
+     */
     private static final long LOG_INTERVAL_US = 10_000_000;
 
-    /** A connection may be closed once it had no open request for this long. */
+    /** A connection may be closed once it had no open request for this long, in microseconds. */
     private static final long MIN_IDLE_US = 2_000_000;
 
-    /** As much as is kept of a body: the rest of most that do not fit, or some hundred requests. */
+    /**
+     * Bytes to read ahead per connection, equal to the limit of a buffered body: enough for the
+     * rest of most bodies that exceed it, or for some hundred requests.
+     */
     private static final int READ_AHEAD = RequestBody.MAX_REPLAYABLE_BYTES;
 
     private final EventLoop loop;
@@ -51,13 +57,13 @@
     private final DescriptorLimits descriptors;
     private final StallDetector holdUps;
 
-    /** Connections that were served and have no request out, the longest idle first. */
+    /** Connections that were served and have no open request, the longest idle first. */
     private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
 
-    /** Those that have never sent a whole request, the longest silent first. */
+    /** Connections that have never sent a complete request, the longest silent first. */
     private final Set<ClientConnection> newConnections = new LinkedHashSet<>();
 
-    /** Those that were told to go and may not have seen it yet. */
+    /** Connections that are being closed, whose clients may not have seen it yet. */
     private final Set<ClientConnection> closing = new LinkedHashSet<>();
 
     private int evicted;
@@ -70,12 +76,12 @@
     private long responses;
 
     /**
-     * A server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param budget of the bytes of bodies that are held
-     * @param holdUps of the loop
-     * @param descriptors shared with the backends' side; where there are too few, some connection
-     *     is closed
+     * @param budget limits the buffered bytes of bodies
+     * @param descriptors counts the open connections, together with those to backends; if there are
+     *     too many, one is closed
+     * @param holdUps measures how long the event loop was stalled
      */
     public HttpFrontend(
             EventLoop loop,
@@ -96,7 +102,7 @@
         this.holdUps = holdUps;
     }
 
-    /** Starts to listen and waits until it does. */
+    /** Starts to listen and returns once the socket is bound. */
     public InetSocketAddress listen(InetSocketAddress address)
             throws IOException, InterruptedException {
         ChannelFuture bound =
@@ -106,7 +112,7 @@
                         .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .handler(new AcceptRetry(log))
-                        // At a change of version two processes listen here.
+                        // During a change of version two processes listen on this address.
                         .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Relay.WATER_MARK)
@@ -138,7 +144,7 @@
         return boundAddress;
     }
 
-    /** The order to end may have come before. */
+    /** Closes the listener at once if {@link #stopListening} was called before. */
     private void onListening(Channel channel) {
         listener = channel;
         if (stopped) {
@@ -146,29 +152,32 @@
         }
     }
 
-    /** Whether requests should come here: the list is known, and connections are taken. */
+    /**
+     * Returns whether clients should send requests here: the list of servers is known, and
+     * connections are accepted.
+     */
     public boolean ready() {
         return listener != null && listener.isActive() && !markedUnready && requests.ready();
     }
 
-    /** From now on callers that ask are told not to begin with this proxy. */
+    /** Reports not ready from now on, so that clients do not start to use this proxy. */
     public void markUnready() {
         markedUnready = true;
     }
 
-    /** Lets each client go with its next answer. */
+    /** Closes each connection with its next response. */
     public void closeAfterResponses() {
         closingAfterResponses = true;
     }
 
-    /** Whether clients should go over to a newer process, a few at a time. */
+    /** Sets whether clients should move to a newer process, a few at a time. */
     public void setHandover(boolean on) {
         handingOver = on;
     }
 
     /**
-     * Whether a client is kept for a next request; not where this process ends, or others wait for
-     * room.
+     * Counts a response and returns whether its connection may stay open: not if this process shuts
+     * down, if descriptors are scarce, or if it is this response's turn during a handover.
      */
     boolean keepAliveAfterResponse() {
         responses++;
@@ -178,8 +187,8 @@
     }
 
     /**
-     * Takes no more connections; those open are served on. The order to end may come before it
-     * listens.
+     * Stops accepting connections; those that are open are still served. May be called before the
+     * server listens.
      */
     public void stopListening() {
         stopped = true;
@@ -188,7 +197,7 @@
         }
     }
 
-    /** Ends the connections on which nothing is out, as clients expect between requests. */
+    /** Closes the connections without an open request, for which clients are prepared. */
     public void closeIdle() {
         withoutOpenRequest()
                 .filter(connection -> !connection.requestStarted())
@@ -197,14 +206,14 @@
     }
 
     /**
-     * Whether a connection is being ended and its client may not have seen it; it will not take
-     * long.
+     * Returns whether a connection is being closed whose client may not have seen it yet; this does
+     * not last long.
      */
     public boolean closing() {
         return !closing.isEmpty();
     }
 
-    /** Whether a request has begun to come in on any connection, and is not whole. */
+    /** Returns whether a connection without an open request has received part of a new one. */
     public boolean receivingRequest() {
         return withoutOpenRequest().anyMatch(ClientConnection::requestStarted);
     }
@@ -213,7 +222,7 @@
         return Stream.concat(idleConnections.stream(), newConnections.stream());
     }
 
-    // ---- for the connections
+    // ---- called by the connections
 
     RequestHandler requests() {
         return requests;
@@ -235,7 +244,7 @@
         return new ReadAhead(budget, READ_AHEAD);
     }
 
-    /** The body that comes after a head. */
+    /** Creates the body that follows a request's head. */
     RequestBody newBody(HttpRequest head, Relay.Source source) {
         long declared =
                 head.decoderResult().isSuccess() ? HttpUtil.getContentLength(head, -1L) : -1;
@@ -251,8 +260,8 @@
     }
 
     /**
-     * Bytes have come: of those that never sent a request, the one that is silent for longest goes
-     * first.
+     * Called when bytes have arrived: of the connections that never sent a request, the one that is
+     * silent for longest is closed first.
      */
     void bytesReceived(ClientConnection connection) {
         if (newConnections.remove(connection)) {
@@ -260,19 +269,19 @@
         }
     }
 
-    /** It has sent a request. */
+    /** Called when a connection has an open request. */
     void markBusy(ClientConnection connection) {
         idleConnections.remove(connection);
         newConnections.remove(connection);
     }
 
-    /** All that it asked for is answered. */
+    /** Called when a connection has no open request any more. */
     void markIdle(ClientConnection connection) {
         connection.idleSinceUs(clock.nowUs());
         idleConnections.add(connection);
     }
 
-    /** It was told to go. */
+    /** Called when a connection is being closed. */
     void closing(ClientConnection connection) {
         markBusy(connection);
         closing.add(connection);
@@ -285,8 +294,9 @@
     }
 
     /**
-     * Clients know that a connection may be closed once it has been idle for a while. A client that
-     * was served just now comes after those that may never send anything.
+     * Closes a connection to make room. Clients know that a connection may be closed once it has
+     * been idle for a while. A client that was served recently is preferred to connections that may
+     * never send a request.
      */
     private void evictOne(ClientConnection newcomer) {
         evicted++;
@@ -311,14 +321,16 @@
                                 : newConnections.size() > 1
                                         ? newConnections.iterator().next()
                                         : newcomer;
-        // The news of its end comes in a later step of the loop; until then it must not be chosen
-        // again.
+        // The connection is reported as closed in a later iteration of the event loop; until then
+        // it must not be chosen again.
         markBusy(victim);
         closing.remove(victim);
         victim.close();
     }
 
-    /** How long a request read now may have stood unread, in microseconds. */
+    /**
+     * Returns how long a request that is read now may have been waiting unread, in microseconds.
+     */
     long unreadUs() {
         return holdUps.unreadUs(clock.nowUs());
     }
--- a/src/main/java/passhatch/proxy/client/ListeningChannel.java
+++ b/src/main/java/passhatch/proxy/client/ListeningChannel.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * A listening socket that takes all connections that wait at it before it closes: the system would
- * reset them, though another process listens at the same address.
+ * A listening socket that accepts all connections in its queue before it closes. Otherwise the
+ * operating system would reset them, even if another process listens on the same address.
  */
 public final class ListeningChannel extends NioServerSocketChannel {
 
@@ -15,7 +15,8 @@
         try {
             List<Object> accepted = new ArrayList<>(1);
             while (doReadMessages(accepted) > 0) {
-                // One by one, so that for each one too many another can be let go first.
+                // One by one, so that for each connection over the limit another one can be closed
+                // first.
                 accepted.forEach(pipeline()::fireChannelRead);
                 accepted.clear();
             }
--- a/src/main/java/passhatch/proxy/client/ProxyRequest.java
+++ b/src/main/java/passhatch/proxy/client/ProxyRequest.java
@@ -4,14 +4,15 @@
 import passhatch.proxy.flow.RequestBody;
 
 /**
- * A caller's request.
+ * A client's request.
  *
- * @param requestClass its class, by position in the settings
- * @param tenant its tenant, by position
- * @param timeoutUs how long its client waits from the moment it has sent all of it
- * @param costHintUs a guess at its work; 0 where there is none
- * @param clientRetry true where the client says that it tries again
- * @param uri path and query, to go on unchanged
+ * @param requestClass index of its class in the settings
+ * @param tenant index of its tenant in the settings
+ * @param timeoutUs how long the client waits after it has sent the whole request, in microseconds
+ * @param costHintUs the client's estimate of the request's work, in microseconds; 0 if there is
+ *     none
+ * @param clientRetry whether the client marks the request as a retry
+ * @param uri path and query, forwarded unchanged
  * @param idempotencyKey the key of a keyed request, or null
  */
 public record ProxyRequest(
--- a/src/main/java/passhatch/proxy/client/ProxyResponse.java
+++ b/src/main/java/passhatch/proxy/client/ProxyResponse.java
@@ -4,9 +4,9 @@
 import java.math.BigDecimal;
 
 /**
- * A final answer.
+ * A final response to a client.
  *
- * @param retryAfter the value of Retry-After, or null
+ * @param retryAfter the value of the Retry-After header in seconds, or null
  */
 public record ProxyResponse(HttpResponseStatus status, String retryAfter, byte[] body) {
 
@@ -16,7 +16,7 @@
         return new ProxyResponse(HttpResponseStatus.OK, null, body);
     }
 
-    /** Promises that trying again is harmless. */
+    /** Returns a 503 response, which promises that a retry is harmless. */
     public static ProxyResponse refused(long retryAfterUs) {
         String seconds =
                 retryAfterUs <= 0
@@ -25,7 +25,7 @@
         return new ProxyResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, seconds, NO_BODY);
     }
 
-    /** Promises nothing. */
+    /** Returns a 502 response, which leaves open whether the request ran. */
     public static ProxyResponse failed() {
         return new ProxyResponse(HttpResponseStatus.BAD_GATEWAY, null, NO_BODY);
     }
--- a/src/main/java/passhatch/proxy/client/ReadAhead.java
+++ b/src/main/java/passhatch/proxy/client/ReadAhead.java
@@ -7,10 +7,10 @@
 import passhatch.proxy.flow.BufferBudget;
 
 /**
- * Reads on from a client while no more requests, or no more of a body, are wanted from it: that it
- * has left shows only behind all that it had sent before. What comes meanwhile is held, up to a
- * bound; a client that sends more than that is not read from until it is wanted again, and cannot
- * be seen to leave until then.
+ * Keeps reading from a client while the proxy wants no more requests, or no more of a body, from
+ * it: a disconnect shows only after everything that was sent before it. The input is buffered up to
+ * a limit. A client that sends more is not read from until its input is wanted again, and its
+ * disconnect is not seen until then.
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
 
@@ -23,17 +23,17 @@
     private boolean forwarding;
 
     /**
-     * Holds nothing yet, and passes everything on.
+     * Creates a handler that forwards all input at first.
      *
-     * @param budget counts what is held
-     * @param maxBytes bytes to hold before no more are read; one read may go beyond it
+     * @param budget counts the buffered bytes
+     * @param maxBytes bytes to buffer before reading stops; a single read may exceed it
      */
     ReadAhead(BufferBudget budget, int maxBytes) {
         this.budget = budget;
         this.maxBytes = maxBytes;
     }
 
-    /** Whether what comes is wanted now. */
+    /** Sets whether the input is wanted now. */
     void setWanted(boolean value) {
         wanted = value;
         if (context != null) {
@@ -62,7 +62,8 @@
     }
 
     /**
-     * What is passed on may make more wanted, or less; it is passed on in its order all the same.
+     * Forwards buffered input while it is wanted. Forwarding may itself change whether it is
+     * wanted; nested calls return at once, so that the order is kept.
      */
     private void forward() {
         if (forwarding) {
--- a/src/main/java/passhatch/proxy/client/RequestDecoder.java
+++ b/src/main/java/passhatch/proxy/client/RequestDecoder.java
@@ -4,8 +4,8 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Reads requests, and takes none whose head tells its end in two ways: peers differ on which
- * counts.
+ * Decodes requests and rejects those whose head declares the length in two ways: peers differ on
+ * which one counts.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
--- a/src/main/java/passhatch/proxy/client/RequestHandler.java
+++ b/src/main/java/passhatch/proxy/client/RequestHandler.java
@@ -3,37 +3,40 @@
 import passhatch.proxy.flow.Relay;
 import passhatch.proxy.flow.ResponseStream;
 
-/** Where the callers' side takes its requests: each gets exactly one final answer. */
+/** Handles the requests of clients. Each request gets exactly one final response. */
 public interface RequestHandler {
 
-    /** Where the final answer of a request goes. */
+    /** Delivers the final response to a request. */
     interface Responder {
         void respond(ProxyResponse response);
 
-        /** Passes an answer on as it comes, and has told how that ended once. */
+        /** Streams a response; the listener is notified once of how that ended. */
         void stream(ResponseStream response, Relay.Listener listener);
 
-        /** What was begun to be passed on will not be whole. */
+        /** Aborts the streamed response, which will not be complete. */
         void streamFailed();
     }
 
-    /** Whether requests should come here at all. */
+    /** Returns whether clients should send requests to this proxy. */
     boolean ready();
 
     /**
-     * Takes a request whose body is whole, or is too long to be kept; false where one with its id
-     * is still held.
+     * Accepts a request whose body is complete, or too long to be buffered. Returns false if a
+     * request with the same id is still being processed.
      *
-     * @param unreadUs how long its last bytes may have stood unread, in microseconds
+     * @param unreadUs how long its last bytes may have been waiting unread, in microseconds
      */
     boolean accept(ProxyRequest request, long unreadUs, Responder responder);
 
     /**
-     * All of a request has come, of which only a part had when it was taken: its time runs from now
-     * on.
+     * Called when the body is complete of a request that was accepted before that: its time runs
+     * from now on.
      */
     void bodyCompleted(String id, long unreadUs);
 
-    /** The client has closed its connection, or spoilt its request: no answer is owed any more. */
+    /**
+     * Called when the client has closed its connection or sent an invalid body: no response is
+     * needed any more.
+     */
     void clientGone(String id);
 }
--- a/src/main/java/passhatch/proxy/client/RequestParser.java
+++ b/src/main/java/passhatch/proxy/client/RequestParser.java
@@ -15,7 +15,7 @@
 import passhatch.Balancer.RequestClass;
 import passhatch.proxy.flow.RequestBody;
 
-/** Turns a caller's HTTP request into a {@link ProxyRequest}, or says why it is none. */
+/** Parses a client's HTTP request into a {@link ProxyRequest}, or explains why it is invalid. */
 public final class RequestParser {
 
     private static final Pattern DEADLINE_PATTERN =
@@ -23,7 +23,7 @@
     private static final Pattern ID_PATTERN = Pattern.compile("[\\x21-\\x7e]{1,128}");
     private static final String MALFORMED_DEADLINE = "X-Deadline is malformed";
 
-    /** A request that cannot be taken, and the status that says so. */
+    /** An invalid request, with the status of its response. */
     static final class BadRequestException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
@@ -49,7 +49,7 @@
         this.tenants = tenants;
     }
 
-    /** Reads the head of a request. */
+    /** Parses the head of a request. */
     ProxyRequest parse(HttpRequest http, RequestBody body) throws BadRequestException {
         if (http.decoderResult().isFailure()) {
             throw badRequest(
@@ -82,7 +82,8 @@
     }
 
     /**
-     * The first part of the path; its effect must be the one that the method promises the caller.
+     * Returns the index of the class that the first segment of the path names. The effect of the
+     * class must be the one that the method promises to the client.
      */
     private int requestClass(HttpRequest http) throws BadRequestException {
         String path = new QueryStringDecoder(http.uri()).rawPath();
@@ -92,7 +93,7 @@
                         ? classIndex(path.substring(1, segmentEnd < 0 ? path.length() : segmentEnd))
                         : -1;
         if (index < 0) {
-            throw new BadRequestException(HttpResponseStatus.NOT_FOUND, "no such path");
+            throw new BadRequestException(HttpResponseStatus.NOT_FOUND, "the path names no class");
         }
         Effect effect =
                 http.method().equals(HttpMethod.GET)
@@ -103,12 +104,15 @@
                                         ? Effect.KEYED
                                         : Effect.UNSAFE;
         if (effect != classes.get(index).effect()) {
-            throw badRequest("the method or Idempotency-Key does not fit the class");
+            throw badRequest("the method or Idempotency-Key does not match the class");
         }
         return index;
     }
 
-    /** A name that may not stand in a path as it is comes escaped (RFC 3986, 2.1). */
+    /**
+     * Returns the index of the class that a segment names, or -1 if there is none. Names with
+     * characters that a path must not contain are percent-encoded (RFC 3986, section 2.1).
+     */
     private int classIndex(String segment) {
         int unescaped = classNames.indexOf(segment);
         try {
@@ -144,7 +148,7 @@
                 (Double.parseDouble(parts.group(1)) * (parts.group(2).equals("m") ? 1000 : 1));
     }
 
-    /** A guess that cannot be read is no guess. */
+    /** Returns the cost hint; 0 if there is none or it is malformed. */
     private static long costHintUs(String text) {
         try {
             return text == null ? 0 : Math.max(0, (long) Double.parseDouble(text));
--- a/src/main/java/passhatch/proxy/client/package-info.java
+++ b/src/main/java/passhatch/proxy/client/package-info.java
@@ -1,2 +1,2 @@
-/** The callers' side: connections, requests, answers. */
+/** The client side of the proxy: connections, requests and responses. */
 package passhatch.proxy.client;
--- a/src/test/java/passhatch/cli/CommandsTest.java
+++ b/src/test/java/passhatch/cli/CommandsTest.java
@@ -32,7 +32,7 @@
         assertEquals("", out.toString());
     }
 
-    /** Port 1 does not answer: what is wrong in the call is told before it is tried. */
+    /** Nothing listens on port 1: usage errors are reported before a connection is tried. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -62,7 +62,7 @@
         assertEquals("", err.toString());
     }
 
-    /** The deployed program must not need what only the tools have. */
+    /** The deployed program must not depend on the classes of the lab tools. */
     @Test
     void helpNamesTheLabToolsThatItDoesNotInclude() {
         run("--help");
--- a/src/test/java/passhatch/proxy/BodiesTest.java
+++ b/src/test/java/passhatch/proxy/BodiesTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import passhatch.proxy.HttpConnection.Message;
 
-/** Bodies of all lengths and forms, over loopback sockets. */
+/** Tests request and response bodies of all lengths and framings over loopback sockets. */
 @Timeout(60)
 final class BodiesTest {
 
@@ -60,7 +60,7 @@
         return rig.start(Rig.entry("s", backend.address(), "SERVING"));
     }
 
-    /** Reads byte by byte, so that what follows is still there. */
+    /** Reads byte by byte, so that the input after the marker stays unread. */
     private static void readUpTo(HttpConnection client, String end) throws IOException {
         StringBuilder read = new StringBuilder();
         while (!read.toString().endsWith(end)) {
@@ -73,7 +73,10 @@
         connection.write(body);
     }
 
-    /** A client that does not read holds the backend up, and nothing piles up between them. */
+    /**
+     * A client that does not read stops the reading from the backend, and no data piles up in the
+     * proxy.
+     */
     @Test
     void aLongResponseIsThrottledByASlowClient() throws Exception {
         byte[] body = random(LONG_BODY_BYTES);
@@ -96,7 +99,7 @@
             before = sentBytes.get();
             Thread.sleep(300);
         }
-        assertTrue(before < LONG_BODY_BYTES, "all of it was taken from the backend");
+        assertTrue(before < LONG_BODY_BYTES, "the whole response was read from the backend");
         rig.awaitMetric("inflight", 1);
         assertArrayEquals(body, client.read().body());
         rig.awaitMetric("success{tier=\"board\"}", 1);
@@ -135,8 +138,11 @@
         client.write(Arrays.copyOf(body, 100_000));
         assertTrue(
                 headReceived.await(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS),
-                "held back until it is whole");
-        assertEquals(0, rig.metric("inflight"), "not taken before its last byte");
+                "the request was buffered until it was complete");
+        assertEquals(
+                0,
+                rig.metric("inflight"),
+                "a request counts as in flight only after its last byte");
         client.write(Arrays.copyOfRange(body, 100_000, LONG_BODY_BYTES));
         assertEquals("done", client.read().text());
         assertArrayEquals(body, receivedBodies.take());
@@ -191,7 +197,7 @@
         assertTrue(backend.received.isEmpty());
     }
 
-    /** The attempt is given up, as nobody knows where the request ends. */
+    /** The attempt is aborted, because the end of the request is unknown. */
     @Test
     void aMalformedChunkInAStreamedBodyEndsTheAttempt() throws Exception {
         CountDownLatch headReceived = new CountDownLatch(1);
@@ -228,7 +234,7 @@
         assertEquals(0, rig.metric("backend_calls"));
     }
 
-    /** What has gone out is not kept, so a repeat would not be the same request. */
+    /** Bytes that have been sent are not kept, so a retry would not be the same request. */
     @Test
     void aLongRequestIsNotRetriedThoughItsClassAllowsRetries() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.reset());
@@ -245,7 +251,7 @@
         assertEquals(1, backend.received.size() + other.received.size());
     }
 
-    /** A backend that is full says so before it has read all. */
+    /** A backend that is full responds before it has read the whole request. */
     @Test
     void aResponseThatPrecedesTheEndOfTheRequestIsForwarded() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
@@ -257,7 +263,7 @@
         assertEquals(503, client.read().status());
         client.write(random(4_900_000));
         client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
-        assertEquals(200, client.read().status(), "the rest of the body is read and dropped");
+        assertEquals(200, client.read().status(), "the rest of the body must be read and dropped");
         assertEquals(0, rig.metric("backend_calls"));
     }
 
@@ -278,8 +284,9 @@
     }
 
     /**
-     * The backend neither ends it nor its connection: its client is told all the same, and nothing
-     * stays held. That we end its connection then is no end of an answer without a length.
+     * The backend ends neither the response nor its connection. The client must still see a
+     * failure, and nothing may stay open. That the proxy then closes the backend connection does
+     * not complete a response without a length.
      */
     @ParameterizedTest
     @ValueSource(strings = {"Transfer-Encoding: chunked\r\n\r\n5\r\nbegun\r\n", "\r\nbegun"})
@@ -292,7 +299,7 @@
         assertEquals(0, rig.metric("inflight"));
     }
 
-    /** Only its peer's own end of the connection ends an answer without a length. */
+    /** Only an orderly close by the peer ends a response without a length. */
     @Test
     void aResetInAResponseWithoutLengthIsVisibleToTheClient() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
@@ -306,14 +313,14 @@
         client.write(Rig.get("r", ""));
         readUpTo(client, "begun\r\n");
         seen.countDown();
-        assertEquals("", client.readAll(), "the empty chunk that ends an answer");
+        assertEquals("", client.readAll(), "no empty chunk may end the response");
         rig.awaitMetric("failure{tier=\"board\"}", 1);
         assertEquals(0, rig.metric("inflight"));
     }
 
     /**
-     * Of one that is known to be long the first bytes are timed: they are here, though not for
-     * long.
+     * The timeout of a response that is known to be long covers only its first bytes. The bytes
+     * that arrive in time here stay below the buffer limit.
      */
     @Test
     void aLongResponseThatStartsInTimeIsNotTimedOut() throws Exception {
@@ -333,8 +340,8 @@
     }
 
     /**
-     * A length that is not its own makes a short answer look long; nothing of it has been passed on
-     * yet.
+     * The declared length is wrong and makes a short response look long; nothing of it has been
+     * forwarded yet.
      */
     @Test
     void aResponseThatIsTruncatedEarlyIsRetriedElsewhere() throws Exception {
@@ -395,7 +402,7 @@
         }
     }
 
-    /** It may go on for long, so it is not held until it is whole. */
+    /** It may take long, so it is not buffered until it is complete. */
     @Test
     void aSlowResponseOfUnknownLengthIsStreamed() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
@@ -431,7 +438,7 @@
         assertArrayEquals(random(200_002), client.read().body());
     }
 
-    /** A slow client has 2 s for its head; single bytes are as good as whole lines. */
+    /** A slow client has 2 s for its head, even if it sends single bytes. */
     @Test
     void aHeadSentOverTwoSecondsIsAccepted() throws Exception {
         startWithBackend((connection, request) -> connection.respond("200 OK", "x"));
@@ -445,7 +452,10 @@
         assertEquals("x", response.text());
     }
 
-    /** Slower than 64 kB a second in a body of 1 s at that speed: it is let go, not waited for. */
+    /**
+     * A body that arrives more slowly than 64 kB a second: its connection is closed, not waited
+     * for.
+     */
     @Test
     void aConnectionWhoseBodyStallsIsClosed() throws Exception {
         startWithBackend((connection, request) -> connection.respond("200 OK", "x"));
--- a/src/test/java/passhatch/proxy/ClientConnectionTest.java
+++ b/src/test/java/passhatch/proxy/ClientConnectionTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import passhatch.proxy.HttpConnection.Message;
 
-/** Connections of clients: which are kept, which are closed, and what comes on them. */
+/**
+ * Tests which client connections are kept, which are closed, and how pipelined requests are
+ * handled.
+ */
 @Timeout(60)
 final class ClientConnectionTest {
 
@@ -34,8 +37,8 @@
     }
 
     /**
-     * Such peers filled the table of connections, and clients that were idle for a moment lost
-     * theirs.
+     * Such peers could fill the connection table, and clients that were idle for a moment lost
+     * their connections.
      */
     @ParameterizedTest
     @ValueSource(
@@ -70,7 +73,7 @@
         assertEquals("x", client.read().text());
     }
 
-    /** Each of them would hold a descriptor that another needs. */
+    /** Each connection would hold a descriptor that another one needs. */
     @Test
     void connectionsAreClosedAfterTheResponseWhenManyAreOpen() throws Exception {
         ScriptedServer backend =
@@ -82,13 +85,13 @@
         for (int i = 0; i < 180; i++) {
             rig.client();
         }
-        // Answered after those that came before it were taken.
+        // The response shows that all earlier connections have been accepted.
         assertEquals(200, rig.send("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n").status());
         client.write(Rig.get("b", ""));
         assertEquals("close", client.read().header("Connection"));
     }
 
-    /** Slow clients write a head for 2 s: silence counts, not age, when one has to go. */
+    /** Slow clients take 2 s to send a head: the eviction goes by silence, not by age. */
     @Test
     void aSlowHeadIsNotEvictedByThousandsOfSilentPeers() throws Exception {
         ScriptedServer backend =
@@ -126,7 +129,10 @@
         assertEquals("late", client.read().text());
     }
 
-    /** One peer sent 600 at a time: answering each cost the time of requests that counted. */
+    /**
+     * A peer may send 600 bad requests at a time: responding to each would cost the time of valid
+     * requests.
+     */
     @Test
     void noFurtherRequestIsAcceptedAfterABadOne() throws Exception {
         rig.start();
--- a/src/test/java/passhatch/proxy/ClientDisconnectTest.java
+++ b/src/test/java/passhatch/proxy/ClientDisconnectTest.java
@@ -29,15 +29,15 @@
 import passhatch.Logic;
 
 /**
- * A request whose client has left while it waited is not sent on, wherever it waited and however
- * the client left. Each test goes on once the module has heard of it, which is what forces the
- * crossing: from then on a server is there for all that waits, and one more request shows that it
- * is used.
+ * Tests that a request whose client has disconnected while it waited is not forwarded, wherever it
+ * waited and however the client disconnected. Each test continues once the module has been
+ * notified. From then on a server is available for all waiting requests, and one more request shows
+ * that it is used.
  */
 @Timeout(60)
 final class ClientDisconnectTest {
 
-    /** Ways to leave. */
+    /** Ways in which a client disconnects. */
     enum Disconnect {
         FIN {
             @Override
@@ -65,7 +65,10 @@
     private Rig rig;
     private ScriptedServer server;
 
-    /** Requests in the order in which the module heard of them, and of their clients' going. */
+    /**
+     * Ids of requests in the order in which the module received them; the next queue has those
+     * whose clients disconnected.
+     */
     private final BlockingQueue<String> requested = new LinkedBlockingQueue<>();
 
     private final BlockingQueue<String> disconnected = new LinkedBlockingQueue<>();
@@ -118,8 +121,8 @@
     }
 
     /**
-     * From now on there is a server for what waits; nothing goes to it but what a client still
-     * waits for.
+     * Makes a server available for waiting requests, and asserts that it receives only the request
+     * of a client that still waits.
      */
     private void assertNothingIsForwarded() throws Exception {
         lists.clear();
@@ -164,7 +167,9 @@
         disconnectAndAssertNothingIsForwarded(client, how, 1);
     }
 
-    /** More than are taken from one connection at a time, and more than that behind them. */
+    /**
+     * Sends as many requests as are accepted from one connection at a time, and more behind them.
+     */
     @ParameterizedTest
     @EnumSource
     void afterManyPipelinedRequests(Disconnect how) throws Exception {
@@ -179,7 +184,8 @@
     }
 
     /**
-     * A body that is longer than what is kept waits with it, the rest of it unread by the request.
+     * The body exceeds the buffer limit, and the rest of it is not read by the request that waits
+     * with it.
      */
     @ParameterizedTest
     @EnumSource
@@ -194,14 +200,17 @@
         disconnectAndAssertNothingIsForwarded(client, how, 1);
     }
 
-    /** Its connection to the server is not up yet; once it is, nothing is written on it. */
+    /**
+     * The connection to the server is not established yet; once it is, nothing may be written to
+     * it.
+     */
     @ParameterizedTest
     @EnumSource
     void whileItsBackendConnectionIsBeingEstablished(Disconnect how) throws Exception {
         disconnectBeforeTheBackendConnects(true, how);
     }
 
-    /** The same where attempts may not be called off. */
+    /** The same, with cancellation of attempts turned off. */
     @ParameterizedTest
     @EnumSource
     void whileItsBackendConnectionIsBeingEstablishedWithoutCancellation(Disconnect how)
@@ -215,7 +224,7 @@
             InetSocketAddress at = (InetSocketAddress) late.getLocalSocketAddress();
             List<Socket> waiting = new ArrayList<>();
             try {
-                // They fill the place where connections wait to be accepted.
+                // They fill the accept queue of the listener.
                 waiting.add(new Socket(at.getAddress(), at.getPort()));
                 waiting.add(new Socket(at.getAddress(), at.getPort()));
                 rig.limit("cancel", cancel).start(Rig.entry("s", at, "SERVING"));
@@ -226,13 +235,13 @@
                 await(disconnected, 1);
                 waiting.add(late.accept());
                 waiting.add(late.accept());
-                // Where it is not called off it comes up now, with the system's next try a second
-                // later.
+                // Without cancellation the connection is established now, by the operating system's
+                // retry one second later.
                 if (!cancel) {
                     Socket up = late.accept();
                     waiting.add(up);
                     up.setSoTimeout(300);
-                    assertFalse(receivesBytes(up), "the request was sent on");
+                    assertFalse(receivesBytes(up), "the request was forwarded");
                 }
                 assertNothingIsForwarded();
             } finally {
@@ -251,7 +260,7 @@
         }
     }
 
-    /** Many at once, each in its own way. */
+    /** Many clients at once, which disconnect in different ways. */
     @Test
     void manyAtOnce() throws Exception {
         rig.start();
--- a/src/test/java/passhatch/proxy/ConnectionCloseTest.java
+++ b/src/test/java/passhatch/proxy/ConnectionCloseTest.java
@@ -24,15 +24,19 @@
 import passhatch.Balancer;
 
 /**
- * Bytes that come in the very moment in which a connection is ended. What was answered before
- * arrives, its client sees an end and no reset, and nothing of what came is sent on.
+ * Tests input that arrives at the moment at which the proxy closes a connection. The earlier
+ * response must arrive, the client must see an orderly close and no reset, and nothing of the input
+ * may be forwarded.
  */
 @Timeout(60)
 final class ConnectionCloseTest {
 
     private static final String CLOSE = "Connection: close\r\n";
 
-    /** As long as may be held whole; more than the system takes for a narrow client. */
+    /**
+     * Short enough to be buffered completely, and longer than the operating system accepts for a
+     * client with a small receive buffer.
+     */
     private static final String LONG_BODY = "x".repeat(60_000);
 
     @TempDir Path folder;
@@ -51,8 +55,9 @@
     }
 
     /**
-     * The module has one request served and all others refused at once, of these one after this has
-     * run on the loop: what comes by then is not read yet.
+     * Starts a proxy whose module serves the request "before" and refuses all others at once. The
+     * given action runs on the event loop before the request with the given id is refused: input
+     * that arrives meanwhile has not been read.
      */
     private void startWithScriptedModule(String id, Runnable beforeRefusal) throws Exception {
         ScriptedServer backend =
@@ -80,7 +85,10 @@
                 .start(Rig.entry("s", backend.address(), "SERVING"));
     }
 
-    /** A client that was answered and has not read that: a reset would destroy it on its way. */
+    /**
+     * Returns a client that has not read its response yet: a reset would destroy the response on
+     * its way.
+     */
     private HttpConnection clientWithAnUnreadResponse() throws Exception {
         HttpConnection client = HttpConnection.withSmallReceiveBuffer(rig.proxy().address());
         client.write(Rig.get("before", "X-Deadline: 9000m\r\n"));
@@ -88,14 +96,17 @@
         return client;
     }
 
-    /** A socket that was closed is given back to the system some turns of the loop later. */
+    /**
+     * Waits some iterations of the event loop, after which a closed socket has been released to the
+     * operating system.
+     */
     private void awaitLoopIterations() throws InterruptedException {
         for (int iterations = 0; iterations < 3; iterations++) {
             rig.proxy().awaitSubmittedTasks();
         }
     }
 
-    /** Reads what is on its way, once all that the proxy did about its connection is done. */
+    /** Reads the outstanding response after the proxy has done everything with its connection. */
     private void assertUnreadResponseArrives(HttpConnection client) throws Exception {
         awaitLoopIterations();
         assertEquals(LONG_BODY, client.read().text());
@@ -140,8 +151,8 @@
     }
 
     /**
-     * The last answer is long on its way, as its client reads slowly; requests behind it are not
-     * taken.
+     * Sending the last response takes long, as its client reads slowly; requests behind it are not
+     * accepted.
      */
     @Test
     void aRequestWhileTheLastResponseIsWritten() throws Exception {
@@ -167,7 +178,8 @@
     }
 
     /**
-     * The request comes when the process that ends lets resting clients go, and is not read before.
+     * The request arrives when the process closes idle connections at shutdown, and is not read
+     * before that.
      */
     @Test
     void aRequestOnAnIdleConnectionAtShutdown() throws Exception {
@@ -177,7 +189,7 @@
                 "held",
                 () -> {
                     blocked.countDown();
-                    // Longer than a process with short deadlines serves on.
+                    // Longer than a process with short deadlines continues to serve.
                     LockSupport.parkNanos(
                             ShutdownSchedule.of(200).closeClientsMs() * 1_000_000 + 50_000_000);
                 });
@@ -196,7 +208,7 @@
         assertEquals(List.of("before", "held"), requested);
     }
 
-    /** A client that does not end its side is not waited for long. */
+    /** The proxy does not wait long for a client that does not close its side. */
     @Test
     void aClientThatKeepsItsSideOpenIsClosed() throws Exception {
         startWithScriptedModule("last", () -> {});
@@ -204,10 +216,13 @@
         client.write(Rig.get("last", CLOSE));
         assertEquals(503, client.read().status());
         assertNull(client.read());
-        assertEquals("", rig.unreleasedResources(), "its side stays open, and is not waited for");
+        assertEquals(
+                "",
+                rig.unreleasedResources(),
+                "the proxy must not wait for a client that keeps its side open");
     }
 
-    /** What operators are told arrives though they have sent more than the one line. */
+    /** The reply to an operator arrives even if more than the one line was sent. */
     @Test
     void bytesAfterAnOperatorCall() throws Exception {
         rig.control().safeClass("c".repeat(50_000)).start();
--- a/src/test/java/passhatch/proxy/ForwardingTest.java
+++ b/src/test/java/passhatch/proxy/ForwardingTest.java
@@ -30,7 +30,7 @@
 import passhatch.proxy.discovery.EndpointList;
 import passhatch.proxy.discovery.ListWatch;
 
-/** Requests go on to backends unchanged, and are retried only where that is safe. */
+/** Tests that requests are forwarded to backends unchanged, and retried only if that is safe. */
 @Timeout(60)
 final class ForwardingTest {
 
@@ -131,7 +131,10 @@
         }
     }
 
-    /** The module repeats in time; the connection comes up when the key is no longer remembered. */
+    /**
+     * The module retries in time, but the connection is established after the server has forgotten
+     * the key.
+     */
     @Test
     void aKeyedRetryIsNotWrittenAfterTheDedupWindow() throws Exception {
         ScriptedServer first = rig.backend((connection, request) -> connection.reset());
@@ -166,8 +169,8 @@
                         Outcome.RESET,
                         outcomes.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 assertTrue(a.isConnected() && b.isConnected());
-                // However late this is, it is after the window; with its queue full nothing comes
-                // up before.
+                // However late this runs, it is after the window. No connection is established
+                // earlier, because the accept queue is full.
                 Thread.sleep(400);
                 late.accept().close();
                 late.accept().close();
@@ -182,7 +185,7 @@
         }
     }
 
-    /** Whatever the module throws, its request is answered and later ones are decided on. */
+    /** Whatever the module throws, its request gets a response and later requests are decided. */
     @Test
     void continuesAfterAnErrorInTheModule() throws Exception {
         rig.balancerFactory(
@@ -210,7 +213,7 @@
         assertNotWrittenAfterListChange(backend, Rig.entry("s", backend.address(), "DRAINING"));
     }
 
-    /** What is at the old address may be another server by then. */
+    /** Another server may use the old address by then. */
     @Test
     void nothingIsWrittenToABackendsOldAddress() throws Exception {
         ScriptedServer backend =
@@ -220,7 +223,7 @@
         assertNotWrittenAfterListChange(backend, up("s", elsewhere));
     }
 
-    /** The list changes between the send and the moment the connection is up. */
+    /** Changes the list between the send and the moment at which the connection is established. */
     private void assertNotWrittenAfterListChange(ScriptedServer backend, String entry)
             throws Exception {
         EndpointList changed =
@@ -262,12 +265,12 @@
                                                 : "served"));
         rig.limit("probes", true).start(up("s", backend));
         assertEquals("served", rig.send(Rig.get("a", "")).text());
-        // A call goes out without the answer to its probe where that is slow, so either may come
+        // If its probe is slow, a request is sent without the probe's result, so either may arrive
         // first.
         Message first = backend.nextRequest();
         boolean probeFirst = first.startLine().contains("/status/load");
         Message probe = probeFirst ? first : backend.nextRequest();
         assertEquals("GET /status/load HTTP/1.1", probe.startLine());
-        assertNull(probe.header("X-Request-Id"), "a probe is no request");
+        assertNull(probe.header("X-Request-Id"), "a probe is not a request");
     }
 }
--- a/src/test/java/passhatch/proxy/RequestValidationTest.java
+++ b/src/test/java/passhatch/proxy/RequestValidationTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Malformed requests are turned down, and nothing of them is sent on. */
+/** Tests that malformed requests are rejected and nothing of them is forwarded. */
 @Timeout(60)
 final class RequestValidationTest {
 
@@ -32,7 +32,7 @@
         rig.close();
     }
 
-    /** A malformed head leaves no place to read on from. */
+    /** After a malformed head the start of the next request is unknown. */
     @Test
     void malformedHttpIsRejectedAndTheConnectionClosed() throws Exception {
         rig.start();
@@ -71,7 +71,7 @@
         assertTrue(backend.received.isEmpty());
     }
 
-    /** Its body is neither waited for nor read. */
+    /** The body is neither awaited nor read. */
     @Test
     void aBodyThatIsTooLargeIsRejectedFromItsContentLength() throws Exception {
         rig.start();
@@ -95,7 +95,9 @@
         assertTrue(backend.received.isEmpty());
     }
 
-    /** The name of a class may be any text, and comes escaped where it may not stand in a path. */
+    /**
+     * The name of a class may be any text; it is percent-encoded where a path must not contain it.
+     */
     @ParameterizedTest
     @CsvSource({"a class/ä+%, /a%20class%2F%C3%A4%2B%25/7", "board, /%62oard", "b+c, /b+c/1"})
     void acceptsAnEscapedClassName(String name, String path) throws Exception {
@@ -106,7 +108,9 @@
                 200,
                 rig.send("GET " + path + " HTTP/1.1\r\nHost: p\r\nX-Request-Id: r\r\n\r\n")
                         .status());
-        assertTrue(backend.nextRequest().startLine().contains(path), "the path goes on as it came");
+        assertTrue(
+                backend.nextRequest().startLine().contains(path),
+                "the path is forwarded unchanged");
         assertEquals(
                 404,
                 rig.send("GET /%zz/1 HTTP/1.1\r\nHost: p\r\nX-Request-Id: s\r\n\r\n").status());
--- a/src/test/java/passhatch/proxy/backend/BackendPoolTest.java
+++ b/src/test/java/passhatch/proxy/backend/BackendPoolTest.java
@@ -46,7 +46,10 @@
 import passhatch.proxy.base.EventLog;
 import passhatch.proxy.flow.BufferBudget;
 
-/** The pool against scripted backends: what each way to end on the wire counts as. */
+/**
+ * Tests the pool against scripted backends: which outcome each end of an exchange maps to, and
+ * which connections are reused.
+ */
 @Timeout(60)
 final class BackendPoolTest {
 
@@ -62,7 +65,7 @@
 
     @BeforeEach
     void setUp() {
-        // Room for two connections to backends.
+        // Leaves two connections to backends.
         descriptors.setLimit(6);
         pool = pool(10_000_000, 0);
     }
@@ -153,7 +156,7 @@
 
     private Outcome awaitOutcome() throws InterruptedException {
         Result result = results.poll(HttpConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        assertNotNull(result, "no result came");
+        assertNotNull(result, "no result arrived");
         return result.outcome();
     }
 
@@ -201,8 +204,8 @@
     }
 
     /**
-     * The copy stood in the buffer when the next call took the connection, and passed for its
-     * answer.
+     * The second copy was still buffered when the next request took the connection, and was taken
+     * for its response.
      */
     @Test
     void aSecondResponseToOneRequestIsNotUsedForTheNextRequest() throws Exception {
@@ -242,7 +245,10 @@
         }
     }
 
-    /** Without the end of a line no answer is read from them, yet they would spoil the next one. */
+    /**
+     * Without a line end the decoder reads no response from them, yet they would corrupt the next
+     * one.
+     */
     @Test
     void bytesOnAnIdleConnectionCloseIt() throws Exception {
         try (ScriptedServer backend =
@@ -257,7 +263,7 @@
         }
     }
 
-    /** What is on its way to a resting connection when it is taken for the next call. */
+    /** What arrives on an idle connection just before it is taken for the next request. */
     enum ConcurrentEvent {
         CLOSE {
             @Override
@@ -290,7 +296,9 @@
         abstract void trigger(HttpConnection connection, ScriptedServer backend) throws Exception;
     }
 
-    /** The loop has not heard of it yet, as it takes the connection in the same turn. */
+    /**
+     * The event loop has not seen the input yet, as it takes the connection in the same iteration.
+     */
     @ParameterizedTest
     @EnumSource
     void aConnectionWithUnreadInputIsNotReused(ConcurrentEvent event) throws Exception {
@@ -326,8 +334,8 @@
     }
 
     /**
-     * It comes some milliseconds after the first, when the next call is out: on another connection,
-     * once backends were seen to send what nothing asked for.
+     * The second response arrives some milliseconds after the first, when the next request has been
+     * sent. Once a backend has sent unsolicited data, that request uses another connection.
      */
     @Test
     void aLateSecondResponseIsNotUsedForTheNextRequest() throws Exception {
@@ -355,7 +363,7 @@
         }
     }
 
-    /** Where no backend sends what nothing asked for, no connection is opened for that. */
+    /** Without unsolicited data no additional connection is opened. */
     @Test
     void connectionsAreReusedAtOnceIfAllBackendsRespondOnce() throws Exception {
         pool = pool(10_000_000, 60_000_000);
@@ -366,7 +374,6 @@
         }
     }
 
-    /** Once it has rested it is used again. */
     @Test
     void aConnectionIsReusedAfterTheReuseDelay() throws Exception {
         pool = pool(10_000_000, 1_000);
@@ -390,7 +397,7 @@
         }
     }
 
-    /** Without a length only the peer's own end of the connection is the end of an answer. */
+    /** A response without a length ends only with an orderly close by the peer. */
     @Test
     void aResetDoesNotCompleteAResponse() throws Exception {
         CountDownLatch read = new CountDownLatch(1);
@@ -410,7 +417,9 @@
         }
     }
 
-    /** The answer without a length ends the connection, so the next call must not go out on it. */
+    /**
+     * The close of the connection ended the response, so the next request must not be sent on it.
+     */
     @Test
     void aConnectionWhoseCloseEndedAResponseIsNotReused() throws Exception {
         try (ScriptedServer backend =
@@ -447,7 +456,10 @@
         assertEquals(Outcome.CONNECT_FAILED, sendAndAwait(nobody));
     }
 
-    /** The time-out covers connecting, and what was never written cannot have run. */
+    /**
+     * The timeout covers the connection setup, and a request that was never written cannot have
+     * run.
+     */
     @Test
     void aConnectionThatIsNeverEstablishedIsAConnectFailure() throws Exception {
         try (ServerSocket stuck = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -490,7 +502,8 @@
             send(backend.address(), false, LONG_TIMEOUT_US);
             assertEquals(Outcome.NOT_SENT, awaitOutcome());
             assertEquals(Outcome.OK, sendAndAwait(backend.address()));
-            assertEquals(1, backend.connections.get(), "the connection is kept for the next call");
+            assertEquals(
+                    1, backend.connections.get(), "the connection is kept for the next request");
             assertEquals(1, backend.received.size());
         }
     }
@@ -504,7 +517,9 @@
         }
     }
 
-    /** A kept connection that the backend ends on the next request: that request may have run. */
+    /**
+     * An idle connection that the backend closes on the next request: that request may have run.
+     */
     @Test
     void aStaleConnectionIsAResetAndTheRequestIsNotResent() throws Exception {
         try (ScriptedServer backend =
--- a/src/test/java/passhatch/proxy/client/AcceptRetryTest.java
+++ b/src/test/java/passhatch/proxy/client/AcceptRetryTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.Timeout;
 import passhatch.proxy.base.EventLog;
 
-/** What waits at the listener after an accept has failed. */
+/** Tests that connections are accepted soon after an accept has failed. */
 @Timeout(20)
 final class AcceptRetryTest {
 
-    /** A request with the shortest deadline, 0.15 s, is not to be late for this. */
+    /** The shortest deadline of a request is 0.15 s; waiting for the accept must not exceed it. */
     private static final long MAX_DELAY_MS = 150;
 
     @Test
@@ -57,7 +57,9 @@
                                 listener.pipeline()
                                         .fireExceptionCaught(
                                                 new IOException("Too many open files"));
-                                assertFalse(listener.config().isAutoRead(), "it would spin");
+                                assertFalse(
+                                        listener.config().isAutoRead(),
+                                        "accepting must pause, or the loop spins");
                             })
                     .sync();
             InetSocketAddress at = (InetSocketAddress) listener.localAddress();
