--- a/src/main/java/passhatch/lab/LabLog.java
+++ b/src/main/java/passhatch/lab/LabLog.java
@@ -11,25 +11,25 @@
 /** Where the tools' own log goes: one line of JSON an event. */
 public final class LabLog {
 
-    private static final String APPENDER = "file";
+    private static final String APPENDER_NAME = "file";
 
     private LabLog() {}
 
     /** Sends it to a file from now on, instead of the one before. */
-    public static void to(Path file) {
+    public static void redirectTo(Path file) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         var root = context.getLogger(Logger.ROOT_LOGGER_NAME);
-        var before = root.getAppender(APPENDER);
-        if (before != null) {
-            root.detachAppender(before);
-            before.stop();
+        var previous = root.getAppender(APPENDER_NAME);
+        if (previous != null) {
+            root.detachAppender(previous);
+            previous.stop();
         }
         JsonEncoder encoder = new JsonEncoder();
         encoder.setContext(context);
         encoder.start();
         FileAppender<ILoggingEvent> appender = new FileAppender<>();
         appender.setContext(context);
-        appender.setName(APPENDER);
+        appender.setName(APPENDER_NAME);
         appender.setFile(file.toString());
         appender.setEncoder(encoder);
         appender.start();
--- a/src/main/java/passhatch/lab/Main.java
+++ b/src/main/java/passhatch/lab/Main.java
@@ -17,10 +17,10 @@
     /** Runs the command and exits with its status. */
     public static void main(String[] args) {
         System.setProperty("java.awt.headless", "true");
-        System.exit(line().execute(args));
+        System.exit(commandLine().execute(args));
     }
 
-    static CommandLine line() {
+    static CommandLine commandLine() {
         return Commands.oneLineErrors(
                 Commands.commandLine()
                         .addSubcommand(DrillCommand.line())
--- a/src/main/java/passhatch/lab/ProgramJar.java
+++ b/src/main/java/passhatch/lab/ProgramJar.java
@@ -8,7 +8,7 @@
 /** The packaged program that the tools start as processes. */
 public final class ProgramJar {
 
-    private static final String NAME = "passhatch.jar";
+    private static final String FILE_NAME = "passhatch.jar";
 
     private ProgramJar() {}
 
@@ -18,7 +18,7 @@
      * @throws InvalidInputException where there is no such file
      */
     public static Path find(Path given) {
-        Path jar = given != null ? given : besideThis();
+        Path jar = given != null ? given : besideLabJar();
         if (!Files.isRegularFile(jar)) {
             throw new InvalidInputException(
                     jar + ": there is no such program; build it, or name it with --jar");
@@ -26,18 +26,18 @@
         return jar.toAbsolutePath();
     }
 
-    private static Path besideThis() {
+    private static Path besideLabJar() {
         try {
-            Path own =
+            Path labJar =
                     Path.of(
                             ProgramJar.class
                                     .getProtectionDomain()
                                     .getCodeSource()
                                     .getLocation()
                                     .toURI());
-            return own.resolveSibling(NAME);
-        } catch (URISyntaxException cannotBe) {
-            throw new IllegalStateException(cannotBe);
+            return labJar.resolveSibling(FILE_NAME);
+        } catch (URISyntaxException impossible) {
+            throw new IllegalStateException(impossible);
         }
     }
 }
--- a/src/main/java/passhatch/lab/StoreBench.java
+++ b/src/main/java/passhatch/lab/StoreBench.java
@@ -34,7 +34,7 @@
                 "Measures the store's writing and recovery in a new folder, which is left there.")
 final class StoreBench implements Callable<Integer> {
 
-    private static final int PLAIN_ROUNDS = 200;
+    private static final int PLAIN_WRITES = 200;
     private static final int OPENINGS = 15;
 
     @Spec private CommandSpec spec;
@@ -69,72 +69,72 @@
         out.printf(
                 Locale.ROOT,
                 "plain write and force of one record: %.0f records a second%n",
-                plain());
+                measurePlainWrites());
         out.printf(
                 Locale.ROOT,
                 "group commit, %d threads: %.0f records a second%n",
                 threads,
-                grouped());
-        Histogram us = openings();
+                measureGroupCommit());
+        Histogram openTimesUs = measureOpenings();
         out.printf(
                 Locale.ROOT,
                 "opening a store of %.1f MiB, %d times: median %.1f ms, worst %.1f ms%n",
                 storeBytes() / 1048576.0,
                 OPENINGS,
-                us.getValueAtPercentile(50) / 1e3,
-                us.getMaxValue() / 1e3);
+                openTimesUs.getValueAtPercentile(50) / 1e3,
+                openTimesUs.getMaxValue() / 1e3);
         out.flush();
         return 0;
     }
 
-    private double plain() throws IOException, StoreException {
+    private double measurePlainWrites() throws IOException, StoreException {
         try (FolderDisk disk = FolderDisk.open(folder.resolve("plain"))) {
             disk.create("file");
-            long beganNs = System.nanoTime();
-            for (int i = 0; i < PLAIN_ROUNDS; i++) {
+            long startNs = System.nanoTime();
+            for (int i = 0; i < PLAIN_WRITES; i++) {
                 disk.append("file", ByteBuffer.allocate(bytes));
                 disk.force("file");
             }
-            return PLAIN_ROUNDS / ((System.nanoTime() - beganNs) / 1e9);
+            return PLAIN_WRITES / ((System.nanoTime() - startNs) / 1e9);
         }
     }
 
-    private double grouped() throws IOException, StoreException, InterruptedException {
-        try (GroupCommit group =
+    private double measureGroupCommit() throws IOException, StoreException, InterruptedException {
+        try (GroupCommit groupCommit =
                 new GroupCommit(
                         RecordLog.open(
                                 FolderDisk.open(folder.resolve("store")), "bench", e -> {}))) {
-            long beganNs = System.nanoTime();
+            long startNs = System.nanoTime();
             List<Thread> writers = new ArrayList<>();
             for (int t = 0; t < threads; t++) {
-                writers.add(new Thread(() -> write(group)));
+                writers.add(new Thread(() -> writeRecords(groupCommit)));
             }
             writers.forEach(Thread::start);
             for (Thread writer : writers) {
                 writer.join();
             }
-            return (double) (records / threads * threads) / ((System.nanoTime() - beganNs) / 1e9);
+            return (double) (records / threads * threads) / ((System.nanoTime() - startNs) / 1e9);
         }
     }
 
-    private void write(GroupCommit group) {
+    private void writeRecords(GroupCommit groupCommit) {
         try {
             for (int i = 0; i < records / threads; i++) {
-                group.submit(new Entry(1, new byte[bytes])).join();
+                groupCommit.submit(new Entry(1, new byte[bytes])).join();
             }
-        } catch (InterruptedException stop) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private Histogram openings() throws IOException, StoreException {
-        Histogram us = new Histogram(TimeUnit.MINUTES.toMicros(1), 3);
+    private Histogram measureOpenings() throws IOException, StoreException {
+        Histogram openTimesUs = new Histogram(TimeUnit.MINUTES.toMicros(1), 3);
         for (int i = 0; i < OPENINGS; i++) {
-            long beganNs = System.nanoTime();
+            long startNs = System.nanoTime();
             RecordLog.open(FolderDisk.open(folder.resolve("store")), "bench", e -> {}).close();
-            us.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - beganNs));
+            openTimesUs.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNs));
         }
-        return us;
+        return openTimesUs;
     }
 
     private long storeBytes() throws IOException {
--- a/src/main/java/passhatch/lab/disk/FaultyDisk.java
+++ b/src/main/java/passhatch/lab/disk/FaultyDisk.java
@@ -40,49 +40,49 @@
     }
 
     /** A file's bytes, with those that are on disk for sure apart from writes that are not. */
-    private static final class Content {
-        byte[] sure = {};
+    private static final class FileState {
+        byte[] durableBytes = {};
 
         /** Writes and cuts since the last force, by their place; a cut has no bytes. */
-        final List<Change> unsure = new ArrayList<>();
+        final List<ContentChange> unforcedChanges = new ArrayList<>();
 
-        byte[] now() {
-            byte[] all = sure;
-            for (Change c : unsure) {
-                all = c.applied(all, c.bytes.length);
+        byte[] currentBytes() {
+            byte[] bytes = durableBytes;
+            for (ContentChange change : unforcedChanges) {
+                bytes = change.applyTo(bytes, change.bytes.length);
             }
-            return all;
+            return bytes;
         }
     }
 
     /** A write at a place, or a cut down to it. */
-    private record Change(int at, byte[] bytes, boolean cut) {
-        byte[] applied(byte[] to, int length) {
-            if (cut) {
-                return Arrays.copyOf(to, Math.min(to.length, at));
+    private record ContentChange(int offset, byte[] bytes, boolean truncates) {
+        byte[] applyTo(byte[] contents, int length) {
+            if (truncates) {
+                return Arrays.copyOf(contents, Math.min(contents.length, offset));
             }
-            byte[] all = Arrays.copyOf(to, Math.max(to.length, at + length));
-            System.arraycopy(bytes, 0, all, at, length);
-            return all;
+            byte[] changed = Arrays.copyOf(contents, Math.max(contents.length, offset + length));
+            System.arraycopy(bytes, 0, changed, offset, length);
+            return changed;
         }
     }
 
     /** A change of names: a file appears under a name, or none does. */
-    private record Naming(String name, Content content) {}
+    private record NameChange(String name, FileState file) {}
 
-    private final Map<String, Content> files = new TreeMap<>();
-    private final Map<String, Content> sureNames = new TreeMap<>();
+    private final Map<String, FileState> files = new TreeMap<>();
+    private final Map<String, FileState> durableNames = new TreeMap<>();
 
     /**
      * Changes of names that belong together, as a rename's two, since the last force of the folder.
      */
-    private final List<List<Naming>> unsureNames = new ArrayList<>();
+    private final List<List<NameChange>> unforcedNameChanges = new ArrayList<>();
 
     private final long capacity;
-    private long faultAt = -1;
+    private long faultCall = -1;
     private Fault fault = Fault.NONE;
-    private boolean forgetfulForce;
-    private long calls;
+    private boolean ignoreForce;
+    private long changingCalls;
 
     /** An empty disk that holds so many bytes. */
     public FaultyDisk(long capacity) {
@@ -90,115 +90,115 @@
     }
 
     /** What happens at the k-th call that changes something from now on, counted from 0. */
-    public void faultAt(long k, Fault what) {
-        faultAt = calls + k;
-        fault = what;
+    public void injectFaultAt(long callIndex, Fault newFault) {
+        faultCall = changingCalls + callIndex;
+        fault = newFault;
     }
 
     /** Calls that changed something so far. */
-    public long calls() {
-        return calls;
+    public long changingCalls() {
+        return changingCalls;
     }
 
     /**
      * Whether forcing does nothing though it says so: to see that a test would notice one left out.
      */
-    public void forgetfulForce(boolean on) {
-        forgetfulForce = on;
+    public void ignoreForce(boolean ignore) {
+        ignoreForce = ignore;
     }
 
     /** What is there after the power was lost: another disk, by the draws of a stream. */
     public FaultyDisk afterPowerLoss(UniformRandomProvider random) {
-        Map<String, Content> names = new HashMap<>(sureNames);
-        int kept = random.nextInt(unsureNames.size() + 1);
-        for (List<Naming> change : unsureNames.subList(0, kept)) {
-            for (Naming n : change) {
-                if (n.content() == null) {
-                    names.remove(n.name());
+        Map<String, FileState> names = new HashMap<>(durableNames);
+        int survivingChanges = random.nextInt(unforcedNameChanges.size() + 1);
+        for (List<NameChange> change : unforcedNameChanges.subList(0, survivingChanges)) {
+            for (NameChange nameChange : change) {
+                if (nameChange.file() == null) {
+                    names.remove(nameChange.name());
                 } else {
-                    names.put(n.name(), n.content());
+                    names.put(nameChange.name(), nameChange.file());
                 }
             }
         }
-        FaultyDisk left = new FaultyDisk(capacity);
-        names.forEach((name, content) -> left.put(name, survivor(content, random)));
-        return left;
+        FaultyDisk survivor = new FaultyDisk(capacity);
+        names.forEach((name, file) -> survivor.putDurable(name, survivingBytes(file, random)));
+        return survivor;
     }
 
-    private static byte[] survivor(Content content, UniformRandomProvider random) {
-        byte[] all = content.sure;
-        int way = random.nextInt(4);
-        for (Change c : content.unsure) {
+    private static byte[] survivingBytes(FileState file, UniformRandomProvider random) {
+        byte[] bytes = file.durableBytes;
+        int mode = random.nextInt(4);
+        for (ContentChange change : file.unforcedChanges) {
             // All of them, none, or each by itself: with the last alone the ends would hardly ever
             // be seen.
-            boolean survives = way == 0 || way != 1 && random.nextBoolean();
+            boolean survives = mode == 0 || mode != 1 && random.nextBoolean();
             if (survives) {
                 int length =
-                        way >= 2 && random.nextBoolean()
-                                ? random.nextInt(c.bytes.length + 1)
-                                : c.bytes.length;
-                all = c.applied(all, length);
+                        mode >= 2 && random.nextBoolean()
+                                ? random.nextInt(change.bytes.length + 1)
+                                : change.bytes.length;
+                bytes = change.applyTo(bytes, length);
             }
         }
-        return all;
+        return bytes;
     }
 
-    private void put(String name, byte[] bytes) {
-        Content content = new Content();
-        content.sure = bytes;
-        files.put(name, content);
-        sureNames.put(name, content);
+    private void putDurable(String name, byte[] bytes) {
+        FileState file = new FileState();
+        file.durableBytes = bytes;
+        files.put(name, file);
+        durableNames.put(name, file);
     }
 
     /** Another disk with all that is there now, as if it had been forced. */
     public FaultyDisk copy() {
         FaultyDisk copy = new FaultyDisk(capacity);
-        files.forEach((name, content) -> copy.put(name, content.now().clone()));
+        files.forEach((name, file) -> copy.putDurable(name, file.currentBytes().clone()));
         return copy;
     }
 
     /** Flips one bit of a file. */
-    public void flip(String name, int at, int bit) {
-        byte[] bytes = files.get(name).now().clone();
-        bytes[at] ^= (byte) (1 << bit);
-        put(name, bytes);
+    public void flipBit(String name, int offset, int bit) {
+        byte[] bytes = files.get(name).currentBytes().clone();
+        bytes[offset] ^= (byte) (1 << bit);
+        putDurable(name, bytes);
     }
 
     /** Puts any bytes in the place of a file. */
     public void overwrite(String name, byte[] bytes) {
-        put(name, bytes.clone());
+        putDurable(name, bytes.clone());
     }
 
     // ---- the disk
 
     /** The body of a call. */
-    private interface Body {
+    private interface Operation {
         void run() throws IOException;
     }
 
-    private void call(Body body) throws IOException {
-        Fault now = calls++ == faultAt ? fault : Fault.NONE;
-        if (now == Fault.STOP_BEFORE) {
+    private void runWithFault(Operation operation) throws IOException {
+        Fault current = changingCalls++ == faultCall ? fault : Fault.NONE;
+        if (current == Fault.STOP_BEFORE) {
             throw new Stopped();
         }
-        if (now == Fault.ERROR) {
+        if (current == Fault.ERROR) {
             throw new IOException("Input/output error");
         }
-        body.run();
-        if (now == Fault.STOP_AFTER) {
+        operation.run();
+        if (current == Fault.STOP_AFTER) {
             throw new Stopped();
         }
-        if (now == Fault.TORN_ERROR) {
+        if (current == Fault.TORN_ERROR) {
             throw new IOException("Input/output error");
         }
     }
 
-    private Content file(String name) throws IOException {
-        Content content = files.get(name);
-        if (content == null) {
+    private FileState file(String name) throws IOException {
+        FileState file = files.get(name);
+        if (file == null) {
             throw new FileNotFoundException(name);
         }
-        return content;
+        return file;
     }
 
     @Override
@@ -208,46 +208,57 @@
 
     @Override
     public long size(String name) throws IOException {
-        return file(name).now().length;
+        return file(name).currentBytes().length;
     }
 
     @Override
-    public byte[] read(String name, int most) throws IOException {
-        byte[] now = file(name).now();
-        if (now.length > most) {
+    public byte[] read(String name, int maxBytes) throws IOException {
+        byte[] bytes = file(name).currentBytes();
+        if (bytes.length > maxBytes) {
             throw new IOException(
-                    name + " has " + now.length + " bytes, and at most " + most + " are read");
+                    name
+                            + " has "
+                            + bytes.length
+                            + " bytes, and at most "
+                            + maxBytes
+                            + " are read");
         }
-        return now.clone();
+        return bytes.clone();
     }
 
     @Override
     public void create(String name) throws IOException {
-        call(
+        runWithFault(
                 () -> {
                     if (files.containsKey(name)) {
                         throw new FileAlreadyExistsException(name);
                     }
-                    Content content = new Content();
-                    files.put(name, content);
-                    unsureNames.add(List.of(new Naming(name, content)));
+                    FileState file = new FileState();
+                    files.put(name, file);
+                    unforcedNameChanges.add(List.of(new NameChange(name, file)));
                 });
     }
 
     @Override
     public void append(String name, ByteBuffer bytes) throws IOException {
-        boolean torn = fault == Fault.TORN_ERROR && calls == faultAt;
-        call(
+        boolean torn = fault == Fault.TORN_ERROR && changingCalls == faultCall;
+        runWithFault(
                 () -> {
-                    Content content = file(name);
-                    byte[] all = new byte[bytes.remaining()];
-                    bytes.get(all);
-                    long used = files.values().stream().mapToLong(c -> c.now().length).sum();
-                    int fits = (int) Math.min(all.length, capacity - used);
-                    int written = torn ? fits / 2 : fits;
-                    content.unsure.add(
-                            new Change(content.now().length, Arrays.copyOf(all, written), false));
-                    if (fits < all.length) {
+                    FileState file = file(name);
+                    byte[] appended = new byte[bytes.remaining()];
+                    bytes.get(appended);
+                    long used =
+                            files.values().stream()
+                                    .mapToLong(other -> other.currentBytes().length)
+                                    .sum();
+                    int fitting = (int) Math.min(appended.length, capacity - used);
+                    int written = torn ? fitting / 2 : fitting;
+                    file.unforcedChanges.add(
+                            new ContentChange(
+                                    file.currentBytes().length,
+                                    Arrays.copyOf(appended, written),
+                                    false));
+                    if (fitting < appended.length) {
                         throw new IOException("No space left on device");
                     }
                 });
@@ -255,51 +266,56 @@
 
     @Override
     public void force(String name) throws IOException {
-        call(
+        runWithFault(
                 () -> {
-                    Content content = file(name);
-                    if (!forgetfulForce) {
-                        content.sure = content.now();
-                        content.unsure.clear();
+                    FileState file = file(name);
+                    if (!ignoreForce) {
+                        file.durableBytes = file.currentBytes();
+                        file.unforcedChanges.clear();
                     }
                 });
     }
 
     @Override
     public void forceFolder() throws IOException {
-        call(
+        runWithFault(
                 () -> {
-                    if (!forgetfulForce) {
-                        sureNames.clear();
-                        sureNames.putAll(files);
-                        unsureNames.clear();
+                    if (!ignoreForce) {
+                        durableNames.clear();
+                        durableNames.putAll(files);
+                        unforcedNameChanges.clear();
                     }
                 });
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        call(
+        runWithFault(
                 () -> {
-                    Content content = file(from);
+                    FileState file = file(from);
                     files.remove(from);
-                    files.put(to, content);
-                    unsureNames.add(List.of(new Naming(from, null), new Naming(to, content)));
+                    files.put(to, file);
+                    unforcedNameChanges.add(
+                            List.of(new NameChange(from, null), new NameChange(to, file)));
                 });
     }
 
     @Override
     public void truncate(String name, long size) throws IOException {
-        call(() -> file(name).unsure.add(new Change((int) size, new byte[0], true)));
+        runWithFault(
+                () ->
+                        file(name)
+                                .unforcedChanges
+                                .add(new ContentChange((int) size, new byte[0], true)));
     }
 
     @Override
     public void delete(String name) throws IOException {
-        call(
+        runWithFault(
                 () -> {
                     file(name);
                     files.remove(name);
-                    unsureNames.add(List.of(new Naming(name, null)));
+                    unforcedNameChanges.add(List.of(new NameChange(name, null)));
                 });
     }
 
--- a/src/main/java/passhatch/lab/drill/AgentField.java
+++ b/src/main/java/passhatch/lab/drill/AgentField.java
@@ -39,7 +39,7 @@
         this.relay = new UdpRelay(names.size(), new Seeds(seed).stream("relay"));
         for (int i = 0; i < names.size(); i++) {
             agents.add(new AgentChild(jar, folder.resolve("agent-" + i), names.get(i)));
-            relay.listens(i, agents.get(i).listen());
+            relay.setListenAddress(i, agents.get(i).listen());
         }
         for (int i = 0; i < names.size(); i++) {
             agents.get(i).configure(relay.peersOf(i), relay.peersOf(i).get(i), more.apply(i));
--- a/src/main/java/passhatch/lab/drill/ChangesField.java
+++ b/src/main/java/passhatch/lab/drill/ChangesField.java
@@ -46,7 +46,7 @@
         relay = new UdpRelay(size, new Seeds(seed).stream("changes"));
         for (int i = 0; i < size; i++) {
             listen.add(Local.freeUdpPort());
-            relay.listens(i, listen.get(i));
+            relay.setListenAddress(i, listen.get(i));
         }
         List<String> names = IntStream.range(0, size).mapToObj(i -> "m" + i).toList();
         field = new AgentField(jar, folder, names, seed, this::configuration);
--- a/src/main/java/passhatch/lab/drill/Drill.java
+++ b/src/main/java/passhatch/lab/drill/Drill.java
@@ -15,10 +15,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import passhatch.lab.Seeds;
-import passhatch.lab.load.Front;
-import passhatch.lab.load.Load;
+import passhatch.lab.load.LoadGenerator;
 import passhatch.lab.load.LoadPlan;
-import passhatch.lab.load.Tally;
+import passhatch.lab.load.LoadStats;
+import passhatch.lab.load.ProxyPool;
 
 /** Runs a scenario once, from the first start to the last process's end. */
 final class Drill {
@@ -93,9 +93,9 @@
                 "all-ready",
                 "after_ms",
                 TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs));
-        Front front = new Front(field.proxies.stream().map(ProxyChild::listen).toList());
+        ProxyPool front = new ProxyPool(field.proxies.stream().map(ProxyChild::listen).toList());
         for (ProxyChild proxy : field.proxies) {
-            front.admit(proxy.number(), true);
+            front.setAdmitted(proxy.number(), true);
             events.add("started", "target", proxy.name(), "pid", proxy.child().pid());
         }
         List<FaultPlan.Step> steps = FaultPlan.of(scenario);
@@ -104,22 +104,22 @@
                 scenario.load().rate(),
                 scenario.duration(),
                 steps.size());
-        try (Load load = new Load(plan(), front, seeds)) {
+        try (LoadGenerator load = new LoadGenerator(plan(), front, seeds)) {
             long beginNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LEAD_MS);
             events.zero(beginNs);
             new FaultRunner(scenario, field, front, events, timer).schedule(steps, beginNs);
-            load.begin(beginNs);
+            load.start(beginNs);
             var reports =
                     timer.scheduleAtFixedRate(
                             () ->
                                     progress.accept(
                                             TimeUnit.NANOSECONDS.toMillis(
                                                     System.nanoTime() - beginNs),
-                                            load.soFar()),
+                                            load.completedAndServed()),
                             0,
                             PROGRESS_MS,
                             TimeUnit.MILLISECONDS);
-            Tally tally = load.await();
+            LoadStats tally = load.await();
             reports.cancel(false);
             events.add("load-ended", "offered", tally.offered());
             for (ProxyChild proxy : field.proxies) {
@@ -156,7 +156,7 @@
                 scenario.classes().stream()
                         .map(
                                 k ->
-                                        new LoadPlan.Kind(
+                                        new LoadPlan.RequestClass(
                                                 k.name(),
                                                 k.effect(),
                                                 k.share(),
--- a/src/main/java/passhatch/lab/drill/DrillCommand.java
+++ b/src/main/java/passhatch/lab/drill/DrillCommand.java
@@ -99,7 +99,7 @@
                 Path folder =
                         out.resolve(scenario.name()).resolve(String.valueOf(i)).toAbsolutePath();
                 clear(folder);
-                LabLog.to(folder.resolve("lab.jsonl"));
+                LabLog.redirectTo(folder.resolve("lab.jsonl"));
                 holds &=
                         report(
                                 run(new Drill(scenario, program, folder, options), scenario),
--- a/src/main/java/passhatch/lab/drill/FaultRunner.java
+++ b/src/main/java/passhatch/lab/drill/FaultRunner.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiPredicate;
-import passhatch.lab.load.Front;
+import passhatch.lab.load.ProxyPool;
 import passhatch.lab.standin.BackendServer;
 import passhatch.lab.standin.DiscoveryServer;
-import passhatch.lab.standin.UdpRelay.Weather;
+import passhatch.lab.standin.UdpRelay.NetworkConditions;
 
 /**
  * Does the steps of a fault plan to what a drill has running; each is written down with its time.
@@ -18,16 +18,16 @@
 
     private final Scenario scenario;
     private final Field field;
-    private final Front front;
+    private final ProxyPool front;
     private final EventFile events;
     private final ScheduledExecutorService timer;
-    private Weather weather = Weather.FAIR;
+    private NetworkConditions weather = NetworkConditions.UNIMPAIRED;
 
     /** The timer has one thread: steps are done one after another, in their order. */
     FaultRunner(
             Scenario scenario,
             Field field,
-            Front front,
+            ProxyPool front,
             EventFile events,
             ScheduledExecutorService timer) {
         this.scenario = scenario;
@@ -76,7 +76,7 @@
         int number = proxy.number();
         switch (kind) {
             case KILL -> {
-                front.hurt(number, true);
+                front.setFaulty(number, true);
                 proxy.remember(field.discovery.snapshot());
                 signal(proxy, "KILL");
                 noticed(number);
@@ -86,14 +86,14 @@
                 noticed(number);
             }
             case STOP -> {
-                front.hurt(number, true);
+                front.setFaulty(number, true);
                 signal(proxy, "STOP");
                 noticed(number);
             }
             case CONT -> {
                 signal(proxy, "CONT");
-                front.hurt(number, false);
-                front.admit(number, true);
+                front.setFaulty(number, false);
+                front.setAdmitted(number, true);
             }
             default -> start(proxy);
         }
@@ -109,7 +109,7 @@
     /** The front stops sending to it some time later. */
     private void noticed(int number) {
         timer.schedule(
-                () -> front.admit(number, false),
+                () -> front.setAdmitted(number, false),
                 scenario.load().detect().toNanos(),
                 TimeUnit.NANOSECONDS);
     }
@@ -151,8 +151,8 @@
                                             "after_ms",
                                             TimeUnit.NANOSECONDS.toMillis(
                                                     System.nanoTime() - startedNs));
-                                    front.hurt(proxy.number(), false);
-                                    front.admit(proxy.number(), true);
+                                    front.setFaulty(proxy.number(), false);
+                                    front.setAdmitted(proxy.number(), true);
                                 } else {
                                     events.add(
                                             "not-ready",
@@ -175,11 +175,11 @@
     private void backend(FaultPlan.Step step, BackendServer backend) throws IOException {
         double share = step.of().share();
         switch (step.kind()) {
-            case SLOW -> backend.health(BackendServer.Health.SLOW, step.of().factor());
-            case HANG -> backend.health(BackendServer.Health.HUNG, 1);
-            case FAIL -> backend.health(BackendServer.Health.FAILING, share);
-            case RESET -> backend.health(BackendServer.Health.RESETTING, share);
-            case WELL -> backend.health(BackendServer.Health.WELL, 0);
+            case SLOW -> backend.setHealth(BackendServer.Health.SLOW, step.of().factor());
+            case HANG -> backend.setHealth(BackendServer.Health.HUNG, 1);
+            case FAIL -> backend.setHealth(BackendServer.Health.FAILING, share);
+            case RESET -> backend.setHealth(BackendServer.Health.RESETTING, share);
+            case WELL -> backend.setHealth(BackendServer.Health.HEALTHY, 0);
             case CRASH -> {
                 backend.crash();
                 list(backend, "DELETED", 0);
@@ -199,7 +199,7 @@
     private void list(BackendServer backend, String status, long sinceMs) {
         field.discovery.update(
                 List.of(
-                        new DiscoveryServer.Entry(
+                        new DiscoveryServer.Endpoint(
                                 backend.name(), backend.address(), status, sinceMs)));
     }
 
@@ -207,15 +207,15 @@
         switch (step.kind()) {
             case DOWN -> field.discovery.down();
             case UP -> field.discovery.up();
-            case BREAK -> field.discovery.breakWatches();
-            case OVERLOAD -> field.discovery.overload(true);
-            case RELIEVE -> field.discovery.overload(false);
-            case ANSWER_LATE -> field.discovery.answerLate(step.of().by().toMillis());
-            case ANSWER_AT_ONCE -> field.discovery.answerLate(0);
-            case STALL -> field.discovery.stall(true);
-            case RESUME -> field.discovery.stall(false);
-            case TELL_LATE -> field.discovery.late(step.of().by().toMillis());
-            default -> field.discovery.late(0);
+            case BREAK -> field.discovery.closeWatches();
+            case OVERLOAD -> field.discovery.setOverloaded(true);
+            case RELIEVE -> field.discovery.setOverloaded(false);
+            case ANSWER_LATE -> field.discovery.setResponseDelay(step.of().by().toMillis());
+            case ANSWER_AT_ONCE -> field.discovery.setResponseDelay(0);
+            case STALL -> field.discovery.setStalled(true);
+            case RESUME -> field.discovery.setStalled(false);
+            case TELL_LATE -> field.discovery.setNotificationDelay(step.of().by().toMillis());
+            default -> field.discovery.setNotificationDelay(0);
         }
     }
 
@@ -223,54 +223,60 @@
     private void peers(FaultPlan.Step step) {
         double share = step.of().share();
         long us = TimeUnit.MICROSECONDS.convert(step.of().by());
-        Weather w = weather;
+        NetworkConditions w = weather;
         switch (step.kind()) {
             case LOSE ->
                     weather =
-                            new Weather(
+                            new NetworkConditions(
                                     share,
-                                    w.doubled(),
-                                    w.cut(),
-                                    w.reordered(),
+                                    w.duplicateRate(),
+                                    w.truncateRate(),
+                                    w.reorderRate(),
                                     w.delayUs(),
                                     w.jitterUs());
             case DOUBLE ->
                     weather =
-                            new Weather(
-                                    w.lost(),
+                            new NetworkConditions(
+                                    w.lossRate(),
                                     share,
-                                    w.cut(),
-                                    w.reordered(),
+                                    w.truncateRate(),
+                                    w.reorderRate(),
                                     w.delayUs(),
                                     w.jitterUs());
             case CUT ->
                     weather =
-                            new Weather(
-                                    w.lost(),
-                                    w.doubled(),
+                            new NetworkConditions(
+                                    w.lossRate(),
+                                    w.duplicateRate(),
                                     share,
-                                    w.reordered(),
+                                    w.reorderRate(),
                                     w.delayUs(),
                                     w.jitterUs());
             case REORDER ->
                     weather =
-                            new Weather(
-                                    w.lost(),
-                                    w.doubled(),
-                                    w.cut(),
+                            new NetworkConditions(
+                                    w.lossRate(),
+                                    w.duplicateRate(),
+                                    w.truncateRate(),
                                     share,
                                     w.delayUs(),
                                     w.jitterUs());
             case DELAY ->
                     weather =
-                            new Weather(w.lost(), w.doubled(), w.cut(), w.reordered(), us, us / 2);
-            case ONE_WAY, PARTITION -> field.relay.connected(connected(step));
+                            new NetworkConditions(
+                                    w.lossRate(),
+                                    w.duplicateRate(),
+                                    w.truncateRate(),
+                                    w.reorderRate(),
+                                    us,
+                                    us / 2);
+            case ONE_WAY, PARTITION -> field.relay.setConnectivity(connected(step));
             default -> {
-                weather = Weather.FAIR;
-                field.relay.connected((a, b) -> true);
+                weather = NetworkConditions.UNIMPAIRED;
+                field.relay.setConnectivity((a, b) -> true);
             }
         }
-        field.relay.weather(weather);
+        field.relay.setConditions(weather);
     }
 
     private BiPredicate<Integer, Integer> connected(FaultPlan.Step step) {
--- a/src/main/java/passhatch/lab/drill/Field.java
+++ b/src/main/java/passhatch/lab/drill/Field.java
@@ -15,7 +15,7 @@
 import passhatch.lab.Seeds;
 import passhatch.lab.standin.BackendServer;
 import passhatch.lab.standin.DiscoveryServer;
-import passhatch.lab.standin.Ledger;
+import passhatch.lab.standin.RequestLedger;
 import passhatch.lab.standin.ServiceTime;
 import passhatch.lab.standin.UdpRelay;
 
@@ -32,7 +32,7 @@
                     STAND_IN_THREADS,
                     new DefaultThreadFactory("stand-in", true),
                     NioIoHandler.newFactory());
-    final Ledger ledger = new Ledger();
+    final RequestLedger ledger = new RequestLedger();
     final DiscoveryServer discovery = new DiscoveryServer(group.next());
     final List<BackendServer> backends = new ArrayList<>();
     final List<ProxyChild> proxies = new ArrayList<>();
@@ -49,7 +49,7 @@
         Runtime.getRuntime().addShutdownHook(lastResort);
         try {
             discovery.start();
-            List<DiscoveryServer.Entry> list = new ArrayList<>();
+            List<DiscoveryServer.Endpoint> list = new ArrayList<>();
             for (int i = 1; i <= scenario.backends().count(); i++) {
                 String name = "backend-" + i;
                 BackendServer backend =
@@ -61,14 +61,14 @@
                                 seeds.stream(name));
                 backend.start();
                 backends.add(backend);
-                list.add(new DiscoveryServer.Entry(name, backend.address(), "SERVING", 0));
+                list.add(new DiscoveryServer.Endpoint(name, backend.address(), "SERVING", 0));
             }
             discovery.update(list);
             relay = new UdpRelay(scenario.proxies().count(), seeds.stream("relay"));
             var shared = new ProxyChild.Shared(jar, folder, scenario, discovery.address(), options);
             for (int i = 0; i < scenario.proxies().count(); i++) {
                 InetSocketAddress peerListen = freeDatagramPort();
-                relay.listens(i, peerListen);
+                relay.setListenAddress(i, peerListen);
                 proxies.add(new ProxyChild(i, shared, relay.peersOf(i), peerListen));
             }
         } catch (IOException | RuntimeException failed) {
@@ -77,8 +77,8 @@
         }
     }
 
-    private static BackendServer.Shape shape(Scenario.Backends b) {
-        return new BackendServer.Shape(
+    private static BackendServer.Capacity shape(Scenario.Backends b) {
+        return new BackendServer.Capacity(
                 b.cores(),
                 b.slots(),
                 b.queue(),
--- a/src/main/java/passhatch/lab/drill/Gauge.java
+++ b/src/main/java/passhatch/lab/drill/Gauge.java
@@ -8,13 +8,13 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import passhatch.lab.Seeds;
-import passhatch.lab.load.Front;
-import passhatch.lab.load.Load;
+import passhatch.lab.load.LoadGenerator;
 import passhatch.lab.load.LoadPlan;
+import passhatch.lab.load.LoadStats;
 import passhatch.lab.load.Outcome;
-import passhatch.lab.load.Tally;
+import passhatch.lab.load.ProxyPool;
 import passhatch.lab.standin.BackendServer;
-import passhatch.lab.standin.Ledger;
+import passhatch.lab.standin.RequestLedger;
 import passhatch.lab.standin.ServiceTime;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -57,10 +57,10 @@
                         threads,
                         new DefaultThreadFactory("stand-in", true),
                         NioIoHandler.newFactory());
-        Ledger ledger = new Ledger();
+        RequestLedger ledger = new RequestLedger();
         Seeds seeds = new Seeds(1);
         var shape =
-                new BackendServer.Shape(
+                new BackendServer.Capacity(
                         CONNECTIONS,
                         CONNECTIONS,
                         1 << 16,
@@ -82,12 +82,12 @@
         for (BackendServer backend : backends) {
             backend.start();
         }
-        Front front = new Front(backends.stream().map(BackendServer::address).toList());
-        backends.forEach(b -> front.admit(backends.indexOf(b), true));
+        ProxyPool front = new ProxyPool(backends.stream().map(BackendServer::address).toList());
+        backends.forEach(b -> front.setAdmitted(backends.indexOf(b), true));
         try {
             // A JVM that has just started is slow: what it gives then is not what it can give.
             give(WARM_UP, 3, front, seeds);
-            Tally tally = give(rate, seconds, front, seeds);
+            LoadStats tally = give(rate, seconds, front, seeds);
             spec.commandLine()
                     .getOut()
                     .printf(
@@ -99,8 +99,8 @@
                             tally.count(Outcome.SERVED),
                             tally.latencyUs().getValueAtPercentile(50) / 1e3,
                             tally.latencyUs().getValueAtPercentile(99) / 1e3,
-                            tally.behindUs().getValueAtPercentile(50) / 1e3,
-                            tally.behindUs().getValueAtPercentile(99) / 1e3);
+                            tally.sendDelayUs().getValueAtPercentile(50) / 1e3,
+                            tally.sendDelayUs().getValueAtPercentile(99) / 1e3);
             return tally.count(Outcome.SERVED) == tally.offered() ? 0 : 1;
         } finally {
             backends.forEach(BackendServer::close);
@@ -108,7 +108,7 @@
         }
     }
 
-    private Tally give(double perSecond, int forSeconds, Front front, Seeds seeds)
+    private LoadStats give(double perSecond, int forSeconds, ProxyPool front, Seeds seeds)
             throws InterruptedException {
         LoadPlan plan =
                 new LoadPlan(
@@ -118,9 +118,11 @@
                         0,
                         CONNECTIONS,
                         threads,
-                        List.of(new LoadPlan.Kind("look", LoadPlan.Effect.SAFE, 1, 1_000_000)));
-        try (Load load = new Load(plan, front, seeds)) {
-            load.begin(System.nanoTime());
+                        List.of(
+                                new LoadPlan.RequestClass(
+                                        "look", LoadPlan.Effect.SAFE, 1, 1_000_000)));
+        try (LoadGenerator load = new LoadGenerator(plan, front, seeds)) {
+            load.start(System.nanoTime());
             return load.await();
         }
     }
--- a/src/main/java/passhatch/lab/drill/Judge.java
+++ b/src/main/java/passhatch/lab/drill/Judge.java
@@ -7,9 +7,9 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
+import passhatch.lab.load.LoadStats;
 import passhatch.lab.load.Outcome;
-import passhatch.lab.load.Tally;
-import passhatch.lab.standin.Ledger;
+import passhatch.lab.standin.RequestLedger;
 
 /** Works out a drill's result from what was counted, and whether all that was expected holds. */
 final class Judge {
@@ -18,7 +18,7 @@
     private static final double BACK = 0.95;
 
     /** Steps that are looked at together, so that few requests do not make a chance result. */
-    private static final int WINDOW_STEPS = 1_000 / Tally.STEP_MS;
+    private static final int WINDOW_STEPS = 1_000 / LoadStats.STEP_MS;
 
     private static final double[] QUANTILES = {50, 90, 99, 99.9, 100};
 
@@ -26,8 +26,8 @@
 
     static Result judge(
             Scenario scenario,
-            Tally tally,
-            Ledger ledger,
+            LoadStats tally,
+            RequestLedger ledger,
             List<FaultPlan.Step> steps,
             Map<String, Double> readyMs) {
         Map<String, Long> counts = new LinkedHashMap<>();
@@ -35,16 +35,16 @@
         for (Outcome outcome : Outcome.values()) {
             counts.put(outcome.name().toLowerCase(Locale.ROOT), tally.count(outcome));
         }
-        counts.put("client_retries", tally.retries());
+        counts.put("client_retries", tally.clientRetries());
         counts.put("attempts", ledger.attempts());
         counts.put("duplicates", ledger.duplicates());
-        counts.put("too_often", ledger.tooOften());
-        counts.put("after_drain", ledger.drainBroken());
+        counts.put("too_often", ledger.requestsOverMaxAttempts());
+        counts.put("after_drain", ledger.attemptsAfterDrain());
         double share =
                 tally.offered() == 0 ? 0 : (double) tally.count(Outcome.SERVED) / tally.offered();
         List<Result.Recovery> recoveries = recoveries(tally, steps, scenario.duration());
         Map<String, Double> latency = quantiles(tally.latencyUs());
-        Map<String, Double> behind = quantiles(tally.behindUs());
+        Map<String, Double> behind = quantiles(tally.sendDelayUs());
         double bound = millis(scenario.load().behind());
         String invalid =
                 behind.get("p99") <= bound
@@ -88,7 +88,7 @@
     }
 
     private static List<Result.Recovery> recoveries(
-            Tally tally, List<FaultPlan.Step> steps, Duration end) {
+            LoadStats tally, List<FaultPlan.Step> steps, Duration end) {
         List<Result.Recovery> all = new ArrayList<>();
         List<FaultPlan.Step> harms = steps.stream().filter(s -> !s.kind().undoes()).toList();
         for (int i = 0; i < harms.size(); i++) {
@@ -114,15 +114,15 @@
      * Time from a fault to the end of the last window before the next one in which too few were
      * served.
      */
-    static Long recovery(List<Tally.Step> steps, long atMs, long untilMs) {
-        int first = (int) (atMs / Tally.STEP_MS);
-        int last = (int) Math.min(steps.size(), untilMs / Tally.STEP_MS);
+    static Long recovery(List<LoadStats.Step> steps, long atMs, long untilMs) {
+        int first = (int) (atMs / LoadStats.STEP_MS);
+        int last = (int) Math.min(steps.size(), untilMs / LoadStats.STEP_MS);
         int lastBad = -1;
         for (int i = first; i < last; i++) {
             int from = Math.max(first, i - WINDOW_STEPS + 1);
             int offered = 0;
             int served = 0;
-            for (Tally.Step step : steps.subList(from, i + 1)) {
+            for (LoadStats.Step step : steps.subList(from, i + 1)) {
                 offered += step.offered();
                 served += step.count(Outcome.SERVED);
             }
@@ -134,7 +134,7 @@
         if (lastBad < 0) {
             return 0L;
         }
-        return lastBad == last - 1 ? null : (lastBad + 1) * (long) Tally.STEP_MS - atMs;
+        return lastBad == last - 1 ? null : (lastBad + 1) * (long) LoadStats.STEP_MS - atMs;
     }
 
     private static List<String> broken(
--- a/src/main/java/passhatch/lab/drill/ReportPage.java
+++ b/src/main/java/passhatch/lab/drill/ReportPage.java
@@ -16,8 +16,8 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.markers.SeriesMarkers;
+import passhatch.lab.load.LoadStats;
 import passhatch.lab.load.Outcome;
-import passhatch.lab.load.Tally;
 
 /**
  * The report of a run as one HTML file: rates, latency and faults on one time axis, and the result.
@@ -30,7 +30,11 @@
     private ReportPage() {}
 
     static void write(
-            Path file, Scenario scenario, Result result, Tally tally, List<EventFile.Event> events)
+            Path file,
+            Scenario scenario,
+            Result result,
+            LoadStats tally,
+            List<EventFile.Event> events)
             throws IOException {
         StringBuilder page =
                 new StringBuilder("<!doctype html><meta charset=utf-8><title>")
@@ -97,9 +101,9 @@
         page.append("</table>");
     }
 
-    private static XYChart rates(Tally tally, List<Double> marks) {
+    private static XYChart rates(LoadStats tally, List<Double> marks) {
         XYChart chart = chart("requests a second");
-        double perSecond = 1_000.0 / Tally.STEP_MS;
+        double perSecond = 1_000.0 / LoadStats.STEP_MS;
         add(chart, "offered", tally, s -> s.offered() * perSecond, Color.LIGHT_GRAY);
         add(chart, "served", tally, s -> s.count(Outcome.SERVED) * perSecond, new Color(0x2a7f3f));
         add(chart, "late", tally, s -> s.count(Outcome.LATE) * perSecond, new Color(0xd9a400));
@@ -124,7 +128,7 @@
         return chart;
     }
 
-    private static XYChart latency(Tally tally, List<Double> marks) {
+    private static XYChart latency(LoadStats tally, List<Double> marks) {
         XYChart chart = chart("latency, ms");
         add(
                 chart,
@@ -163,13 +167,13 @@
     private static void add(
             XYChart chart,
             String name,
-            Tally tally,
-            ToDoubleFunction<Tally.Step> value,
+            LoadStats tally,
+            ToDoubleFunction<LoadStats.Step> value,
             Color color) {
         List<Double> x = new ArrayList<>();
         List<Double> y = new ArrayList<>();
         for (int i = 0; i < tally.steps().size(); i++) {
-            x.add((i + 0.5) * Tally.STEP_MS / 1e3);
+            x.add((i + 0.5) * LoadStats.STEP_MS / 1e3);
             y.add(value.applyAsDouble(tally.steps().get(i)));
         }
         if (!x.isEmpty()) {
--- a/src/main/java/passhatch/lab/drill/Scenario.java
+++ b/src/main/java/passhatch/lab/drill/Scenario.java
@@ -44,7 +44,7 @@
             @JsonProperty("open_files") int openFiles,
             boolean asks) {}
 
-    /** The backends, all alike; see {@link passhatch.lab.standin.BackendServer.Shape}. */
+    /** The backends, all alike; see {@link passhatch.lab.standin.BackendServer.Capacity}. */
     record Backends(
             int count,
             int cores,
--- a/src/main/java/passhatch/lab/load/ClientChannel.java
+++ b/src/main/java/passhatch/lab/load/ClientChannel.java
@@ -25,18 +25,18 @@
 /** A client's connection to a proxy: one request at a time, and kept for the next. */
 final class ClientChannel extends SimpleChannelInboundHandler<FullHttpResponse> {
 
-    private static final int MOST_BODY = 1 << 16;
-    private static final int CONNECT_WITHIN_MS = 1_000;
-    private static final byte[] BODY =
+    private static final int MAX_RESPONSE_BODY_BYTES = 1 << 16;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final byte[] REQUEST_BODY =
             "what the client asks".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
 
     private final Sender sender;
-    private final Front.Entry proxy;
+    private final ProxyPool.ProxyEndpoint proxy;
     private Channel channel;
-    private Sender.Call call;
-    private boolean served;
+    private Sender.ClientRequest pending;
+    private boolean reused;
 
-    ClientChannel(Sender sender, Front.Entry proxy) {
+    ClientChannel(Sender sender, ProxyPool.ProxyEndpoint proxy) {
         this.sender = sender;
         this.proxy = proxy;
     }
@@ -51,16 +51,16 @@
 
     /** Its request has ended without it. */
     void abandon() {
-        call = null;
+        pending = null;
         if (channel != null) {
             channel.close();
         }
     }
 
-    void send(Sender.Call next) {
-        call = next;
+    void send(Sender.ClientRequest next) {
+        pending = next;
         if (channel != null) {
-            write();
+            writeRequest();
             return;
         }
         ChannelFuture connecting =
@@ -68,7 +68,7 @@
                         .group(sender.loop())
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_WITHIN_MS)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
@@ -76,72 +76,73 @@
                                         ch.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(),
-                                                        new HttpObjectAggregator(MOST_BODY),
+                                                        new HttpObjectAggregator(
+                                                                MAX_RESPONSE_BODY_BYTES),
                                                         ClientChannel.this);
                                     }
                                 })
                         .connect(proxy.address());
         channel = connecting.channel();
-        sender.opened();
-        channel.closeFuture().addListener(closed -> sender.closed());
+        sender.connectionOpened();
+        channel.closeFuture().addListener(closed -> sender.connectionClosed());
         connecting.addListener(
-                up -> {
-                    if (up.isSuccess()) {
-                        write();
+                connected -> {
+                    if (connected.isSuccess()) {
+                        writeRequest();
                     } else {
-                        ended(false);
+                        connectionEnded(false);
                     }
                 });
     }
 
-    private void write() {
-        if (call == null) {
+    private void writeRequest() {
+        if (pending == null) {
             channel.close();
             return;
         }
-        boolean safe = call.kind().effect() == LoadPlan.Effect.SAFE;
+        boolean safe = pending.requestClass().effect() == LoadPlan.Effect.SAFE;
         var request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
                         safe ? HttpMethod.GET : HttpMethod.POST,
-                        "/" + call.kind().path(),
-                        safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY));
+                        "/" + pending.requestClass().path(),
+                        safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(REQUEST_BODY));
         request.headers()
                 .set(HttpHeaderNames.HOST, "origin.svc")
-                .set("X-Request-Id", call.id())
-                .set("X-Deadline", call.leftUs() + "u");
+                .set("X-Request-Id", pending.id())
+                .set("X-Deadline", pending.remainingUs() + "u");
         if (!safe) {
-            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
+            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, REQUEST_BODY.length);
         }
-        if (call.kind().effect() == LoadPlan.Effect.KEYED) {
-            request.headers().set("Idempotency-Key", call.key());
+        if (pending.requestClass().effect() == LoadPlan.Effect.KEYED) {
+            request.headers().set("Idempotency-Key", pending.idempotencyKey());
         }
         channel.writeAndFlush(request);
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-        Sender.Call answered = call;
-        call = null;
-        served = true;
-        if (answered == null || !HttpUtil.isKeepAlive(answer)) {
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+        Sender.ClientRequest answered = pending;
+        pending = null;
+        reused = true;
+        if (answered == null || !HttpUtil.isKeepAlive(response)) {
             ctx.close();
         } else {
-            sender.keep(proxy, this);
+            sender.release(proxy, this);
         }
         if (answered != null) {
-            boolean right =
-                    answer.decoderResult().isSuccess()
+            boolean bodyIsCorrect =
+                    response.decoderResult().isSuccess()
                             && Arrays.equals(
-                                    ByteBufUtil.getBytes(answer.content()),
+                                    ByteBufUtil.getBytes(response.content()),
                                     BackendServer.bodyFor(answered.id()));
-            answered.answered(answer.status().code(), right);
+            answered.onResponse(response.status().code(), bodyIsCorrect);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        ended(true);
+        connectionEnded(true);
     }
 
     @Override
@@ -149,11 +150,11 @@
         ctx.close();
     }
 
-    private void ended(boolean connected) {
-        Sender.Call lost = call;
-        call = null;
-        if (lost != null) {
-            lost.cutOff(connected, served);
+    private void connectionEnded(boolean connected) {
+        Sender.ClientRequest unanswered = pending;
+        pending = null;
+        if (unanswered != null) {
+            unanswered.onConnectionEnded(connected, reused);
         }
     }
 }
--- a/src/main/java/passhatch/lab/load/Load.java
+++ b/src/main/java/passhatch/lab/load/LoadGenerator.java
@@ -12,15 +12,15 @@
 import passhatch.lab.Seeds;
 
 /** Gives a load: arrivals do not wait for answers, as those of many clients do not. */
-public final class Load implements AutoCloseable {
+public final class LoadGenerator implements AutoCloseable {
 
     private final MultiThreadIoEventLoopGroup group;
     private final List<Sender> senders = new ArrayList<>();
     private final LongAdder served = new LongAdder();
-    private final LongAdder ended = new LongAdder();
+    private final LongAdder completed = new LongAdder();
 
     /** A load that has not begun. */
-    public Load(LoadPlan plan, Front front, Seeds seeds) {
+    public LoadGenerator(LoadPlan plan, ProxyPool proxies, Seeds seeds) {
         group =
                 new MultiThreadIoEventLoopGroup(
                         plan.threads(),
@@ -31,12 +31,12 @@
             senders.add(
                     new Sender(
                             plan,
-                            front,
+                            proxies,
                             loop,
                             seeds.stream("load-" + i),
                             i,
                             outcome -> {
-                                ended.increment();
+                                completed.increment();
                                 if (outcome == Outcome.SERVED) {
                                     served.increment();
                                 }
@@ -45,24 +45,24 @@
     }
 
     /** Begins; the first requests are due from this time of {@link System#nanoTime} on. */
-    public void begin(long atNs) {
-        senders.forEach(s -> s.begin(atNs));
+    public void start(long startNs) {
+        senders.forEach(s -> s.start(startNs));
     }
 
     /** Requests that have ended so far, and those of them that were served. */
-    public long[] soFar() {
-        return new long[] {ended.sum(), served.sum()};
+    public long[] completedAndServed() {
+        return new long[] {completed.sum(), served.sum()};
     }
 
     /** Waits until each request has ended, which is soon after the last one's time. */
-    public Tally await() throws InterruptedException {
-        Tally all = new Tally();
-        for (Sender s : senders) {
-            Future<Tally> done = s.done();
-            done.sync();
-            all.add(done.getNow());
+    public LoadStats await() throws InterruptedException {
+        LoadStats total = new LoadStats();
+        for (Sender sender : senders) {
+            Future<LoadStats> completion = sender.completion();
+            completion.sync();
+            total.add(completion.getNow());
         }
-        return all;
+        return total;
     }
 
     @Override
--- a/src/main/java/passhatch/lab/load/LoadPlan.java
+++ b/src/main/java/passhatch/lab/load/LoadPlan.java
@@ -5,27 +5,27 @@
 /**
  * The load to give.
  *
- * @param rate requests a second
- * @param even whether they come evenly; else as a Poisson process
+ * @param requestsPerSecond requests a second
+ * @param evenlySpaced whether they come evenly; else as a Poisson process
  * @param durationMs how long
- * @param retries how often a client tries again, at another proxy, what was refused, failed or not
- *     answered
- * @param connections that are kept to each proxy at most; more are opened when all are busy, and
- *     closed after
+ * @param maxRetries how often a client tries again, at another proxy, what was refused, failed or
+ *     not answered
+ * @param maxIdleConnections that are kept to each proxy at most; more are opened when all are busy,
+ *     and closed after
  * @param threads that send
  * @param tickUs how often the sender looks for requests that are due, in microseconds; a short one
  *     keeps its thread always busy
- * @param kinds the classes of requests with their shares
+ * @param requestClasses the classes of requests with their shares
  */
 public record LoadPlan(
-        double rate,
-        boolean even,
+        double requestsPerSecond,
+        boolean evenlySpaced,
         long durationMs,
-        int retries,
-        int connections,
+        int maxRetries,
+        int maxIdleConnections,
         int threads,
         long tickUs,
-        List<Kind> kinds) {
+        List<RequestClass> requestClasses) {
 
     /** Often enough for a drill's times. */
     public static final long DRILL_TICK_US = 500;
@@ -38,7 +38,7 @@
             int retries,
             int connections,
             int threads,
-            List<Kind> kinds) {
+            List<RequestClass> kinds) {
         this(rate, even, durationMs, retries, connections, threads, DRILL_TICK_US, kinds);
     }
 
@@ -53,8 +53,8 @@
      * A class of requests.
      *
      * @param path its name in the settings
-     * @param share of all requests, relative to the other kinds'
+     * @param weight of all requests, relative to the other kinds'
      * @param deadlineUs how long its client waits
      */
-    public record Kind(String path, Effect effect, double share, long deadlineUs) {}
+    public record RequestClass(String path, Effect effect, double weight, long deadlineUs) {}
 }
--- a/src/main/java/passhatch/lab/load/Tally.java
+++ b/src/main/java/passhatch/lab/load/LoadStats.java
@@ -11,26 +11,26 @@
  * counts from the time that a request was due, not from when it could be sent, so that a stall is
  * felt by all requests that it held up (no coordinated omission).
  */
-public final class Tally {
+public final class LoadStats {
 
     /** Length of one step on the time axis. */
     public static final int STEP_MS = 250;
 
-    private static final long MOST_US = 120_000_000;
+    private static final long MAX_RECORDED_US = 120_000_000;
 
     /** What became of the requests that were due in one step. */
     public static final class Step {
-        private final Map<Outcome, Integer> ended = new EnumMap<>(Outcome.class);
-        private final Histogram latencyUs = new Histogram(MOST_US, 2);
+        private final Map<Outcome, Integer> countsByOutcome = new EnumMap<>(Outcome.class);
+        private final Histogram latencyUs = new Histogram(MAX_RECORDED_US, 2);
 
         /** How many ended so. */
         public int count(Outcome outcome) {
-            return ended.getOrDefault(outcome, 0);
+            return countsByOutcome.getOrDefault(outcome, 0);
         }
 
         /** All that were due. */
         public int offered() {
-            return ended.values().stream().mapToInt(Integer::intValue).sum();
+            return countsByOutcome.values().stream().mapToInt(Integer::intValue).sum();
         }
 
         /** Latency of the answers in microseconds. */
@@ -40,44 +40,47 @@
     }
 
     private final List<Step> steps = new ArrayList<>();
-    private final Histogram latencyUs = new Histogram(MOST_US, 3);
-    private final Histogram behindUs = new Histogram(MOST_US, 3);
-    private long retries;
+    private final Histogram latencyUs = new Histogram(MAX_RECORDED_US, 3);
+    private final Histogram sendDelayUs = new Histogram(MAX_RECORDED_US, 3);
+    private long clientRetries;
 
-    void ended(long dueMs, Outcome outcome, long tookUs) {
+    void recordCompletion(long dueMs, Outcome outcome, long elapsedUs) {
         Step step = step((int) (dueMs / STEP_MS));
-        step.ended.merge(outcome, 1, Integer::sum);
+        step.countsByOutcome.merge(outcome, 1, Integer::sum);
         if (outcome == Outcome.SERVED || outcome == Outcome.LATE) {
-            step.latencyUs.recordValue(Math.min(MOST_US, Math.max(0, tookUs)));
-            latencyUs.recordValue(Math.min(MOST_US, Math.max(0, tookUs)));
+            step.latencyUs.recordValue(Math.min(MAX_RECORDED_US, Math.max(0, elapsedUs)));
+            latencyUs.recordValue(Math.min(MAX_RECORDED_US, Math.max(0, elapsedUs)));
         }
     }
 
     /** A request was sent so much later than it was due. */
-    void sent(long behind) {
-        behindUs.recordValue(Math.min(MOST_US, Math.max(0, behind)));
+    void recordSendDelay(long delayUs) {
+        sendDelayUs.recordValue(Math.min(MAX_RECORDED_US, Math.max(0, delayUs)));
     }
 
-    void retried() {
-        retries++;
+    void recordRetry() {
+        clientRetries++;
     }
 
-    private Step step(int at) {
-        while (steps.size() <= at) {
+    private Step step(int index) {
+        while (steps.size() <= index) {
             steps.add(new Step());
         }
-        return steps.get(at);
+        return steps.get(index);
     }
 
-    void add(Tally other) {
+    void add(LoadStats other) {
         for (int i = 0; i < other.steps.size(); i++) {
-            Step mine = step(i);
-            other.steps.get(i).ended.forEach((o, n) -> mine.ended.merge(o, n, Integer::sum));
-            mine.latencyUs.add(other.steps.get(i).latencyUs);
+            Step step = step(i);
+            other.steps
+                    .get(i)
+                    .countsByOutcome
+                    .forEach((o, n) -> step.countsByOutcome.merge(o, n, Integer::sum));
+            step.latencyUs.add(other.steps.get(i).latencyUs);
         }
         latencyUs.add(other.latencyUs);
-        behindUs.add(other.behindUs);
-        retries += other.retries;
+        sendDelayUs.add(other.sendDelayUs);
+        clientRetries += other.clientRetries;
     }
 
     /** By the time that requests were due, each {@link #STEP_MS} long. */
@@ -91,13 +94,13 @@
     }
 
     /** How much later than due requests were sent, in microseconds. */
-    public Histogram behindUs() {
-        return behindUs;
+    public Histogram sendDelayUs() {
+        return sendDelayUs;
     }
 
     /** Requests that clients sent once more. */
-    public long retries() {
-        return retries;
+    public long clientRetries() {
+        return clientRetries;
     }
 
     /** How many ended so. */
--- a/src/main/java/passhatch/lab/load/Sender.java
+++ b/src/main/java/passhatch/lab/load/Sender.java
@@ -17,61 +17,66 @@
     /**
      * Connections that a thread may have open: past that requests wait, and their waiting counts.
      */
-    private static final int MOST_OPEN = 2_000;
+    private static final int MAX_OPEN_CONNECTIONS = 2_000;
 
     /** A request without an answer so long after its time is lost. */
-    private static final long GRACE_NS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long RESPONSE_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final LoadPlan plan;
-    private final Front front;
+    private final ProxyPool proxies;
     private final EventLoop loop;
     private final UniformRandomProvider random;
-    private final Consumer<Outcome> heard;
-    private final Promise<Tally> done;
-    private final Tally tally = new Tally();
-    private final Map<Front.Entry, ArrayDeque<ClientChannel>> idle = new HashMap<>();
+    private final Consumer<Outcome> completionListener;
+    private final Promise<LoadStats> completion;
+    private final LoadStats stats = new LoadStats();
+    private final Map<ProxyPool.ProxyEndpoint, ArrayDeque<ClientChannel>> idleChannels =
+            new HashMap<>();
 
     /** Requests for which no connection may be opened now, the first due first. */
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    private final ArrayDeque<ClientRequest> waitingForConnection = new ArrayDeque<>();
 
     private int openChannels;
-    private final ContinuousSampler gapNs;
-    private final double totalShare;
+    private final ContinuousSampler arrivalGapNs;
+    private final double totalWeight;
     private final String idPrefix;
-    private int turn;
+    private int nextProxyIndex;
     private long sequence;
-    private long beganNs;
-    private double dueNs;
-    private int open;
-    private boolean over;
+    private long startNs;
+    private double nextDueNs;
+    private int pendingRequests;
+    private boolean arrivalsEnded;
 
     Sender(
             LoadPlan plan,
-            Front front,
+            ProxyPool proxies,
             EventLoop loop,
             UniformRandomProvider random,
-            int number,
-            Consumer<Outcome> heard) {
+            int index,
+            Consumer<Outcome> completionListener) {
         this.plan = plan;
-        this.front = front;
+        this.proxies = proxies;
         this.loop = loop;
         this.random = random;
-        this.heard = heard;
-        this.done = loop.newPromise();
-        this.turn = number;
+        this.completionListener = completionListener;
+        this.completion = loop.newPromise();
+        this.nextProxyIndex = index;
         this.idPrefix = Long.toHexString(random.nextLong()) + "-";
-        this.totalShare = plan.kinds().stream().mapToDouble(LoadPlan.Kind::share).sum();
-        double meanNs = 1e9 * plan.threads() / plan.rate();
-        this.gapNs = plan.even() ? () -> meanNs : ZigguratSampler.Exponential.of(random, meanNs);
+        this.totalWeight =
+                plan.requestClasses().stream().mapToDouble(LoadPlan.RequestClass::weight).sum();
+        double meanGapNs = 1e9 * plan.threads() / plan.requestsPerSecond();
+        this.arrivalGapNs =
+                plan.evenlySpaced()
+                        ? () -> meanGapNs
+                        : ZigguratSampler.Exponential.of(random, meanGapNs);
     }
 
-    void begin(long atNs) {
-        beganNs = atNs;
+    void start(long loadStartNs) {
+        startNs = loadStartNs;
         loop.scheduleAtFixedRate(this::tick, 0, plan.tickUs(), TimeUnit.MICROSECONDS);
     }
 
-    Promise<Tally> done() {
-        return done;
+    Promise<LoadStats> completion() {
+        return completion;
     }
 
     EventLoop loop() {
@@ -79,48 +84,48 @@
     }
 
     private void tick() {
-        long now = System.nanoTime() - beganNs;
-        while (!over && dueNs <= now) {
-            if (dueNs >= TimeUnit.MILLISECONDS.toNanos(plan.durationMs())) {
-                over = true;
-                endIfOver();
+        long elapsedNs = System.nanoTime() - startNs;
+        while (!arrivalsEnded && nextDueNs <= elapsedNs) {
+            if (nextDueNs >= TimeUnit.MILLISECONDS.toNanos(plan.durationMs())) {
+                arrivalsEnded = true;
+                completeIfAllEnded();
             } else {
-                arrive((long) dueNs);
-                dueNs += gapNs.sample();
+                startRequest((long) nextDueNs);
+                nextDueNs += arrivalGapNs.sample();
             }
         }
     }
 
-    private void arrive(long due) {
-        Call call = new Call(kind(), due);
-        open++;
-        tally.sent(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - beganNs - due));
-        call.attempt(front.next(turn++, null));
+    private void startRequest(long dueNs) {
+        ClientRequest request = new ClientRequest(chooseClass(), dueNs);
+        pendingRequests++;
+        stats.recordSendDelay(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNs - dueNs));
+        request.attempt(proxies.nextAdmitted(nextProxyIndex++, null));
     }
 
-    private LoadPlan.Kind kind() {
-        double at = random.nextDouble() * totalShare;
-        for (LoadPlan.Kind kind : plan.kinds()) {
-            at -= kind.share();
-            if (at < 0) {
-                return kind;
+    private LoadPlan.RequestClass chooseClass() {
+        double remainingWeight = random.nextDouble() * totalWeight;
+        for (LoadPlan.RequestClass requestClass : plan.requestClasses()) {
+            remainingWeight -= requestClass.weight();
+            if (remainingWeight < 0) {
+                return requestClass;
             }
         }
-        return plan.kinds().get(plan.kinds().size() - 1);
+        return plan.requestClasses().get(plan.requestClasses().size() - 1);
     }
 
-    private void endIfOver() {
-        if (over && open == 0) {
-            done.trySuccess(tally);
+    private void completeIfAllEnded() {
+        if (arrivalsEnded && pendingRequests == 0) {
+            completion.trySuccess(stats);
         }
     }
 
     // ---- connections
 
-    private ClientChannel takeIdle(Front.Entry proxy) {
-        ArrayDeque<ClientChannel> kept = idle.get(proxy);
-        while (kept != null && !kept.isEmpty()) {
-            ClientChannel channel = kept.pollFirst();
+    private ClientChannel takeIdle(ProxyPool.ProxyEndpoint proxy) {
+        ArrayDeque<ClientChannel> idle = idleChannels.get(proxy);
+        while (idle != null && !idle.isEmpty()) {
+            ClientChannel channel = idle.pollFirst();
             if (channel.usable()) {
                 return channel;
             }
@@ -128,59 +133,64 @@
         return null;
     }
 
-    void opened() {
+    void connectionOpened() {
         openChannels++;
     }
 
-    void closed() {
+    void connectionClosed() {
         openChannels--;
-        Call next = waiting.poll();
+        ClientRequest next = waitingForConnection.poll();
         if (next != null) {
             // In a later step: this one may be within the end of another request.
-            loop.execute(() -> next.attempt(front.next(turn++, null)));
+            loop.execute(() -> next.attempt(proxies.nextAdmitted(nextProxyIndex++, null)));
         }
     }
 
-    void keep(Front.Entry proxy, ClientChannel channel) {
-        Call next = waiting.poll();
+    void release(ProxyPool.ProxyEndpoint proxy, ClientChannel channel) {
+        ClientRequest next = waitingForConnection.poll();
         if (next != null) {
             next.attemptOn(proxy, channel);
             return;
         }
-        ArrayDeque<ClientChannel> kept = idle.computeIfAbsent(proxy, p -> new ArrayDeque<>());
-        if (kept.size() >= Math.max(1, plan.connections() / plan.threads())) {
+        ArrayDeque<ClientChannel> idle =
+                idleChannels.computeIfAbsent(proxy, p -> new ArrayDeque<>());
+        if (idle.size() >= Math.max(1, plan.maxIdleConnections() / plan.threads())) {
             channel.close();
         } else {
-            kept.addFirst(channel);
+            idle.addFirst(channel);
         }
     }
 
     /** A client's request, over all of its tries. */
-    final class Call {
-        private final LoadPlan.Kind kind;
+    final class ClientRequest {
+        private final LoadPlan.RequestClass requestClass;
         private final long dueNs;
-        private final long endNs;
-        private Front.Entry proxy;
+        private final long deadlineNs;
+        private ProxyPool.ProxyEndpoint proxy;
         private String id;
-        private String key;
-        private int tries;
+        private String idempotencyKey;
+        private int attempts;
         private long sentNs;
 
         /** One that is sent anew as its connection closed unread keeps its id. */
         private boolean resent;
 
         private ClientChannel channel;
-        private boolean ended;
+        private boolean completed;
 
-        Call(LoadPlan.Kind kind, long dueNs) {
-            this.kind = kind;
+        ClientRequest(LoadPlan.RequestClass requestClass, long dueNs) {
+            this.requestClass = requestClass;
             this.dueNs = dueNs;
-            this.endNs = beganNs + dueNs + TimeUnit.MICROSECONDS.toNanos(kind.deadlineUs());
-            loop.schedule(this::timeUp, endNs + GRACE_NS - System.nanoTime(), TimeUnit.NANOSECONDS);
+            this.deadlineNs =
+                    startNs + dueNs + TimeUnit.MICROSECONDS.toNanos(requestClass.deadlineUs());
+            loop.schedule(
+                    this::onTimeout,
+                    deadlineNs + RESPONSE_GRACE_NS - System.nanoTime(),
+                    TimeUnit.NANOSECONDS);
         }
 
-        LoadPlan.Kind kind() {
-            return kind;
+        LoadPlan.RequestClass requestClass() {
+            return requestClass;
         }
 
         String id() {
@@ -188,59 +198,59 @@
         }
 
         /** The same over all of its tries. */
-        String key() {
-            return key;
+        String idempotencyKey() {
+            return idempotencyKey;
         }
 
-        long leftUs() {
-            return Math.max(1, TimeUnit.NANOSECONDS.toMicros(endNs - System.nanoTime()));
+        long remainingUs() {
+            return Math.max(1, TimeUnit.NANOSECONDS.toMicros(deadlineNs - System.nanoTime()));
         }
 
-        void attempt(Front.Entry to) {
-            if (to == null || ended) {
-                end(Outcome.CUT); // no proxy is there at all
+        void attempt(ProxyPool.ProxyEndpoint target) {
+            if (target == null || completed) {
+                complete(Outcome.CUT); // no proxy is there at all
                 return;
             }
-            ClientChannel kept = takeIdle(to);
-            if (kept == null && openChannels >= MOST_OPEN) {
-                waiting.add(this);
+            ClientChannel idle = takeIdle(target);
+            if (idle == null && openChannels >= MAX_OPEN_CONNECTIONS) {
+                waitingForConnection.add(this);
             } else {
-                attemptOn(to, kept);
+                attemptOn(target, idle);
             }
         }
 
-        private void attemptOn(Front.Entry to, ClientChannel on) {
-            if (ended) {
-                if (on != null) {
-                    keep(to, on);
+        private void attemptOn(ProxyPool.ProxyEndpoint target, ClientChannel connection) {
+            if (completed) {
+                if (connection != null) {
+                    release(target, connection);
                 }
                 return;
             }
-            tries++;
+            attempts++;
             id = idPrefix + Long.toHexString(sequence++);
-            key = key == null ? id : key;
+            idempotencyKey = idempotencyKey == null ? id : idempotencyKey;
             resent = false;
-            send(to, on);
+            send(target, connection);
         }
 
-        private void send(Front.Entry to, ClientChannel kept) {
-            proxy = to;
+        private void send(ProxyPool.ProxyEndpoint target, ClientChannel connection) {
+            proxy = target;
             sentNs = System.nanoTime();
-            channel = kept == null ? new ClientChannel(Sender.this, to) : kept;
+            channel = connection == null ? new ClientChannel(Sender.this, target) : connection;
             channel.send(this);
         }
 
         /** An answer has come whole. */
-        void answered(int status, boolean bodyIsRight) {
+        void onResponse(int status, boolean bodyIsCorrect) {
             if (status == 200) {
-                end(
-                        !bodyIsRight
+                complete(
+                        !bodyIsCorrect
                                 ? Outcome.SPOILT
-                                : System.nanoTime() <= endNs ? Outcome.SERVED : Outcome.LATE);
+                                : System.nanoTime() <= deadlineNs ? Outcome.SERVED : Outcome.LATE);
             } else if (status == 429 || status == 503) {
-                again(Outcome.REFUSED, true);
+                retryOrComplete(Outcome.REFUSED, true);
             } else {
-                again(Outcome.FAILED, kind.effect() != LoadPlan.Effect.UNSAFE);
+                retryOrComplete(Outcome.FAILED, requestClass.effect() != LoadPlan.Effect.UNSAFE);
             }
         }
 
@@ -250,55 +260,56 @@
          * @param connected whether it had come up
          * @param reused whether it had served before, so that its end may have crossed this request
          */
-        void cutOff(boolean connected, boolean reused) {
-            if (proxy.hurtSince(sentNs)) {
-                again(Outcome.CUT, !connected || kind.effect() != LoadPlan.Effect.UNSAFE);
+        void onConnectionEnded(boolean connected, boolean reused) {
+            if (proxy.faultySince(sentNs)) {
+                retryOrComplete(
+                        Outcome.CUT, !connected || requestClass.effect() != LoadPlan.Effect.UNSAFE);
             } else if (reused && !resent) {
                 resent = true;
                 send(proxy, null);
             } else {
-                again(connected ? Outcome.LOST : Outcome.CUT, !connected);
+                retryOrComplete(connected ? Outcome.LOST : Outcome.CUT, !connected);
             }
         }
 
         /**
          * Tries once more where that is allowed, harmless and in time; else this is how it ends.
          */
-        private void again(Outcome outcome, boolean harmless) {
-            Front.Entry other = front.next(turn++, proxy);
-            if (harmless
+        private void retryOrComplete(Outcome outcome, boolean repeatable) {
+            ProxyPool.ProxyEndpoint target = proxies.nextAdmitted(nextProxyIndex++, proxy);
+            if (repeatable
                     && outcome != Outcome.LOST
-                    && tries <= plan.retries()
-                    && System.nanoTime() < endNs
-                    && other != null) {
-                tally.retried();
-                attempt(other);
+                    && attempts <= plan.maxRetries()
+                    && System.nanoTime() < deadlineNs
+                    && target != null) {
+                stats.recordRetry();
+                attempt(target);
             } else {
-                end(outcome);
+                complete(outcome);
             }
         }
 
-        private void timeUp() {
-            if (!ended) {
+        private void onTimeout() {
+            if (!completed) {
                 Outcome outcome =
-                        proxy == null || proxy.hurtSince(sentNs) ? Outcome.CUT : Outcome.LOST;
+                        proxy == null || proxy.faultySince(sentNs) ? Outcome.CUT : Outcome.LOST;
                 if (channel != null) {
                     channel.abandon();
                 }
-                end(outcome);
+                complete(outcome);
             }
         }
 
-        private void end(Outcome outcome) {
-            if (!ended) {
-                ended = true;
-                open--;
-                tally.ended(
+        private void complete(Outcome outcome) {
+            if (!completed) {
+                completed = true;
+                pendingRequests--;
+                stats.recordCompletion(
                         TimeUnit.NANOSECONDS.toMillis(dueNs),
                         outcome,
-                        TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - beganNs - dueNs));
-                heard.accept(outcome);
-                endIfOver();
+                        TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNs - dueNs));
+                completionListener.accept(outcome);
+                completeIfAllEnded();
             }
         }
     }
--- a/src/main/java/passhatch/lab/scale/LatencyMeasure.java
+++ b/src/main/java/passhatch/lab/scale/LatencyMeasure.java
@@ -7,11 +7,11 @@
 import org.HdrHistogram.Histogram;
 import passhatch.lab.Seeds;
 import passhatch.lab.drill.ProxyChild;
-import passhatch.lab.load.Front;
-import passhatch.lab.load.Load;
+import passhatch.lab.load.LoadGenerator;
 import passhatch.lab.load.LoadPlan;
+import passhatch.lab.load.LoadStats;
 import passhatch.lab.load.Outcome;
-import passhatch.lab.load.Tally;
+import passhatch.lab.load.ProxyPool;
 
 /** Gives one load to one path at a time and measures it. */
 final class LatencyMeasure {
@@ -21,7 +21,7 @@
     private static final long LEAD_MS = 50;
 
     /** Calls of the first second open connections and are left out of the quantiles. */
-    private static final int LEAD_IN_STEPS = 1_000 / Tally.STEP_MS;
+    private static final int LEAD_IN_STEPS = 1_000 / LoadStats.STEP_MS;
 
     private static final int CONNECTIONS = 64;
 
@@ -72,11 +72,11 @@
             throws IOException, InterruptedException {
         List<Double> before = processorSeconds(passes);
         long beganNs = System.nanoTime();
-        Tally tally = give(passes, callsPerSecond, seconds + 1);
+        LoadStats tally = give(passes, callsPerSecond, seconds + 1);
         double lastedS = (System.nanoTime() - beganNs) / 1e9;
         List<Double> after = processorSeconds(passes);
         long calls = tally.offered();
-        double behindP99 = tally.behindUs().getValueAtPercentile(99);
+        double behindP99 = tally.sendDelayUs().getValueAtPercentile(99);
         double served = calls == 0 ? 0 : (double) tally.count(Outcome.SERVED) / calls;
         if (behindP99 > behindUs || calls == 0) {
             return new LatencyResult.Step(
@@ -110,9 +110,10 @@
                 served < SATURATED_SERVED || most / lastedS > SATURATED_SHARE);
     }
 
-    private Tally give(int passes, int callsPerSecond, int forSeconds) throws InterruptedException {
-        Front front = new Front(List.of(chain.entrance(passes)));
-        front.admit(0, true);
+    private LoadStats give(int passes, int callsPerSecond, int forSeconds)
+            throws InterruptedException {
+        ProxyPool front = new ProxyPool(List.of(chain.entrance(passes)));
+        front.setAdmitted(0, true);
         LoadPlan plan =
                 new LoadPlan(
                         callsPerSecond,
@@ -122,9 +123,11 @@
                         CONNECTIONS,
                         1,
                         TICK_US,
-                        List.of(new LoadPlan.Kind(KIND, LoadPlan.Effect.SAFE, 1, DEADLINE_US)));
-        try (Load load = new Load(plan, front, seeds)) {
-            load.begin(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LEAD_MS));
+                        List.of(
+                                new LoadPlan.RequestClass(
+                                        KIND, LoadPlan.Effect.SAFE, 1, DEADLINE_US)));
+        try (LoadGenerator load = new LoadGenerator(plan, front, seeds)) {
+            load.start(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LEAD_MS));
             return load.await();
         }
     }
@@ -137,7 +140,7 @@
         return used;
     }
 
-    private static Histogram afterLeadIn(Tally tally) {
+    private static Histogram afterLeadIn(LoadStats tally) {
         Histogram us = new Histogram(MOST_US, DIGITS);
         tally.steps().stream().skip(LEAD_IN_STEPS).forEach(s -> us.add(s.latencyUs()));
         return us;
--- a/src/main/java/passhatch/lab/scale/ProxyChain.java
+++ b/src/main/java/passhatch/lab/scale/ProxyChain.java
@@ -14,7 +14,7 @@
 import passhatch.lab.drill.ProxyChild;
 import passhatch.lab.standin.BackendServer;
 import passhatch.lab.standin.DiscoveryServer;
-import passhatch.lab.standin.Ledger;
+import passhatch.lab.standin.RequestLedger;
 import passhatch.lab.standin.ServiceTime;
 
 /**
@@ -29,8 +29,8 @@
     private static final int STAND_IN_THREADS = 2;
 
     /** Backends answer at once, as what is measured lies before them. */
-    private static final BackendServer.Shape SHAPE =
-            new BackendServer.Shape(
+    private static final BackendServer.Capacity SHAPE =
+            new BackendServer.Capacity(
                     1 << 16,
                     1 << 16,
                     1 << 16,
@@ -71,7 +71,7 @@
     }
 
     private void startBackends(int count, Seeds seeds) throws IOException {
-        Ledger ledger = new Ledger();
+        RequestLedger ledger = new RequestLedger();
         for (int i = 0; i < count; i++) {
             String name = "backend-" + i;
             BackendServer backend =
@@ -90,18 +90,18 @@
             discovery.start();
             discovery.update(
                     List.of(
-                            new DiscoveryServer.Entry(
+                            new DiscoveryServer.Endpoint(
                                     "next-of-" + i, proxy.listen(), "SERVING", 0)));
         }
     }
 
     /** Has the last proxy's list hold only so many backends. */
     void list(int count) {
-        List<DiscoveryServer.Entry> changed = new ArrayList<>();
+        List<DiscoveryServer.Endpoint> changed = new ArrayList<>();
         for (int i = Math.min(count, listed); i < Math.max(count, listed); i++) {
             BackendServer backend = backends.get(i);
             changed.add(
-                    new DiscoveryServer.Entry(
+                    new DiscoveryServer.Endpoint(
                             backend.name(),
                             backend.address(),
                             i < count ? "SERVING" : "DELETED",
--- a/src/main/java/passhatch/lab/scale/ProxyMeasure.java
+++ b/src/main/java/passhatch/lab/scale/ProxyMeasure.java
@@ -116,19 +116,19 @@
         }
     }
 
-    private static List<DiscoveryServer.Entry> list(int entries) throws IOException {
-        List<DiscoveryServer.Entry> list = new ArrayList<>();
+    private static List<DiscoveryServer.Endpoint> list(int entries) throws IOException {
+        List<DiscoveryServer.Endpoint> list = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
             list.add(entry(i, "SERVING"));
         }
         return list;
     }
 
-    private static DiscoveryServer.Entry entry(int number, String status) throws IOException {
+    private static DiscoveryServer.Endpoint entry(int number, String status) throws IOException {
         byte[] address = {
             127, 1, (byte) (number / HOSTS_A_NETWORK), (byte) (number % HOSTS_A_NETWORK + 1)
         };
-        return new DiscoveryServer.Entry(
+        return new DiscoveryServer.Endpoint(
                 "backend-" + number,
                 new InetSocketAddress(InetAddress.getByAddress(address), LISTED_PORT),
                 status,
--- a/src/main/java/passhatch/lab/scale/ScaleOptions.java
+++ b/src/main/java/passhatch/lab/scale/ScaleOptions.java
@@ -80,7 +80,7 @@
         } catch (IOException unusable) {
             throw new InvalidInputException("--out: " + folder + " cannot be used as a folder");
         }
-        LabLog.to(folder.resolve("lab.jsonl"));
+        LabLog.redirectTo(folder.resolve("lab.jsonl"));
         return folder.toAbsolutePath();
     }
 
--- a/src/main/java/passhatch/lab/standin/BackendServer.java
+++ b/src/main/java/passhatch/lab/standin/BackendServer.java
@@ -40,30 +40,30 @@
      */
     private static final long DRAIN_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(750 + 50);
 
-    private static final int MOST_BODY = 1 << 16;
+    private static final int MAX_REQUEST_BODY_BYTES = 1 << 16;
 
     /**
      * What a backend can do.
      *
      * @param cores requests that it works on at full speed; more share them
      * @param slots requests that it works on at all
-     * @param queue requests that wait beside these; more are turned away
-     * @param connections that it holds; more are closed at once
-     * @param coldShare part of its capacity right after a start
-     * @param coldUs time in microseconds until it is at its full capacity, which grows evenly
+     * @param maxQueuedRequests requests that wait beside these; more are turned away
+     * @param maxConnections that it holds; more are closed at once
+     * @param coldCapacityFraction part of its capacity right after a start
+     * @param warmUpUs time in microseconds until it is at its full capacity, which grows evenly
      */
-    public record Shape(
+    public record Capacity(
             int cores,
             int slots,
-            int queue,
-            int connections,
-            ServiceTime service,
-            double coldShare,
-            long coldUs) {}
+            int maxQueuedRequests,
+            int maxConnections,
+            ServiceTime serviceTime,
+            double coldCapacityFraction,
+            long warmUpUs) {}
 
     /** How it does. */
     public enum Health {
-        WELL,
+        HEALTHY,
         SLOW,
         HUNG,
         FAILING,
@@ -71,32 +71,36 @@
     }
 
     private final String name;
-    private final Shape shape;
+    private final Capacity capacity;
     private final EventLoop loop;
-    private final Ledger ledger;
+    private final RequestLedger ledger;
     private final UniformRandomProvider random;
-    private final ContinuousSampler work;
-    private final Set<Channel> open = new HashSet<>();
-    private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private int working;
-    private Health health = Health.WELL;
-    private double extent;
+    private final ContinuousSampler serviceTimeUs;
+    private final Set<Channel> connections = new HashSet<>();
+    private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
+    private int runningRequests;
+    private Health health = Health.HEALTHY;
+    private double severity;
     private long startedNs = System.nanoTime() - TimeUnit.HOURS.toNanos(1);
     private boolean draining;
-    private boolean acceptsDraining;
-    private long drainToldNs;
+    private boolean acceptsWhileDraining;
+    private long drainNotifiedNs;
     private Channel listener;
     private InetSocketAddress address;
 
     /** A backend that does not listen yet. */
     public BackendServer(
-            String name, Shape shape, EventLoop loop, Ledger ledger, UniformRandomProvider random) {
+            String name,
+            Capacity capacity,
+            EventLoop loop,
+            RequestLedger ledger,
+            UniformRandomProvider random) {
         this.name = name;
-        this.shape = shape;
+        this.capacity = capacity;
         this.loop = loop;
         this.ledger = ledger;
         this.random = random;
-        this.work = shape.service().sampler(random);
+        this.serviceTimeUs = capacity.serviceTime().sampler(random);
     }
 
     /** Starts to listen, warm, on a port that the system chooses. */
@@ -122,38 +126,39 @@
     /**
      * How it does from now on.
      *
-     * @param howMuch for {@code SLOW} the factor on its times; for {@code FAILING} and {@code
+     * @param newSeverity for {@code SLOW} the factor on its times; for {@code FAILING} and {@code
      *     RESETTING} the share of requests that it happens to; else it has no meaning
      */
-    public void health(Health now, double howMuch) {
+    public void setHealth(Health newHealth, double newSeverity) {
         loop.execute(
                 () -> {
-                    health = now;
-                    extent = howMuch;
+                    health = newHealth;
+                    severity = newSeverity;
                 });
     }
 
     /**
      * It drains: it finishes what it holds and turns away all else.
      *
-     * @param toldAfterMs when proxies count as told of it, in milliseconds from now; what comes
+     * @param notifiedAfterMs when proxies count as told of it, in milliseconds from now; what comes
      *     later than that and the grace breaks the rule
      */
-    public void drain(long toldAfterMs) {
-        drain(toldAfterMs, false);
+    public void drain(long notifiedAfterMs) {
+        drain(notifiedAfterMs, false);
     }
 
     /** The same of a backend that goes on accepting requests, for as long as it runs. */
-    public void drainAndAccept(long toldAfterMs) {
-        drain(toldAfterMs, true);
+    public void drainWhileAccepting(long notifiedAfterMs) {
+        drain(notifiedAfterMs, true);
     }
 
-    private void drain(long toldAfterMs, boolean accepts) {
+    private void drain(long notifiedAfterMs, boolean acceptsRequests) {
         loop.execute(
                 () -> {
                     draining = true;
-                    acceptsDraining = accepts;
-                    drainToldNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(toldAfterMs);
+                    acceptsWhileDraining = acceptsRequests;
+                    drainNotifiedNs =
+                            System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(notifiedAfterMs);
                 });
     }
 
@@ -162,8 +167,8 @@
         loop.submit(
                         () -> {
                             listener.close();
-                            Set.copyOf(open).forEach(BackendServer::reset);
-                            waiting.clear();
+                            Set.copyOf(connections).forEach(BackendServer::reset);
+                            queue.clear();
                         })
                 .syncUninterruptibly();
     }
@@ -172,10 +177,10 @@
     public void restart() throws IOException {
         loop.submit(
                         () -> {
-                            health = Health.WELL;
+                            health = Health.HEALTHY;
                             draining = false;
                             startedNs = System.nanoTime();
-                            working = 0;
+                            runningRequests = 0;
                         })
                 .syncUninterruptibly();
         bind(address);
@@ -186,7 +191,7 @@
         crash();
     }
 
-    private void bind(InetSocketAddress at) throws IOException {
+    private void bind(InetSocketAddress listenAddress) throws IOException {
         var bound =
                 new ServerBootstrap()
                         .group(loop)
@@ -201,15 +206,20 @@
                                         channel.pipeline()
                                                 .addLast(
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(MOST_BODY),
+                                                        new HttpObjectAggregator(
+                                                                MAX_REQUEST_BODY_BYTES),
                                                         new Connection());
                                     }
                                 })
-                        .bind(at)
+                        .bind(listenAddress)
                         .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException(
-                    name + " cannot listen at " + at + ": " + bound.cause().getMessage());
+                    name
+                            + " cannot listen at "
+                            + listenAddress
+                            + ": "
+                            + bound.cause().getMessage());
         }
         listener = bound.channel();
         address = (InetSocketAddress) listener.localAddress();
@@ -223,40 +233,42 @@
     // ---- requests
 
     /** A request that has come whole. */
-    private record Job(Channel channel, String id) {}
+    private record QueuedRequest(Channel channel, String id) {}
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (open.size() >= shape.connections()) {
+            if (connections.size() >= capacity.maxConnections()) {
                 reset(ctx.channel());
                 return;
             }
-            open.add(ctx.channel());
-            ctx.channel().closeFuture().addListener(closed -> open.remove(ctx.channel()));
+            connections.add(ctx.channel());
+            ctx.channel().closeFuture().addListener(closed -> connections.remove(ctx.channel()));
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             String id = request.headers().get("X-Request-Id");
             if (id == null) {
-                answer(ctx.channel(), HttpResponseStatus.NOT_FOUND, new byte[0], false);
+                respond(ctx.channel(), HttpResponseStatus.NOT_FOUND, new byte[0], false);
                 return;
             }
-            boolean onceOnly =
+            boolean atMostOnce =
                     request.method().equals(HttpMethod.POST)
                             && !request.headers().contains("Idempotency-Key");
-            if (draining && System.nanoTime() - drainToldNs > DRAIN_GRACE_NS) {
-                ledger.afterDrain();
+            if (draining && System.nanoTime() - drainNotifiedNs > DRAIN_GRACE_NS) {
+                ledger.recordAttemptAfterDrain();
             }
-            boolean full = working >= shape.slots() && waiting.size() >= shape.queue();
-            boolean turnsAway = full || draining && !acceptsDraining;
-            ledger.arrived(id, onceOnly, !turnsAway);
-            if (turnsAway) {
-                answer(ctx.channel(), HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0], true);
+            boolean full =
+                    runningRequests >= capacity.slots()
+                            && queue.size() >= capacity.maxQueuedRequests();
+            boolean rejects = full || draining && !acceptsWhileDraining;
+            ledger.recordAttempt(id, atMostOnce, !rejects);
+            if (rejects) {
+                respond(ctx.channel(), HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0], true);
             } else {
-                waiting.add(new Job(ctx.channel(), id));
-                workOn();
+                queue.add(new QueuedRequest(ctx.channel(), id));
+                startQueuedRequests();
             }
         }
 
@@ -266,48 +278,56 @@
         }
     }
 
-    private void workOn() {
-        while (working < shape.slots() && !waiting.isEmpty()) {
-            Job job = waiting.poll();
+    private void startQueuedRequests() {
+        while (runningRequests < capacity.slots() && !queue.isEmpty()) {
+            QueuedRequest request = queue.poll();
             if (health == Health.HUNG) {
                 continue; // it takes work and answers nothing
             }
-            working++;
-            double us = work.sample() * Math.max(1, (double) working / shape.cores()) / capacity();
-            long life = startedNs;
+            runningRequests++;
+            double timeUs =
+                    serviceTimeUs.sample()
+                            * Math.max(1, (double) runningRequests / capacity.cores())
+                            / availableFraction();
+            long startedNsAtBegin = startedNs;
             loop.schedule(
                     () -> {
-                        if (life == startedNs) {
-                            working--;
-                            finish(job);
-                            workOn();
+                        if (startedNsAtBegin == startedNs) {
+                            runningRequests--;
+                            finish(request);
+                            startQueuedRequests();
                         }
                     },
-                    (long) (health == Health.SLOW ? us * extent : us),
+                    (long) (health == Health.SLOW ? timeUs * severity : timeUs),
                     TimeUnit.MICROSECONDS);
         }
     }
 
     /** The part of its full capacity that it has by now. */
-    private double capacity() {
-        double age = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startedNs);
-        return age >= shape.coldUs()
+    private double availableFraction() {
+        double uptimeUs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startedNs);
+        return uptimeUs >= capacity.warmUpUs()
                 ? 1
-                : shape.coldShare() + (1 - shape.coldShare()) * age / shape.coldUs();
+                : capacity.coldCapacityFraction()
+                        + (1 - capacity.coldCapacityFraction()) * uptimeUs / capacity.warmUpUs();
     }
 
-    private void finish(Job job) {
-        boolean hit = random.nextDouble() < extent;
-        if (health == Health.RESETTING && hit) {
-            reset(job.channel());
-        } else if (health == Health.FAILING && hit) {
-            answer(job.channel(), HttpResponseStatus.INTERNAL_SERVER_ERROR, new byte[0], false);
+    private void finish(QueuedRequest request) {
+        boolean affected = random.nextDouble() < severity;
+        if (health == Health.RESETTING && affected) {
+            reset(request.channel());
+        } else if (health == Health.FAILING && affected) {
+            respond(
+                    request.channel(),
+                    HttpResponseStatus.INTERNAL_SERVER_ERROR,
+                    new byte[0],
+                    false);
         } else if (health != Health.HUNG) {
-            answer(job.channel(), HttpResponseStatus.OK, bodyFor(job.id()), false);
+            respond(request.channel(), HttpResponseStatus.OK, bodyFor(request.id()), false);
         }
     }
 
-    private static void answer(
+    private static void respond(
             Channel channel, HttpResponseStatus status, byte[] body, boolean notRun) {
         var response =
                 new DefaultFullHttpResponse(
--- a/src/main/java/passhatch/lab/standin/DiscoveryServer.java
+++ b/src/main/java/passhatch/lab/standin/DiscoveryServer.java
@@ -45,23 +45,24 @@
  */
 public final class DiscoveryServer {
 
-    private static final long EMPTY_LINE_MS = 2_000;
+    private static final long EMPTY_LINE_INTERVAL_MS = 2_000;
 
     /** After a move its old address closes what is open there after so long. */
-    private static final long OLD_ADDRESS_CLOSES_MS = 1_500;
+    private static final long OLD_ADDRESS_CLOSE_DELAY_MS = 1_500;
 
     /** While it is overloaded, a call waits in its queue for so long and is then turned away. */
-    private static final long QUEUE_WAIT_MS = 2_000;
+    private static final long OVERLOAD_QUEUE_WAIT_MS = 2_000;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
      * What the list says of a backend.
      *
-     * @param sinceMs its last start in Unix milliseconds; 0 for long ago
+     * @param startedAtMs its last start in Unix milliseconds; 0 for long ago
      */
-    public record Entry(String name, InetSocketAddress address, String status, long sinceMs) {
-        private Map<String, Object> json() {
+    public record Endpoint(
+            String name, InetSocketAddress address, String status, long startedAtMs) {
+        private Map<String, Object> toMap() {
             return Map.of(
                     "name",
                     name,
@@ -78,23 +79,23 @@
                     "weight",
                     1.0,
                     "since_ms",
-                    sinceMs);
+                    startedAtMs);
         }
     }
 
-    private record Versioned(long index, Entry entry) {}
+    private record VersionedEndpoint(long version, Endpoint endpoint) {}
 
     private final EventLoop loop;
-    private final Map<String, Versioned> entries = new LinkedHashMap<>();
-    private final Set<Channel> open = new HashSet<>();
+    private final Map<String, VersionedEndpoint> endpoints = new LinkedHashMap<>();
+    private final Set<Channel> connections = new HashSet<>();
     private final Set<Channel> watches = new HashSet<>();
     private final LongAdder sentBytes = new LongAdder();
-    private final LongAdder answers = new LongAdder();
-    private long index;
+    private final LongAdder answeredCalls = new LongAdder();
+    private long version;
     private boolean stalled;
     private boolean overloaded;
-    private long answerLateMs;
-    private long lateMs;
+    private long responseDelayMs;
+    private long notificationDelayMs;
     private Channel listener;
     private InetSocketAddress address;
 
@@ -102,7 +103,10 @@
     public DiscoveryServer(EventLoop loop) {
         this.loop = loop;
         loop.scheduleAtFixedRate(
-                () -> tell("\n"), EMPTY_LINE_MS, EMPTY_LINE_MS, TimeUnit.MILLISECONDS);
+                () -> sendToWatches("\n"),
+                EMPTY_LINE_INTERVAL_MS,
+                EMPTY_LINE_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Starts to listen on a port that the system chooses. */
@@ -122,26 +126,35 @@
     /**
      * Takes entries into the list, or changes them, in one version; {@code DELETED} ones leave it.
      */
-    public void update(Collection<Entry> changed) {
+    public void update(Collection<Endpoint> changed) {
         loop.submit(
                         () -> {
-                            index++;
-                            changed.forEach(e -> entries.put(e.name(), new Versioned(index, e)));
+                            version++;
+                            changed.forEach(
+                                    e ->
+                                            endpoints.put(
+                                                    e.name(), new VersionedEndpoint(version, e)));
                             String line =
-                                    text(index, false, changed.stream().map(Entry::json).toList())
+                                    messageText(
+                                                    version,
+                                                    false,
+                                                    changed.stream().map(Endpoint::toMap).toList())
                                             + "\n";
-                            if (lateMs > 0) {
-                                loop.schedule(() -> tell(line), lateMs, TimeUnit.MILLISECONDS);
+                            if (notificationDelayMs > 0) {
+                                loop.schedule(
+                                        () -> sendToWatches(line),
+                                        notificationDelayMs,
+                                        TimeUnit.MILLISECONDS);
                             } else {
-                                tell(line);
+                                sendToWatches(line);
                             }
                         })
                 .syncUninterruptibly();
     }
 
     /** Calls that were answered with a list or with changes. */
-    public long answers() {
-        return answers.sum();
+    public long answeredCalls() {
+        return answeredCalls.sum();
     }
 
     // ---- faults
@@ -152,21 +165,22 @@
      *
      * @return the new address
      */
-    public InetSocketAddress move() throws IOException {
-        Channel old = listener;
-        Set<Channel> openThere = loop.submit(() -> Set.copyOf(open)).syncUninterruptibly().getNow();
+    public InetSocketAddress changeAddress() throws IOException {
+        Channel oldListener = listener;
+        Set<Channel> oldConnections =
+                loop.submit(() -> Set.copyOf(connections)).syncUninterruptibly().getNow();
         bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        old.close().syncUninterruptibly();
+        oldListener.close().syncUninterruptibly();
         loop.schedule(
-                () -> openThere.forEach(Channel::close),
-                OLD_ADDRESS_CLOSES_MS,
+                () -> oldConnections.forEach(Channel::close),
+                OLD_ADDRESS_CLOSE_DELAY_MS,
                 TimeUnit.MILLISECONDS);
         return address;
     }
 
     /** Writes a line to all watches as it stands, whether or not it is a change. */
-    public void say(String line) {
-        loop.submit(() -> tell(line + "\n")).syncUninterruptibly();
+    public void sendLine(String line) {
+        loop.submit(() -> sendToWatches(line + "\n")).syncUninterruptibly();
     }
 
     /** It is down: watches end, and calls are refused until {@link #up}. */
@@ -174,7 +188,7 @@
         loop.submit(
                         () -> {
                             listener.close();
-                            Set.copyOf(open).forEach(Channel::close);
+                            Set.copyOf(connections).forEach(Channel::close);
                         })
                 .syncUninterruptibly();
     }
@@ -185,40 +199,42 @@
     }
 
     /** Watches break off, once; calls are served on. */
-    public void breakWatches() {
+    public void closeWatches() {
         loop.execute(() -> Set.copyOf(watches).forEach(Channel::close));
     }
 
     /** Whether it says nothing: connections stay open and silent. */
-    public void stall(boolean on) {
+    public void setStalled(boolean on) {
         loop.execute(
                 () -> {
                     stalled = on;
                     if (!on) {
                         // What was to be told meanwhile is told by the calls that follow the break.
-                        Set.copyOf(open).forEach(Channel::close);
+                        Set.copyOf(connections).forEach(Channel::close);
                     }
                 });
     }
 
     /** Changes are told so much later from now on, in milliseconds; 0 for at once. */
-    public void late(long ms) {
-        loop.execute(() -> lateMs = ms);
+    public void setNotificationDelay(long delayMs) {
+        loop.execute(() -> notificationDelayMs = delayMs);
     }
 
     /** Whether each call is turned away after a wait; watches that are open go on. */
-    public void overload(boolean on) {
+    public void setOverloaded(boolean on) {
         loop.submit(() -> overloaded = on).syncUninterruptibly();
     }
 
     /** Calls are answered so much later from now on, in milliseconds; 0 for at once. */
-    public void answerLate(long ms) {
-        loop.submit(() -> answerLateMs = ms).syncUninterruptibly();
+    public void setResponseDelay(long delayMs) {
+        loop.submit(() -> responseDelayMs = delayMs).syncUninterruptibly();
     }
 
     /** The whole list as it tells it now, with its version. */
     public Map<String, Object> snapshot() {
-        return loop.submit(() -> message(index, true, listed())).syncUninterruptibly().getNow();
+        return loop.submit(() -> message(version, true, listedEndpoints()))
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** Ends it. */
@@ -228,7 +244,7 @@
 
     // ---- calls
 
-    private void bind(InetSocketAddress at) throws IOException {
+    private void bind(InetSocketAddress listenAddress) throws IOException {
         var bound =
                 new ServerBootstrap()
                         .group(loop)
@@ -240,23 +256,26 @@
                                     protected void initChannel(SocketChannel channel) {
                                         channel.pipeline()
                                                 .addLast(
-                                                        new SentBytes(),
+                                                        new SentBytesCounter(),
                                                         new HttpServerCodec(),
                                                         new HttpObjectAggregator(1 << 16),
-                                                        new Caller());
+                                                        new CallHandler());
                                     }
                                 })
-                        .bind(at)
+                        .bind(listenAddress)
                         .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException(
-                    "discovery cannot listen at " + at + ": " + bound.cause().getMessage());
+                    "discovery cannot listen at "
+                            + listenAddress
+                            + ": "
+                            + bound.cause().getMessage());
         }
         listener = bound.channel();
         address = (InetSocketAddress) listener.localAddress();
     }
 
-    private final class SentBytes extends ChannelOutboundHandlerAdapter {
+    private final class SentBytesCounter extends ChannelOutboundHandlerAdapter {
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             if (message instanceof ByteBuf bytes) {
@@ -266,15 +285,15 @@
         }
     }
 
-    private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            open.add(ctx.channel());
+            connections.add(ctx.channel());
             ctx.channel()
                     .closeFuture()
                     .addListener(
                             closed -> {
-                                open.remove(ctx.channel());
+                                connections.remove(ctx.channel());
                                 watches.remove(ctx.channel());
                             });
         }
@@ -286,30 +305,30 @@
             }
             if (overloaded) {
                 loop.schedule(
-                        () -> whole(ctx.channel(), HttpResponseStatus.SERVICE_UNAVAILABLE, ""),
-                        QUEUE_WAIT_MS,
+                        () -> respond(ctx.channel(), HttpResponseStatus.SERVICE_UNAVAILABLE, ""),
+                        OVERLOAD_QUEUE_WAIT_MS,
                         TimeUnit.MILLISECONDS);
                 return;
             }
-            if (answerLateMs > 0) {
-                String late = request.uri();
-                loop.schedule(() -> answer(ctx, late), answerLateMs, TimeUnit.MILLISECONDS);
+            if (responseDelayMs > 0) {
+                String target = request.uri();
+                loop.schedule(() -> handle(ctx, target), responseDelayMs, TimeUnit.MILLISECONDS);
             } else {
-                answer(ctx, request.uri());
+                handle(ctx, request.uri());
             }
         }
 
-        private void answer(ChannelHandlerContext ctx, String asked) {
-            answers.increment();
-            QueryStringDecoder uri = new QueryStringDecoder(asked);
+        private void handle(ChannelHandlerContext ctx, String target) {
+            answeredCalls.increment();
+            QueryStringDecoder uri = new QueryStringDecoder(target);
             if (!uri.path().equals("/v1/endpoints")) {
-                whole(ctx.channel(), HttpResponseStatus.NOT_FOUND, "");
+                respond(ctx.channel(), HttpResponseStatus.NOT_FOUND, "");
             } else if (uri.parameters().containsKey("watch")) {
-                watch(
+                startWatch(
                         ctx.channel(),
                         Long.parseLong(uri.parameters().getOrDefault("from", List.of("0")).get(0)));
             } else {
-                whole(ctx.channel(), HttpResponseStatus.OK, list());
+                respond(ctx.channel(), HttpResponseStatus.OK, snapshotText());
             }
         }
 
@@ -319,43 +338,43 @@
         }
     }
 
-    private void watch(Channel channel, long from) {
-        var head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        channel.write(head);
+    private void startWatch(Channel channel, long fromVersion) {
+        var responseHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        responseHead.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+        channel.write(responseHead);
         watches.add(channel);
-        String first =
-                from > 0 && from <= index
-                        ? text(
-                                index,
+        String firstLine =
+                fromVersion > 0 && fromVersion <= version
+                        ? messageText(
+                                version,
                                 false,
-                                entries.values().stream()
-                                        .filter(v -> v.index() > from)
-                                        .map(v -> v.entry().json())
+                                endpoints.values().stream()
+                                        .filter(v -> v.version() > fromVersion)
+                                        .map(v -> v.endpoint().toMap())
                                         .toList())
-                        : list();
-        channel.writeAndFlush(new DefaultHttpContent(bytes(first + "\n")));
+                        : snapshotText();
+        channel.writeAndFlush(new DefaultHttpContent(bytes(firstLine + "\n")));
     }
 
-    private String list() {
-        return text(index, true, listed());
+    private String snapshotText() {
+        return messageText(version, true, listedEndpoints());
     }
 
-    private List<Map<String, Object>> listed() {
-        return entries.values().stream()
-                .map(Versioned::entry)
+    private List<Map<String, Object>> listedEndpoints() {
+        return endpoints.values().stream()
+                .map(VersionedEndpoint::endpoint)
                 .filter(e -> !e.status().equals("DELETED"))
-                .map(Entry::json)
+                .map(Endpoint::toMap)
                 .toList();
     }
 
-    private void tell(String line) {
+    private void sendToWatches(String line) {
         if (!stalled) {
             watches.forEach(w -> w.writeAndFlush(new DefaultHttpContent(bytes(line))));
         }
     }
 
-    private static void whole(Channel channel, HttpResponseStatus status, String body) {
+    private static void respond(Channel channel, HttpResponseStatus status, String body) {
         ByteBuf content = bytes(body);
         var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
@@ -367,15 +386,16 @@
     }
 
     private static Map<String, Object> message(
-            long index, boolean whole, List<Map<String, Object>> endpoints) {
-        return Map.of("index", index, "snapshot", whole, "endpoints", endpoints);
+            long version, boolean snapshot, List<Map<String, Object>> endpoints) {
+        return Map.of("index", version, "snapshot", snapshot, "endpoints", endpoints);
     }
 
-    private static String text(long index, boolean whole, List<Map<String, Object>> endpoints) {
+    private static String messageText(
+            long version, boolean snapshot, List<Map<String, Object>> endpoints) {
         try {
-            return JSON.writeValueAsString(message(index, whole, endpoints));
-        } catch (JsonProcessingException cannotBe) {
-            throw new IllegalStateException(cannotBe);
+            return JSON.writeValueAsString(message(version, snapshot, endpoints));
+        } catch (JsonProcessingException impossible) {
+            throw new IllegalStateException(impossible);
         }
     }
 }
--- a/src/main/java/passhatch/lab/standin/UdpRelay.java
+++ b/src/main/java/passhatch/lab/standin/UdpRelay.java
@@ -31,52 +31,56 @@
 public final class UdpRelay implements Closeable {
 
     /** The most bytes of a datagram on the platform. */
-    public static final int MOST_BYTES = 256;
+    public static final int MAX_DATAGRAM_BYTES = 256;
 
     /**
      * What happens to datagrams. Shares are from 0 to 1; each datagram draws for itself.
      *
-     * @param lost share that never arrives
-     * @param doubled share that arrives twice
-     * @param cut share of which only the first half arrives
-     * @param reordered share that later ones overtake: it is held for ten times the delay and 20 ms
+     * @param lossRate share that never arrives
+     * @param duplicateRate share that arrives twice
+     * @param truncateRate share of which only the first half arrives
+     * @param reorderRate share that later ones overtake: it is held for ten times the delay and 20
+     *     ms
      * @param delayUs how late all arrive, in microseconds
      * @param jitterUs and up to so much more, drawn evenly
      */
-    public record Weather(
-            double lost,
-            double doubled,
-            double cut,
-            double reordered,
+    public record NetworkConditions(
+            double lossRate,
+            double duplicateRate,
+            double truncateRate,
+            double reorderRate,
             long delayUs,
             long jitterUs) {
         /** Nothing happens. */
-        public static final Weather FAIR = new Weather(0, 0, 0, 0, 0, 0);
+        public static final NetworkConditions UNIMPAIRED = new NetworkConditions(0, 0, 0, 0, 0, 0);
     }
 
     private record Link(int from, int to) {}
 
-    private record Due(long atNs, long number, Link link, byte[] bytes) {}
+    private record DelayedDatagram(long dueNs, long sequenceNumber, Link link, byte[] bytes) {}
 
     private final Selector selector = Selector.open();
     private final UniformRandomProvider random;
     private final int members;
     private final DatagramChannel[][] sockets;
-    private final InetSocketAddress[] listens;
-    private final PriorityQueue<Due> late =
-            new PriorityQueue<>(Comparator.comparingLong(Due::atNs).thenComparingLong(Due::number));
-    private final AtomicReference<Weather> weather = new AtomicReference<>(Weather.FAIR);
-    private final AtomicReference<BiPredicate<Integer, Integer>> passes =
+    private final InetSocketAddress[] listenAddresses;
+    private final PriorityQueue<DelayedDatagram> delayed =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(DelayedDatagram::dueNs)
+                            .thenComparingLong(DelayedDatagram::sequenceNumber));
+    private final AtomicReference<NetworkConditions> conditions =
+            new AtomicReference<>(NetworkConditions.UNIMPAIRED);
+    private final AtomicReference<BiPredicate<Integer, Integer>> connectivity =
             new AtomicReference<>((a, b) -> true);
-    private final LongAdder carried = new LongAdder();
+    private final LongAdder delivered = new LongAdder();
     private final LongAdder dropped = new LongAdder();
-    private final LongAdder tooLong = new LongAdder();
+    private final LongAdder oversized = new LongAdder();
     private final Thread thread = new Thread(this::run, "relay");
-    private long number;
+    private long nextSequenceNumber;
 
     /**
      * Opens a socket for each ordered pair of members; their listening addresses come by {@link
-     * #listens}.
+     * #listenAddresses}.
      *
      * @throws IOException where there are not enough descriptors or ports
      */
@@ -84,7 +88,7 @@
         this.members = members;
         this.random = random;
         this.sockets = new DatagramChannel[members][members];
-        this.listens = new InetSocketAddress[members];
+        this.listenAddresses = new InetSocketAddress[members];
         for (int from = 0; from < members; from++) {
             for (int to = 0; to < members; to++) {
                 DatagramChannel socket = DatagramChannel.open();
@@ -99,8 +103,8 @@
     }
 
     /** Where a member receives. */
-    public synchronized void listens(int member, InetSocketAddress at) {
-        listens[member] = at;
+    public synchronized void setListenAddress(int member, InetSocketAddress address) {
+        listenAddresses[member] = address;
     }
 
     /** The addresses of all members as one of them sees them, by their numbers. */
@@ -113,18 +117,18 @@
     }
 
     /** What happens to datagrams from now on. */
-    public void weather(Weather now) {
-        weather.set(now);
+    public void setConditions(NetworkConditions newConditions) {
+        conditions.set(newConditions);
     }
 
     /** Which ordered pairs of members reach each other from now on. */
-    public void connected(BiPredicate<Integer, Integer> pairs) {
-        passes.set(pairs);
+    public void setConnectivity(BiPredicate<Integer, Integer> newConnectivity) {
+        connectivity.set(newConnectivity);
     }
 
     /** Datagrams that arrived, one that was doubled twice. */
-    public long carried() {
-        return carried.sum();
+    public long delivered() {
+        return delivered.sum();
     }
 
     /** Datagrams that never arrived, by a fault or as their receiver is not there. */
@@ -133,8 +137,8 @@
     }
 
     /** Datagrams that the platform would not have allowed. */
-    public long tooLong() {
-        return tooLong.sum();
+    public long oversized() {
+        return oversized.sum();
     }
 
     private void run() {
@@ -142,84 +146,87 @@
         try {
             while (selector.isOpen()) {
                 long waitMs =
-                        late.isEmpty()
+                        delayed.isEmpty()
                                 ? 0
                                 : Math.max(
                                         1,
                                         TimeUnit.NANOSECONDS.toMillis(
-                                                        late.peek().atNs() - System.nanoTime())
+                                                        delayed.peek().dueNs() - System.nanoTime())
                                                 + 1);
-                selector.select(key -> take(key, buffer), waitMs);
-                while (!late.isEmpty() && late.peek().atNs() <= System.nanoTime()) {
-                    deliver(late.poll());
+                selector.select(key -> receive(key, buffer), waitMs);
+                while (!delayed.isEmpty() && delayed.peek().dueNs() <= System.nanoTime()) {
+                    deliver(delayed.poll());
                 }
             }
-        } catch (IOException | ClosedSelectorException over) {
+        } catch (IOException | ClosedSelectorException closed) {
             // It was closed.
         }
     }
 
-    private void take(SelectionKey key, ByteBuffer buffer) {
+    private void receive(SelectionKey key, ByteBuffer buffer) {
         Link link = (Link) key.attachment();
         try {
             DatagramChannel socket = (DatagramChannel) key.channel();
             for (buffer.clear(); socket.receive(buffer) != null; buffer.clear()) {
                 route(link, Arrays.copyOf(buffer.array(), buffer.position()));
             }
-        } catch (IOException broken) {
+        } catch (IOException socketError) {
             // One socket's error, as of a receiver that is not there, is a datagram lost.
             dropped.increment();
         }
     }
 
     private void route(Link link, byte[] bytes) {
-        Weather now = weather.get();
-        if (bytes.length > MOST_BYTES) {
-            tooLong.increment();
+        NetworkConditions current = conditions.get();
+        if (bytes.length > MAX_DATAGRAM_BYTES) {
+            oversized.increment();
             return;
         }
-        if (!passes.get().test(link.from(), link.to()) || random.nextDouble() < now.lost()) {
+        if (!connectivity.get().test(link.from(), link.to())
+                || random.nextDouble() < current.lossRate()) {
             dropped.increment();
             return;
         }
-        byte[] whole =
-                random.nextDouble() < now.cut() ? Arrays.copyOf(bytes, bytes.length / 2) : bytes;
-        int copies = random.nextDouble() < now.doubled() ? 2 : 1;
+        byte[] payload =
+                random.nextDouble() < current.truncateRate()
+                        ? Arrays.copyOf(bytes, bytes.length / 2)
+                        : bytes;
+        int copies = random.nextDouble() < current.duplicateRate() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            long delayUs = now.delayUs() + (long) (random.nextDouble() * now.jitterUs());
-            if (random.nextDouble() < now.reordered()) {
+            long delayUs = current.delayUs() + (long) (random.nextDouble() * current.jitterUs());
+            if (random.nextDouble() < current.reorderRate()) {
                 delayUs = 10 * delayUs + 20_000;
             }
-            Due due =
-                    new Due(
+            DelayedDatagram datagram =
+                    new DelayedDatagram(
                             System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(delayUs),
-                            number++,
+                            nextSequenceNumber++,
                             link,
-                            whole);
+                            payload);
             if (delayUs == 0) {
-                deliver(due);
+                deliver(datagram);
             } else {
-                late.add(due);
+                delayed.add(datagram);
             }
         }
     }
 
     /** From the receiver's address of the sender, so that it can tell who spoke. */
-    private void deliver(Due due) {
+    private void deliver(DelayedDatagram datagram) {
         InetSocketAddress to;
         synchronized (this) {
-            to = listens[due.link().to()];
+            to = listenAddresses[datagram.link().to()];
         }
         try {
             if (to == null
-                    || sockets[due.link().to()][due.link().from()].send(
-                                    ByteBuffer.wrap(due.bytes()), to)
+                    || sockets[datagram.link().to()][datagram.link().from()].send(
+                                    ByteBuffer.wrap(datagram.bytes()), to)
                             == 0) {
                 dropped.increment();
             } else {
-                carried.increment();
+                delivered.increment();
             }
-        } catch (IOException gone) {
+        } catch (IOException sendFailed) {
             dropped.increment();
         }
     }
--- a/src/test/java/passhatch/agent/ChangesStoreTest.java
+++ b/src/test/java/passhatch/agent/ChangesStoreTest.java
@@ -148,10 +148,10 @@
         List<LogEntry> all = randomLog();
         FaultyDisk faultless = new FaultyDisk(CAPACITY);
         new Run(faultless, role).runSteps(all, new Seeds(9).stream("work"));
-        assertTrue(faultless.calls() > STEPS, "calls " + faultless.calls());
-        for (long call = 0; call < faultless.calls(); call++) {
+        assertTrue(faultless.changingCalls() > STEPS, "calls " + faultless.changingCalls());
+        for (long call = 0; call < faultless.changingCalls(); call++) {
             FaultyDisk disk = new FaultyDisk(CAPACITY);
-            disk.faultAt(call, Fault.STOP_AFTER);
+            disk.injectFaultAt(call, Fault.STOP_AFTER);
             Run run = null;
             try {
                 run = new Run(disk, role);
--- a/src/test/java/passhatch/lab/drill/ChangesFaultsIT.java
+++ b/src/test/java/passhatch/lab/drill/ChangesFaultsIT.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import passhatch.lab.Seeds;
-import passhatch.lab.standin.UdpRelay.Weather;
+import passhatch.lab.standin.UdpRelay.NetworkConditions;
 
 /** Changes go on while agents are killed and held, datagrams get lost, and zones are cut off. */
 @Tag("long")
@@ -30,7 +30,8 @@
     private static final int FAULTS = 40;
     private static final long PATIENCE_MS = 60_000;
     private static final long FAULT_MS = 3_000;
-    private static final Weather BAD = new Weather(0.1, 0.05, 0.02, 0.05, 1_000, 5_000);
+    private static final NetworkConditions BAD =
+            new NetworkConditions(0.1, 0.05, 0.02, 0.05, 1_000, 5_000);
 
     @TempDir private Path folder;
     private ChangesField field;
@@ -73,8 +74,8 @@
             case 0 -> agent.child().signal("KILL");
             case 1 -> agent.child().signal("STOP");
             default -> {
-                field.changesRelay().connected((a, b) -> a != victim && b != victim);
-                field.fleetRelay().connected((a, b) -> a != victim && b != victim);
+                field.changesRelay().setConnectivity((a, b) -> a != victim && b != victim);
+                field.fleetRelay().setConnectivity((a, b) -> a != victim && b != victim);
             }
         }
         Thread.sleep(FAULT_MS);
@@ -82,8 +83,8 @@
             agent.child().start();
         }
         agent.child().signal("CONT");
-        field.changesRelay().connected((a, b) -> true);
-        field.fleetRelay().connected((a, b) -> true);
+        field.changesRelay().setConnectivity((a, b) -> true);
+        field.fleetRelay().setConnectivity((a, b) -> true);
         ChangesField.await(
                 () -> field.version(victim) >= 0,
                 PATIENCE_MS,
@@ -102,14 +103,14 @@
             Future<?> writing = threads.submit(writer);
             Future<?> watching = threads.submit(watch);
             for (int fault = 0; fault < FAULTS; fault++) {
-                Weather weather = fault % 2 == 0 ? Weather.FAIR : BAD;
-                field.changesRelay().weather(weather);
+                NetworkConditions weather = fault % 2 == 0 ? NetworkConditions.UNIMPAIRED : BAD;
+                field.changesRelay().setConditions(weather);
                 int victim = victim(fault, random);
                 writer.disturbed().add(victim);
                 disturb(fault, victim);
                 writer.disturbed().remove(victim);
             }
-            field.changesRelay().weather(Weather.FAIR);
+            field.changesRelay().setConditions(NetworkConditions.UNIMPAIRED);
             writer.end();
             watch.over = true;
             writing.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
--- a/src/test/java/passhatch/lab/drill/ChangesIT.java
+++ b/src/test/java/passhatch/lab/drill/ChangesIT.java
@@ -106,7 +106,7 @@
     }
 
     private void restartWithoutSources(int subscriber, String value) throws Exception {
-        field.changesRelay().connected((a, b) -> a != subscriber && b != subscriber);
+        field.changesRelay().setConnectivity((a, b) -> a != subscriber && b != subscriber);
         AgentChild agent = field.agent(subscriber);
         agent.child().signal("KILL");
         assertTrue(agent.child().awaitEnd(PATIENCE_MS));
@@ -118,7 +118,7 @@
                 () -> Files.exists(field.published(subscriber)), PATIENCE_MS, "no values file");
         String published = Files.readString(field.published(subscriber));
         assertTrue(published.contains("\"" + KEY + "\":\"" + value + "\""), published);
-        field.changesRelay().connected((a, b) -> true);
+        field.changesRelay().setConnectivity((a, b) -> true);
     }
 
     @Test
--- a/src/test/java/passhatch/lab/drill/DrainIT.java
+++ b/src/test/java/passhatch/lab/drill/DrainIT.java
@@ -43,7 +43,7 @@
     /** As {@link #drainUntold}, of a backend that goes on accepting. */
     private void drainAcceptingUntold(long toldAfterMs) {
         BackendServer draining = field.backends.get(0);
-        draining.drainAndAccept(toldAfterMs);
+        draining.drainWhileAccepting(toldAfterMs);
         list(draining.name(), "DRAINING");
     }
 
@@ -68,11 +68,11 @@
         fault("do = 'start', target = 'proxy-1'");
         await("an answer", () -> ask() != 0);
         serveFor(TOLD_AFTER_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
         fault("do = 'relieve'");
         await("service by the list of discovery", () -> ask() == 200);
         serveFor(BEYOND_MS);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
     }
 
     @Test
@@ -82,11 +82,11 @@
         fault("do = 'stall'");
         drainAcceptingUntold(TOLD_AFTER_MS);
         serveFor(TOLD_AFTER_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
         fault("do = 'resume'");
         await("service by the list of discovery", () -> ask() == 200);
         serveFor(BEYOND_MS);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
     }
 
     @Test
@@ -96,23 +96,23 @@
         fault("do = 'break'");
         drainUntold();
         serveFor(TOLD_AFTER_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
         await("the drain", () -> proxy.ask("vars").contains("hosts_down 1"));
     }
 
     @Test
     void aDrainThatAWatchHadNotToldWhenItEndedCountsFromTheMoveBefore() throws Exception {
         assertEquals(200, ask());
-        long answers = field.discovery.answers();
+        long answers = field.discovery.answeredCalls();
         moveDiscovery();
-        await("an answer there", () -> field.discovery.answers() > answers);
+        await("an answer there", () -> field.discovery.answeredCalls() > answers);
         fault("do = 'tell_late', by = '1h'");
         drainAcceptingUntold(TOLD_AFTER_MOVE_MS);
         serveFor(EMPTY_LINE_EVERY_MS);
         fault("do = 'overload'");
         fault("do = 'break'");
         serveFor(TOLD_AFTER_MOVE_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
     }
 
     @Test
@@ -126,21 +126,21 @@
             serveFor(1_500);
         }
         serveFor(TOLD_AFTER_MOVE_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
     }
 
     @Test
     void aMoveShortlyBeforeASilentWatchIsGivenUpDoesNotMakeTheListNewer() throws Exception {
         assertEquals(200, ask());
-        long answers = field.discovery.answers();
+        long answers = field.discovery.answeredCalls();
         fault("do = 'break'");
-        await("a new watch", () -> field.discovery.answers() > answers);
+        await("a new watch", () -> field.discovery.answeredCalls() > answers);
         fault("do = 'stall'");
         drainAcceptingUntold(TOLD_AFTER_MS);
         serveFor(SILENT_BEFORE_MOVE_MS);
         moveDiscovery();
         serveFor(TOLD_AFTER_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
     }
 
     @Test
@@ -149,9 +149,9 @@
         String older = new ObjectMapper().writeValueAsString(field.discovery.snapshot());
         drainAcceptingUntold(0);
         await("the drain", () -> proxy.ask("vars").contains("hosts_down 1"));
-        field.discovery.say(older);
+        field.discovery.sendLine(older);
         serveFor(BEYOND_MS);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
     }
 
     @Test
@@ -159,9 +159,9 @@
         assertEquals(200, ask());
         fault("do = 'tell_late', by = '1h'");
         drainAcceptingUntold(0);
-        field.discovery.say("{\"index\":2,\"snapshot\":false,\"endpoints\":[{\"name\":\"back");
+        field.discovery.sendLine("{\"index\":2,\"snapshot\":false,\"endpoints\":[{\"name\":\"back");
         serveFor(EMPTY_LINE_EVERY_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
         await("the drain", () -> proxy.ask("vars").contains("hosts_down 1"));
     }
 
@@ -186,6 +186,6 @@
         fault("do = 'overload'");
         fault("do = 'break'");
         serveFor(TOLD_AFTER_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
     }
 }
--- a/src/test/java/passhatch/lab/drill/DutyIT.java
+++ b/src/test/java/passhatch/lab/drill/DutyIT.java
@@ -126,7 +126,7 @@
             switch (fault) {
                 case 0 -> agent.child().signal("KILL");
                 case 1 -> agent.child().signal("STOP");
-                case 2 -> field.relay().connected((a, b) -> a != held && b != held);
+                case 2 -> field.relay().setConnectivity((a, b) -> a != held && b != held);
                 default ->
                         assertEquals("done\n", agent.ask("give-up drill m" + (held + 1) % AGENTS));
             }
@@ -138,7 +138,7 @@
             } else if (fault == 1) {
                 agent.child().signal("CONT");
             }
-            field.relay().connected((a, b) -> true);
+            field.relay().setConnectivity((a, b) -> true);
             awaitAll();
         }
         assertEquals(List.of(), log.faults());
--- a/src/test/java/passhatch/lab/drill/FaultsIT.java
+++ b/src/test/java/passhatch/lab/drill/FaultsIT.java
@@ -71,7 +71,7 @@
         await("an answer", () -> ask() == 200);
         fault("do = 'drain', target = 'backend-1'");
         await("that it is sent nothing more", () -> ask() != 200);
-        assertEquals(0, field.ledger.drainBroken());
+        assertEquals(0, field.ledger.attemptsAfterDrain());
     }
 
     @Test
--- a/src/test/java/passhatch/lab/drill/JudgeTest.java
+++ b/src/test/java/passhatch/lab/drill/JudgeTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import org.junit.jupiter.api.Test;
-import passhatch.lab.load.TallyOf;
+import passhatch.lab.load.LoadStatsFixtures;
 
 class JudgeTest {
 
     /** Forty requests a step; the string has a letter a step: s all served, h half, n none. */
     private static Long recovery(String steps, long atMs, long untilMs) {
-        return Judge.recovery(TallyOf.steps(steps, 40), atMs, untilMs);
+        return Judge.recovery(LoadStatsFixtures.steps(steps, 40), atMs, untilMs);
     }
 
     @Test
--- a/src/test/java/passhatch/lab/drill/MembershipIT.java
+++ b/src/test/java/passhatch/lab/drill/MembershipIT.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import passhatch.lab.standin.UdpRelay.Weather;
+import passhatch.lab.standin.UdpRelay.NetworkConditions;
 
 /**
  * The cases of docs/membership.md with ten real processes and the relay between them. Among the
@@ -108,14 +108,14 @@
     @Test
     void partitionsInTwoAndInThreeHeal() throws Exception {
         for (int parts : new int[] {2, 3}) {
-            field.relay().connected((a, b) -> a % parts == b % parts);
+            field.relay().setConnectivity((a, b) -> a % parts == b % parts);
             for (int side = 0; side < parts; side++) {
                 int s = side;
                 List<Integer> inside = all().stream().filter(i -> i % parts == s).toList();
                 List<Integer> outside = all().stream().filter(i -> i % parts != s).toList();
                 await(() -> field.allSee(inside, field.view("alive", outside, "failed")), SOON_S);
             }
-            field.relay().connected((a, b) -> true);
+            field.relay().setConnectivity((a, b) -> true);
             awaitAllAlive(SOON_S);
         }
     }
@@ -125,17 +125,17 @@
      */
     @Test
     void badNetworksAccuseNobody() throws Exception {
-        field.relay().connected((a, b) -> !(a == 1 && b == 2));
-        field.relay().weather(new Weather(0.2, 0.2, 0.05, 0.05, 1_000, 2_000));
+        field.relay().setConnectivity((a, b) -> !(a == 1 && b == 2));
+        field.relay().setConditions(new NetworkConditions(0.2, 0.2, 0.05, 0.05, 1_000, 2_000));
         long before = ask(2).get("received").longValue();
         await(() -> ask(2).get("received").longValue() > before + 300, 2 * SOON_S);
         assertTrue(ask(2).get("dropped").get("checksum").longValue() > 0, "cut datagrams are told");
         for (int i = 0; i < AGENTS; i++) {
             assertEquals(0, failuresTold(i));
         }
-        field.relay().weather(Weather.FAIR);
+        field.relay().setConditions(NetworkConditions.UNIMPAIRED);
         awaitAllAlive(SOON_S);
-        assertEquals(0, field.relay().tooLong());
+        assertEquals(0, field.relay().oversized());
     }
 
     /**
--- a/src/test/java/passhatch/lab/drill/OneProxyDrill.java
+++ b/src/test/java/passhatch/lab/drill/OneProxyDrill.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 import passhatch.lab.Seeds;
-import passhatch.lab.load.Front;
+import passhatch.lab.load.ProxyPool;
 import passhatch.lab.standin.DiscoveryServer;
 
 /** One real process of the packaged program before backends and discovery that fail on demand. */
@@ -64,7 +64,8 @@
         proxy = field.proxies.get(0);
         events = new EventFile(folder.resolve("events.jsonl"));
         faults =
-                new FaultRunner(scenario, field, new Front(List.of(proxy.listen())), events, timer);
+                new FaultRunner(
+                        scenario, field, new ProxyPool(List.of(proxy.listen())), events, timer);
     }
 
     @AfterEach
@@ -112,7 +113,7 @@
 
     /** Discovery moves, and the proxy is told by SIGHUP. */
     void moveDiscovery() throws IOException, InterruptedException {
-        proxy.moveDiscovery(field.discovery.move());
+        proxy.moveDiscovery(field.discovery.changeAddress());
     }
 
     int listed() {
@@ -128,7 +129,7 @@
     void list(String name, String status) {
         field.discovery.update(
                 List.of(
-                        new DiscoveryServer.Entry(
+                        new DiscoveryServer.Endpoint(
                                 name, field.backends.get(0).address(), status, 0)));
     }
 }
--- a/src/test/java/passhatch/lab/load/LoadTest.java
+++ b/src/test/java/passhatch/lab/load/LoadGeneratorTest.java
@@ -11,24 +11,24 @@
 import org.junit.jupiter.api.Test;
 import passhatch.lab.Seeds;
 import passhatch.lab.standin.BackendServer;
-import passhatch.lab.standin.Ledger;
+import passhatch.lab.standin.RequestLedger;
 import passhatch.lab.standin.ServiceTime;
 
 /** The load tool against a stand-in alone. */
-class LoadTest {
+class LoadGeneratorTest {
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Ledger ledger = new Ledger();
+    private final RequestLedger ledger = new RequestLedger();
     private BackendServer backend;
-    private Front front;
+    private ProxyPool proxies;
 
     @BeforeEach
     void start() throws Exception {
         backend =
                 new BackendServer(
                         "b",
-                        new BackendServer.Shape(
+                        new BackendServer.Capacity(
                                 64,
                                 64,
                                 1_000,
@@ -40,8 +40,8 @@
                         ledger,
                         new Seeds(1).stream("b"));
         backend.start();
-        front = new Front(List.of(backend.address()));
-        front.admit(0, true);
+        proxies = new ProxyPool(List.of(backend.address()));
+        proxies.setAdmitted(0, true);
     }
 
     @AfterEach
@@ -50,34 +50,35 @@
         group.shutdownGracefully();
     }
 
-    private Tally give(int retries, Runnable inTheMiddle) throws InterruptedException {
+    private LoadStats runLoad(int maxRetries, Runnable duringLoad) throws InterruptedException {
         LoadPlan plan =
                 new LoadPlan(
                         400,
                         true,
                         1_500,
-                        retries,
+                        maxRetries,
                         16,
                         1,
                         List.of(
-                                new LoadPlan.Kind("a", LoadPlan.Effect.SAFE, 1, 800_000),
-                                new LoadPlan.Kind("b", LoadPlan.Effect.UNSAFE, 1, 800_000)));
-        try (Load load = new Load(plan, front, new Seeds(3))) {
-            load.begin(System.nanoTime());
-            while (load.soFar()[0] < 200) {
+                                new LoadPlan.RequestClass("a", LoadPlan.Effect.SAFE, 1, 800_000),
+                                new LoadPlan.RequestClass(
+                                        "b", LoadPlan.Effect.UNSAFE, 1, 800_000)));
+        try (LoadGenerator load = new LoadGenerator(plan, proxies, new Seeds(3))) {
+            load.start(System.nanoTime());
+            while (load.completedAndServed()[0] < 200) {
                 Thread.sleep(5);
             }
-            inTheMiddle.run();
+            duringLoad.run();
             return load.await();
         }
     }
 
     @Test
-    void countsEachRequestOnceAndServedOnesAsServed() throws Exception {
-        Tally tally = give(0, () -> {});
-        assertEquals(600, tally.offered(), 1);
-        assertEquals(tally.offered(), tally.count(Outcome.SERVED));
-        assertEquals(tally.offered(), ledger.attempts());
+    void countsEachRequestOnce() throws Exception {
+        LoadStats stats = runLoad(0, () -> {});
+        assertEquals(600, stats.offered(), 1);
+        assertEquals(stats.offered(), stats.count(Outcome.SERVED));
+        assertEquals(stats.offered(), ledger.attempts());
     }
 
     /**
@@ -85,9 +86,9 @@
      * the mean.
      */
     @Test
-    void aStallIsNotLeftOutOfTheLatency() throws Exception {
-        Tally tally =
-                give(
+    void latencyIncludesServerStall() throws Exception {
+        LoadStats stats =
+                runLoad(
                         0,
                         () ->
                                 group.next()
@@ -97,28 +98,30 @@
                                                         Thread.sleep(
                                                                 400); // the stand-in's only thread
                                                         // is the one that stalls
-                                                    } catch (InterruptedException stop) {
+                                                    } catch (InterruptedException interrupted) {
                                                         Thread.currentThread().interrupt();
                                                     }
                                                 }));
-        long felt = tally.latencyUs().getCountBetweenValues(100_000, 10_000_000);
-        assertTrue(felt >= 0.2 * 400 && felt <= 0.5 * 400, felt + " requests took over 100 ms");
+        long delayedRequests = stats.latencyUs().getCountBetweenValues(100_000, 10_000_000);
+        assertTrue(
+                delayedRequests >= 0.2 * 400 && delayedRequests <= 0.5 * 400,
+                delayedRequests + " requests took over 100 ms");
     }
 
     @Test
-    void whatAKilledProcessLeavesUnansweredIsCutAndElseItIsLost() throws Exception {
-        backend.health(BackendServer.Health.RESETTING, 1);
-        assertTrue(give(0, () -> {}).count(Outcome.LOST) > 500);
-        front.hurt(0, true);
-        assertTrue(give(0, () -> {}).count(Outcome.CUT) > 500);
+    void unansweredRequestIsCutIfProxyIsFaultyElseLost() throws Exception {
+        backend.setHealth(BackendServer.Health.RESETTING, 1);
+        assertTrue(runLoad(0, () -> {}).count(Outcome.LOST) > 500);
+        proxies.setFaulty(0, true);
+        assertTrue(runLoad(0, () -> {}).count(Outcome.CUT) > 500);
     }
 
     @Test
-    void onlyWhatMayBeRepeatedIsTriedAgain() throws Exception {
-        backend.health(BackendServer.Health.FAILING, 1);
-        Tally tally = give(1, () -> {});
-        assertEquals(tally.offered() / 2.0, tally.retries(), 80, "the safe ones");
-        assertEquals(tally.offered(), tally.count(Outcome.FAILED));
+    void retriesOnlyRepeatableRequests() throws Exception {
+        backend.setHealth(BackendServer.Health.FAILING, 1);
+        LoadStats stats = runLoad(1, () -> {});
+        assertEquals(stats.offered() / 2.0, stats.clientRetries(), 80, "the safe ones");
+        assertEquals(stats.offered(), stats.count(Outcome.FAILED));
         assertEquals(0, ledger.duplicates());
     }
 }
--- a/src/test/java/passhatch/lab/sim/EventQueueTest.java
+++ b/src/test/java/passhatch/lab/sim/EventQueueTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void takesEventsByTime() {
+    void pollsEventsInOrderOfTime() {
         queue.scheduleAt(3_000, "third");
         queue.scheduleAt(1_500, "first");
         queue.scheduleAfter(1_000, "second");
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void takesEventsOfTheSameTimeInTheOrderInWhichTheyWereScheduled() {
+    void pollsSimultaneousEventsInOrderOfScheduling() {
         List<String> expected = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             queue.scheduleAt(2_000, "event" + i);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void anEventMayScheduleAnotherForTheSameTime() {
+    void eventMayScheduleAnotherAtTheSameTime() {
         queue.scheduleAt(2_000, "first");
         queue.scheduleAt(2_000, "second");
         assertEquals("first", queue.pollUntil(2_000));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void takesNothingThatIsLaterThanTheLimit() {
+    void pollsNothingAfterTheLimit() {
         queue.scheduleAt(2_000, "event");
         assertNull(queue.pollUntil(1_999));
         assertEquals(START_US, queue.nowUs());
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void timeDoesNotRunBackwards() {
+    void clockNeverRunsBackwards() {
         queue.scheduleAt(2_000, "event");
         assertThrows(IllegalArgumentException.class, () -> queue.scheduleAt(START_US - 1, "past"));
         assertThrows(IllegalArgumentException.class, () -> queue.scheduleAfter(-1, "past"));
@@ -82,7 +82,7 @@
 
     /** Times collide often, and the queue grows and shrinks over several of its capacities. */
     @Test
-    void takesRandomEventsInTheOrderOfASortedReference() {
+    void pollsRandomEventsInTheOrderOfASortedReference() {
         SplittableRandom random = new SplittableRandom(11);
         PriorityQueue<Expected> reference =
                 new PriorityQueue<>(
--- a/src/test/java/passhatch/store/CrashTest.java
+++ b/src/test/java/passhatch/store/CrashTest.java
@@ -93,12 +93,12 @@
             Fault fault, boolean forgetful, int operations) throws StoreException {
         FaultyDisk whole = new FaultyDisk(CAPACITY);
         runWorkload(whole, new Model(), operations);
-        assertTrue(whole.calls() > 3L * operations, "the workload is too small");
+        assertTrue(whole.changingCalls() > 3L * operations, "the workload is too small");
         int broken = 0;
-        for (long k = 0; k < whole.calls(); k++) {
+        for (long k = 0; k < whole.changingCalls(); k++) {
             FaultyDisk disk = new FaultyDisk(CAPACITY);
-            disk.forgetfulForce(forgetful);
-            disk.faultAt(k, fault);
+            disk.ignoreForce(forgetful);
+            disk.injectFaultAt(k, fault);
             Model model = new Model();
             try {
                 runWorkload(disk, model, operations);
@@ -164,7 +164,7 @@
             for (int at = 0; at < size; at++) {
                 for (int bit = at % 3; bit < 8; bit += 3) {
                     FaultyDisk flipped = disk.copy();
-                    flipped.flip(name, at, bit);
+                    flipped.flipBit(name, at, bit);
                     List<Entry> found = new ArrayList<>();
                     try {
                         RecordLog.open(flipped, OWNER, found::add);
