--- a/src/main/java/passhatch/lab/LabLog.java
+++ b/src/main/java/passhatch/lab/LabLog.java
@@ -8,14 +8,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Where the tools' own log goes: one line of JSON an event. */
+/** Directs the log of the lab tools to a file, with one line of JSON per event. */
 public final class LabLog {
 
     private static final String APPENDER_NAME = "file";
 
     private LabLog() {}
 
-    /** Sends it to a file from now on, instead of the one before. */
+    /** Writes the log to a file from now on and closes the previous file, if any. */
     public static void redirectTo(Path file) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         var root = context.getLogger(Logger.ROOT_LOGGER_NAME);
--- a/src/main/java/passhatch/lab/Main.java
+++ b/src/main/java/passhatch/lab/Main.java
@@ -9,7 +9,7 @@
 import passhatch.lab.scale.ScaleCommand;
 import picocli.CommandLine;
 
-/** Where the tools start: the program's own commands, and those that only the lab has. */
+/** Entry point of the lab tools: the commands of the program itself and those of the lab. */
 public final class Main {
 
     private Main() {}
--- a/src/main/java/passhatch/lab/ProgramJar.java
+++ b/src/main/java/passhatch/lab/ProgramJar.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import passhatch.agent.config.InvalidInputException;
 
-/** The packaged program that the tools start as processes. */
+/** Finds the packaged program, which the lab tools start as child processes. */
 public final class ProgramJar {
 
     private static final String FILE_NAME = "passhatch.jar";
@@ -13,15 +13,16 @@
     private ProgramJar() {}
 
     /**
-     * The given file, or the one beside this tool where none is given.
+     * Returns the absolute path of the given file or, if it is null, of the one beside the lab's
+     * jar.
      *
-     * @throws InvalidInputException where there is no such file
+     * @throws InvalidInputException if the file does not exist
      */
     public static Path find(Path given) {
         Path jar = given != null ? given : besideLabJar();
         if (!Files.isRegularFile(jar)) {
             throw new InvalidInputException(
-                    jar + ": there is no such program; build it, or name it with --jar");
+                    jar + ": no such program; build it, or name another with --jar");
         }
         return jar.toAbsolutePath();
     }
--- a/src/main/java/passhatch/lab/Seeds.java
+++ b/src/main/java/passhatch/lab/Seeds.java
@@ -5,21 +5,25 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Random streams of one seed, one for each component: a further draw in one shifts no other. */
+/**
+ * Random streams derived from one seed, one for each component: a further draw from one stream does
+ * not change the others.
+ */
 public final class Seeds {
 
     private final long seed;
 
-    /** The streams of this seed. */
+    /** Creates the streams of a seed. */
     public Seeds(long seed) {
         this.seed = seed;
     }
 
-    /** The stream of a component; the same name gives the same stream. */
+    /** Returns a new stream for a component; the same name gives the same sequence. */
     public UniformRandomProvider stream(String component) {
         CRC32C crc = new CRC32C();
         crc.update(component.getBytes(StandardCharsets.UTF_8));
-        // Mixed first: this generator's first draws are alike for seeds that differ in a few bits.
+        // The seed is mixed first, as the first draws of XoRoShiRo128++ are similar for seeds that
+        // differ in only a few bits.
         UniformRandomProvider mixed = RandomSource.SPLIT_MIX_64.create(seed ^ crc.getValue() << 32);
         return RandomSource.XO_RO_SHI_RO_128_PP.create(
                 new long[] {mixed.nextLong(), mixed.nextLong()});
--- a/src/main/java/passhatch/lab/StoreBench.java
+++ b/src/main/java/passhatch/lab/StoreBench.java
@@ -24,14 +24,14 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Measures the store on a real folder: writing beside a plain write and force, and opening a full
- * one.
+ * Measures the store in a real folder: the rate of group commits compared with that of plain writes
+ * with a force, and the time to open a filled store.
  */
 @Command(
         name = "store-bench",
         mixinStandardHelpOptions = true,
         description =
-                "Measures the store's writing and recovery in a new folder, which is left there.")
+                "Measures writing to the store and its recovery in a new folder, which is kept.")
 final class StoreBench implements Callable<Integer> {
 
     private static final int PLAIN_WRITES = 200;
@@ -39,31 +39,31 @@
 
     @Spec private CommandSpec spec;
 
-    @Parameters(paramLabel = "DIR", description = "A folder that is not there yet.")
+    @Parameters(paramLabel = "DIR", description = "A folder that does not exist yet.")
     private Path folder;
 
     @Option(
             names = "--records",
             defaultValue = "20000",
-            description = "How many to write (${DEFAULT-VALUE}).")
+            description = "How many records to write (${DEFAULT-VALUE}).")
     private int records;
 
     @Option(
             names = "--bytes",
             defaultValue = "100",
-            description = "Of each record (${DEFAULT-VALUE}).")
+            description = "Size of each record (${DEFAULT-VALUE}).")
     private int bytes;
 
     @Option(
             names = "--threads",
             defaultValue = "32",
-            description = "That write at a time (${DEFAULT-VALUE}).")
+            description = "How many threads write at the same time (${DEFAULT-VALUE}).")
     private int threads;
 
     @Override
     public Integer call() throws IOException, StoreException, InterruptedException {
         if (Files.exists(folder)) {
-            throw new InvalidInputException(folder + ": is there already");
+            throw new InvalidInputException(folder + ": already exists");
         }
         PrintWriter out = spec.commandLine().getOut();
         out.printf(
--- a/src/main/java/passhatch/lab/disk/FaultyDisk.java
+++ b/src/main/java/passhatch/lab/disk/FaultyDisk.java
@@ -14,23 +14,23 @@
 import passhatch.store.Disk;
 
 /**
- * A disk in memory that loses what was not forced. At a power loss each write that was not forced
- * survives or not, whole or torn at any byte, in any order; of the changes of names that were not
- * forced a first part survives, as a file system's journal keeps them in order. It can stop the
- * process at any call, fail a call with an error, run full, and flip bits.
+ * An in-memory disk that can lose data that was not forced. At a power loss each unforced write
+ * survives or not, regardless of order, whole or torn at any byte. Of the unforced changes of names
+ * a prefix survives, as a file system's journal keeps them in order. The disk can also stop the
+ * process at any call, fail a call with an error, run full and flip bits.
  */
 public final class FaultyDisk implements Disk {
 
-    /** The process stops here: nothing that it holds in memory counts any more. */
+    /** Thrown to simulate that the process stops; its memory is then considered lost. */
     public static final class Stopped extends Error {
         private static final long serialVersionUID = 1L;
 
         private Stopped() {
-            super("stopped at a call of the disk", null, false, false);
+            super("stopped at a disk operation", null, false, false);
         }
     }
 
-    /** What happens at a chosen call. */
+    /** Fault injected at a chosen call. */
     public enum Fault {
         NONE,
         STOP_BEFORE,
@@ -39,11 +39,11 @@
         TORN_ERROR
     }
 
-    /** A file's bytes, with those that are on disk for sure apart from writes that are not. */
+    /** A file's durable bytes and, apart from them, the changes that were not forced yet. */
     private static final class FileState {
         byte[] durableBytes = {};
 
-        /** Writes and cuts since the last force, by their place; a cut has no bytes. */
+        /** Writes and truncations since the last force, in order; a truncation has no bytes. */
         final List<ContentChange> unforcedChanges = new ArrayList<>();
 
         byte[] currentBytes() {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** A write at a place, or a cut down to it. */
+    /** A write at an offset, or a truncation to that size. */
     private record ContentChange(int offset, byte[] bytes, boolean truncates) {
         byte[] applyTo(byte[] contents, int length) {
             if (truncates) {
@@ -67,14 +67,15 @@
         }
     }
 
-    /** A change of names: a file appears under a name, or none does. */
+    /** The file that a name refers to from now on; null if the name is removed. */
     private record NameChange(String name, FileState file) {}
 
     private final Map<String, FileState> files = new TreeMap<>();
     private final Map<String, FileState> durableNames = new TreeMap<>();
 
     /**
-     * Changes of names that belong together, as a rename's two, since the last force of the folder.
+     * Changes of names since the last force of the folder; those of one operation, such as the two
+     * of a rename, are grouped.
      */
     private final List<List<NameChange>> unforcedNameChanges = new ArrayList<>();
 
@@ -84,30 +85,31 @@
     private boolean ignoreForce;
     private long changingCalls;
 
-    /** An empty disk that holds so many bytes. */
+    /** Creates an empty disk with a capacity in bytes. */
     public FaultyDisk(long capacity) {
         this.capacity = capacity;
     }
 
-    /** What happens at the k-th call that changes something from now on, counted from 0. */
+    /** Injects a fault at one of the following calls that change the disk, counted from 0. */
     public void injectFaultAt(long callIndex, Fault newFault) {
         faultCall = changingCalls + callIndex;
         fault = newFault;
     }
 
-    /** Calls that changed something so far. */
+    /** Returns the number of calls so far that change the disk. */
     public long changingCalls() {
         return changingCalls;
     }
 
     /**
-     * Whether forcing does nothing though it says so: to see that a test would notice one left out.
+     * Sets whether forcing has no effect although it reports success, to check that a test notices
+     * an omitted force.
      */
     public void ignoreForce(boolean ignore) {
         ignoreForce = ignore;
     }
 
-    /** What is there after the power was lost: another disk, by the draws of a stream. */
+    /** Returns a new disk with what survives a power loss, drawn from a random stream. */
     public FaultyDisk afterPowerLoss(UniformRandomProvider random) {
         Map<String, FileState> names = new HashMap<>(durableNames);
         int survivingChanges = random.nextInt(unforcedNameChanges.size() + 1);
@@ -129,8 +131,8 @@
         byte[] bytes = file.durableBytes;
         int mode = random.nextInt(4);
         for (ContentChange change : file.unforcedChanges) {
-            // All of them, none, or each by itself: with the last alone the ends would hardly ever
-            // be seen.
+            // All changes survive, none does, or each is drawn separately, as separate draws alone
+            // would hardly ever produce the two extremes.
             boolean survives = mode == 0 || mode != 1 && random.nextBoolean();
             if (survives) {
                 int length =
@@ -150,7 +152,7 @@
         durableNames.put(name, file);
     }
 
-    /** Another disk with all that is there now, as if it had been forced. */
+    /** Returns a new disk with the current contents, as if all of it had been forced. */
     public FaultyDisk copy() {
         FaultyDisk copy = new FaultyDisk(capacity);
         files.forEach((name, file) -> copy.putDurable(name, file.currentBytes().clone()));
@@ -164,14 +166,14 @@
         putDurable(name, bytes);
     }
 
-    /** Puts any bytes in the place of a file. */
+    /** Replaces the contents of a file by the given bytes, which are durable at once. */
     public void overwrite(String name, byte[] bytes) {
         putDurable(name, bytes.clone());
     }
 
     // ---- the disk
 
-    /** The body of a call. */
+    /** An operation that changes the disk. */
     private interface Operation {
         void run() throws IOException;
     }
@@ -321,6 +323,6 @@
 
     @Override
     public void close() {
-        // What was written and not forced stays as unsure as it was.
+        // Unforced changes remain unforced.
     }
 }
--- a/src/main/java/passhatch/lab/disk/package-info.java
+++ b/src/main/java/passhatch/lab/disk/package-info.java
@@ -1,2 +1,2 @@
-/** A disk that fails, for the tests of what is kept on one. */
+/** An in-memory disk with injected faults, for tests of the store and its users. */
 package passhatch.lab.disk;
--- a/src/main/java/passhatch/lab/load/ClientChannel.java
+++ b/src/main/java/passhatch/lab/load/ClientChannel.java
@@ -22,7 +22,9 @@
 import java.util.Arrays;
 import passhatch.lab.standin.BackendServer;
 
-/** A client's connection to a proxy: one request at a time, and kept for the next. */
+/**
+ * A client's connection to a proxy; it carries one request at a time and is kept for the next one.
+ */
 final class ClientChannel extends SimpleChannelInboundHandler<FullHttpResponse> {
 
     private static final int MAX_RESPONSE_BODY_BYTES = 1 << 16;
@@ -49,7 +51,7 @@
         channel.close();
     }
 
-    /** Its request has ended without it. */
+    /** Closes the connection because its request has already completed without a response. */
     void abandon() {
         pending = null;
         if (channel != null) {
--- a/src/main/java/passhatch/lab/load/LoadGenerator.java
+++ b/src/main/java/passhatch/lab/load/LoadGenerator.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.LongAdder;
 import passhatch.lab.Seeds;
 
-/** Gives a load: arrivals do not wait for answers, as those of many clients do not. */
+/** Generates open-loop load: as with many clients, arrivals do not wait for earlier responses. */
 public final class LoadGenerator implements AutoCloseable {
 
     private final MultiThreadIoEventLoopGroup group;
@@ -19,7 +19,7 @@
     private final LongAdder served = new LongAdder();
     private final LongAdder completed = new LongAdder();
 
-    /** A load that has not begun. */
+    /** Creates a generator that has not started. */
     public LoadGenerator(LoadPlan plan, ProxyPool proxies, Seeds seeds) {
         group =
                 new MultiThreadIoEventLoopGroup(
@@ -44,17 +44,21 @@
         }
     }
 
-    /** Begins; the first requests are due from this time of {@link System#nanoTime} on. */
+    /** Starts; the first requests are due at this value of {@link System#nanoTime}. */
     public void start(long startNs) {
         senders.forEach(s -> s.start(startNs));
     }
 
-    /** Requests that have ended so far, and those of them that were served. */
+    /**
+     * Returns the number of requests completed so far and, second, how many of them were served.
+     */
     public long[] completedAndServed() {
         return new long[] {completed.sum(), served.sum()};
     }
 
-    /** Waits until each request has ended, which is soon after the last one's time. */
+    /**
+     * Waits until all requests have completed, which is soon after the deadline of the last one.
+     */
     public LoadStats await() throws InterruptedException {
         LoadStats total = new LoadStats();
         for (Sender sender : senders) {
--- a/src/main/java/passhatch/lab/load/LoadPlan.java
+++ b/src/main/java/passhatch/lab/load/LoadPlan.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * The load to give.
+ * The load to generate.
  *
- * @param requestsPerSecond requests a second
- * @param evenlySpaced whether they come evenly; else as a Poisson process
- * @param durationMs how long
- * @param maxRetries how often a client tries again, at another proxy, what was refused, failed or
- *     not answered
- * @param maxIdleConnections that are kept to each proxy at most; more are opened when all are busy,
- *     and closed after
- * @param threads that send
- * @param tickUs how often the sender looks for requests that are due, in microseconds; a short one
- *     keeps its thread always busy
- * @param requestClasses the classes of requests with their shares
+ * @param requestsPerSecond rate of all threads together
+ * @param evenlySpaced whether requests arrive at equal intervals; otherwise as a Poisson process
+ * @param durationMs how long requests arrive, in milliseconds
+ * @param maxRetries how often a client retries at another proxy a request that was refused, failed
+ *     or not answered
+ * @param maxIdleConnections idle connections kept to each proxy, over all threads; further ones are
+ *     opened when all are busy and closed after use
+ * @param threads threads that send
+ * @param tickUs interval in microseconds at which a sender checks for due requests; a short
+ *     interval keeps its thread busy all the time
+ * @param requestClasses classes of requests with their weights
  */
 public record LoadPlan(
         double requestsPerSecond,
@@ -27,22 +27,30 @@
         long tickUs,
         List<RequestClass> requestClasses) {
 
-    /** Often enough for a drill's times. */
+    /** Tick interval in microseconds, short enough for the times that drills measure. */
     public static final long DRILL_TICK_US = 500;
 
-    /** A load as drills give it. */
+    /** Creates a plan with the tick interval of drills. */
     public LoadPlan(
-            double rate,
-            boolean even,
+            double requestsPerSecond,
+            boolean evenlySpaced,
             long durationMs,
-            int retries,
-            int connections,
+            int maxRetries,
+            int maxIdleConnections,
             int threads,
-            List<RequestClass> kinds) {
-        this(rate, even, durationMs, retries, connections, threads, DRILL_TICK_US, kinds);
+            List<RequestClass> requestClasses) {
+        this(
+                requestsPerSecond,
+                evenlySpaced,
+                durationMs,
+                maxRetries,
+                maxIdleConnections,
+                threads,
+                DRILL_TICK_US,
+                requestClasses);
     }
 
-    /** How a request may be repeated. */
+    /** Whether a request may be repeated. */
     public enum Effect {
         SAFE,
         KEYED,
@@ -52,9 +60,9 @@
     /**
      * A class of requests.
      *
-     * @param path its name in the settings
-     * @param weight of all requests, relative to the other kinds'
-     * @param deadlineUs how long its client waits
+     * @param path path of the requests, which is the name of the class in the settings
+     * @param weight its part of all requests, relative to the weights of the other classes
+     * @param deadlineUs how long the client waits, in microseconds
      */
     public record RequestClass(String path, Effect effect, double weight, long deadlineUs) {}
 }
--- a/src/main/java/passhatch/lab/load/LoadStats.java
+++ b/src/main/java/passhatch/lab/load/LoadStats.java
@@ -7,33 +7,33 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of the requests, over all of the load and by the time that they were due. Latency
- * counts from the time that a request was due, not from when it could be sent, so that a stall is
- * felt by all requests that it held up (no coordinated omission).
+ * Outcomes and latency of requests, in total and by the time at which they were due. Latency counts
+ * from the time at which a request was due, not from when it was sent, so that a stall raises the
+ * latency of all requests that it delayed (no coordinated omission).
  */
 public final class LoadStats {
 
-    /** Length of one step on the time axis. */
+    /** Length of one step on the time axis, in milliseconds. */
     public static final int STEP_MS = 250;
 
     private static final long MAX_RECORDED_US = 120_000_000;
 
-    /** What became of the requests that were due in one step. */
+    /** Outcomes and latency of the requests that were due in one step. */
     public static final class Step {
         private final Map<Outcome, Integer> countsByOutcome = new EnumMap<>(Outcome.class);
         private final Histogram latencyUs = new Histogram(MAX_RECORDED_US, 2);
 
-        /** How many ended so. */
+        /** Returns the number of requests with an outcome. */
         public int count(Outcome outcome) {
             return countsByOutcome.getOrDefault(outcome, 0);
         }
 
-        /** All that were due. */
+        /** Returns the number of all requests that were due. */
         public int offered() {
             return countsByOutcome.values().stream().mapToInt(Integer::intValue).sum();
         }
 
-        /** Latency of the answers in microseconds. */
+        /** Returns the latency of the responses, in microseconds. */
         public Histogram latencyUs() {
             return latencyUs;
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    /** A request was sent so much later than it was due. */
+    /** Records how much later than due a request was sent, in microseconds. */
     void recordSendDelay(long delayUs) {
         sendDelayUs.recordValue(Math.min(MAX_RECORDED_US, Math.max(0, delayUs)));
     }
@@ -83,32 +83,32 @@
         clientRetries += other.clientRetries;
     }
 
-    /** By the time that requests were due, each {@link #STEP_MS} long. */
+    /** Returns the steps by the time at which requests were due, each {@link #STEP_MS} long. */
     public List<Step> steps() {
         return List.copyOf(steps);
     }
 
-    /** Latency of all answers in microseconds. */
+    /** Returns the latency of all responses, in microseconds. */
     public Histogram latencyUs() {
         return latencyUs;
     }
 
-    /** How much later than due requests were sent, in microseconds. */
+    /** Returns how much later than due requests were sent, in microseconds. */
     public Histogram sendDelayUs() {
         return sendDelayUs;
     }
 
-    /** Requests that clients sent once more. */
+    /** Returns the number of client retries. */
     public long clientRetries() {
         return clientRetries;
     }
 
-    /** How many ended so. */
+    /** Returns the number of requests with an outcome, over all steps. */
     public long count(Outcome outcome) {
         return steps.stream().mapToLong(s -> s.count(outcome)).sum();
     }
 
-    /** All requests that were due, a client's tries counted once. */
+    /** Returns the number of all requests that were due; retries are not counted. */
     public long offered() {
         return steps.stream().mapToLong(Step::offered).sum();
     }
--- a/src/main/java/passhatch/lab/load/Outcome.java
+++ b/src/main/java/passhatch/lab/load/Outcome.java
@@ -1,19 +1,24 @@
 package passhatch.lab.load;
 
-/** What became of a request, as its client saw it. */
+/** Final outcome of a request from the client's point of view. */
 public enum Outcome {
-    /** The whole answer of a backend, in its time. */
+    /** A backend's complete response arrived before the deadline. */
     SERVED,
-    /** The same, too late. */
+    /** A backend's complete response arrived after the deadline. */
     LATE,
-    /** Turned away with a promise that trying again is harmless. */
+    /** Rejected with the promise that a retry is harmless. */
     REFUSED,
-    /** Answered as failed. */
+    /** Answered with an error. */
     FAILED,
-    /** No answer, as the process that had it, or was to have it, was killed or held by a fault. */
+    /**
+     * No response because the process that had or was to get the request was killed or stopped by
+     * an injected fault, or because no proxy could be reached.
+     */
     CUT,
-    /** No answer though its process ran: it broke the rule. */
+    /** No response although the process was running, which violates the protocol. */
     LOST,
-    /** A 200 with a body that no backend gave for it. */
+    /**
+     * A response with status 200 whose body is not the one that a backend sends for this request.
+     */
     SPOILT
 }
--- a/src/main/java/passhatch/lab/load/ProxyPool.java
+++ b/src/main/java/passhatch/lab/load/ProxyPool.java
@@ -4,12 +4,13 @@
 import java.util.List;
 
 /**
- * What clients come through: it spreads them over the proxies that it takes for alive, and hears of
- * a dead one late. Told by the drill, read by the load's threads.
+ * The proxies to which clients send: spreads requests over the admitted ones, as a load balancer in
+ * front of them does. A failed proxy is removed only after a detection delay. The drill updates the
+ * pool, and the load generator's threads read it.
  */
 public final class ProxyPool {
 
-    /** One proxy as the front knows it. */
+    /** One proxy and its state in the pool. */
     static final class ProxyEndpoint {
         private final InetSocketAddress address;
         private volatile boolean admitted;
@@ -24,7 +25,7 @@
             return address;
         }
 
-        /** Whether a fault held or ended its process at any time since then. */
+        /** Returns whether a fault has stopped or killed its process at any time since then. */
         boolean faultySince(long ns) {
             return faulty || lastFaultChangeNs - ns >= 0 && lastFaultChangeNs != Long.MIN_VALUE;
         }
@@ -32,24 +33,27 @@
 
     private final List<ProxyEndpoint> endpoints;
 
-    /** A front before these proxies, none of which is admitted yet. */
+    /** Creates a pool of these proxies, none of which is admitted yet. */
     public ProxyPool(List<InetSocketAddress> proxies) {
         this.endpoints = proxies.stream().map(ProxyEndpoint::new).toList();
     }
 
-    /** Whether clients are sent to a proxy from now on. */
+    /** Sets whether requests are sent to a proxy. */
     public void setAdmitted(int proxy, boolean admitted) {
         endpoints.get(proxy).admitted = admitted;
     }
 
-    /** A fault holds or has ended the process; or, with false, it serves again. */
+    /** Marks a proxy as stopped or killed by a fault or, if false, as serving again. */
     public void setFaulty(int proxy, boolean faulty) {
         ProxyEndpoint endpoint = endpoints.get(proxy);
         endpoint.lastFaultChangeNs = System.nanoTime();
         endpoint.faulty = faulty;
     }
 
-    /** The next admitted proxy from a number on, other than one; null where there is none. */
+    /**
+     * Returns the next admitted proxy from an index on other than {@code except}; if there is no
+     * other, {@code except} if it is admitted, or else null.
+     */
     ProxyEndpoint nextAdmitted(int startIndex, ProxyEndpoint except) {
         for (int i = 0; i < endpoints.size(); i++) {
             ProxyEndpoint endpoint = endpoints.get(Math.floorMod(startIndex + i, endpoints.size()));
--- a/src/main/java/passhatch/lab/load/Sender.java
+++ b/src/main/java/passhatch/lab/load/Sender.java
@@ -11,15 +11,16 @@
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** One thread's part of the load, with its own connections and its own tally. */
+/** Sends one thread's part of the load, with connections and statistics of its own. */
 final class Sender {
 
     /**
-     * Connections that a thread may have open: past that requests wait, and their waiting counts.
+     * Open connections per thread; requests beyond that wait, and the wait counts towards their
+     * latency.
      */
     private static final int MAX_OPEN_CONNECTIONS = 2_000;
 
-    /** A request without an answer so long after its time is lost. */
+    /** A request still without a response this long after its deadline counts as lost. */
     private static final long RESPONSE_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final LoadPlan plan;
@@ -32,7 +33,7 @@
     private final Map<ProxyPool.ProxyEndpoint, ArrayDeque<ClientChannel>> idleChannels =
             new HashMap<>();
 
-    /** Requests for which no connection may be opened now, the first due first. */
+    /** Requests that wait because no further connection may be opened, in order of arrival. */
     private final ArrayDeque<ClientRequest> waitingForConnection = new ArrayDeque<>();
 
     private int openChannels;
@@ -141,7 +142,7 @@
         openChannels--;
         ClientRequest next = waitingForConnection.poll();
         if (next != null) {
-            // In a later step: this one may be within the end of another request.
+            // Deferred, as this method may run while another request is being completed.
             loop.execute(() -> next.attempt(proxies.nextAdmitted(nextProxyIndex++, null)));
         }
     }
@@ -161,7 +162,7 @@
         }
     }
 
-    /** A client's request, over all of its tries. */
+    /** A client's request with all of its attempts. */
     final class ClientRequest {
         private final LoadPlan.RequestClass requestClass;
         private final long dueNs;
@@ -172,7 +173,10 @@
         private int attempts;
         private long sentNs;
 
-        /** One that is sent anew as its connection closed unread keeps its id. */
+        /**
+         * Whether the current attempt was sent a second time under the same id because its reused
+         * connection closed without a response.
+         */
         private boolean resent;
 
         private ClientChannel channel;
@@ -197,7 +201,7 @@
             return id;
         }
 
-        /** The same over all of its tries. */
+        /** Returns the idempotency key, which is the same for all attempts. */
         String idempotencyKey() {
             return idempotencyKey;
         }
@@ -208,7 +212,7 @@
 
         void attempt(ProxyPool.ProxyEndpoint target) {
             if (target == null || completed) {
-                complete(Outcome.CUT); // no proxy is there at all
+                complete(Outcome.CUT); // no proxy is admitted
                 return;
             }
             ClientChannel idle = takeIdle(target);
@@ -240,7 +244,7 @@
             channel.send(this);
         }
 
-        /** An answer has come whole. */
+        /** Handles a complete response. */
         void onResponse(int status, boolean bodyIsCorrect) {
             if (status == 200) {
                 complete(
@@ -255,10 +259,11 @@
         }
 
         /**
-         * Its connection ended without an answer.
+         * Handles the end of the connection before a response.
          *
-         * @param connected whether it had come up
-         * @param reused whether it had served before, so that its end may have crossed this request
+         * @param connected whether the connection had been established
+         * @param reused whether it had carried a response before, so that the proxy may have closed
+         *     it before this request reached it
          */
         void onConnectionEnded(boolean connected, boolean reused) {
             if (proxy.faultySince(sentNs)) {
@@ -273,7 +278,8 @@
         }
 
         /**
-         * Tries once more where that is allowed, harmless and in time; else this is how it ends.
+         * Retries if that is allowed, harmless and before the deadline; otherwise completes with
+         * this outcome.
          */
         private void retryOrComplete(Outcome outcome, boolean repeatable) {
             ProxyPool.ProxyEndpoint target = proxies.nextAdmitted(nextProxyIndex++, proxy);
--- a/src/main/java/passhatch/lab/load/package-info.java
+++ b/src/main/java/passhatch/lab/load/package-info.java
@@ -1,2 +1,4 @@
-/** Clients: open load on real sockets, and what became of each request. */
+/**
+ * Load generator: sends open-loop load over real sockets and records the outcome of each request.
+ */
 package passhatch.lab.load;
--- a/src/main/java/passhatch/lab/sim/EventQueue.java
+++ b/src/main/java/passhatch/lab/sim/EventQueue.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * The event queue and clock of a discrete-event simulation: events are taken by time, those of the
- * same time in the order in which they were scheduled. The order depends on nothing else, so a
- * simulation that draws from seeded streams is the same at each run.
+ * Event queue and clock of a discrete-event simulation. Events are polled in order of time, and
+ * those of the same time in the order in which they were scheduled. The order depends on nothing
+ * else, so a simulation that draws from seeded streams is reproducible.
  *
- * <p>It is a binary heap over arrays of primitive keys, and scheduling allocates nothing but the
- * growth of these arrays. Not thread-safe.
+ * <p>The queue is a binary heap over arrays of primitive keys; scheduling allocates memory only
+ * when these arrays grow. Not thread-safe.
  *
- * @param <E> an event, for instance a {@link Runnable}
+ * @param <E> the type of events, for instance {@link Runnable}
  */
 public final class EventQueue<E> {
 
@@ -24,7 +24,7 @@
     private long nowUs;
 
     /**
-     * An empty queue.
+     * Creates an empty queue.
      *
      * @param startUs the time at which the clock starts, in microseconds
      */
@@ -32,17 +32,20 @@
         this.nowUs = startUs;
     }
 
-    /** The simulated time in microseconds: that of the event taken last, or a later one set. */
+    /**
+     * Returns the simulated time in microseconds: that of the last polled event, or a later one
+     * set.
+     */
     public long nowUs() {
         return nowUs;
     }
 
-    /** How many events are scheduled. */
+    /** Returns the number of scheduled events. */
     public int size() {
         return size;
     }
 
-    /** Whether no event is scheduled. */
+    /** Returns whether no event is scheduled. */
     public boolean isEmpty() {
         return size == 0;
     }
@@ -50,7 +53,7 @@
     /**
      * Schedules an event.
      *
-     * @param timeUs when it takes place; not before now
+     * @param timeUs when it takes place, in microseconds; not before now
      */
     public void scheduleAt(long timeUs, E event) {
         if (timeUs < nowUs) {
@@ -67,7 +70,7 @@
     /**
      * Schedules an event.
      *
-     * @param delayUs how long after now it takes place; not negative
+     * @param delayUs how long after now it takes place, in microseconds; not negative
      */
     public void scheduleAfter(long delayUs, E event) {
         scheduleAt(Math.addExact(nowUs, delayUs), event);
@@ -76,24 +79,24 @@
     /**
      * Removes the next event and sets the clock to its time.
      *
-     * @param limitUs the latest time, inclusive
-     * @return null if no event takes place up to that time; the clock then stays as it is
+     * @param limitUs the latest time in microseconds, inclusive
+     * @return the event, or null if none takes place up to that time; the clock is then unchanged
      */
     public E pollUntil(long limitUs) {
         if (size == 0 || timesUs[0] > limitUs) {
             return null;
         }
         nowUs = timesUs[0];
-        @SuppressWarnings("unchecked") // Only scheduleAt puts events in.
+        @SuppressWarnings("unchecked") // Only scheduleAt adds events.
         E next = (E) events[0];
         removeFirst();
         return next;
     }
 
     /**
-     * Sets the clock forward where nothing takes place meanwhile.
+     * Advances the clock to a time before or at the next event.
      *
-     * @param timeUs the time then; neither before now nor after the next event
+     * @param timeUs the new time in microseconds; neither before now nor after the next event
      */
     public void advanceTo(long timeUs) {
         if (timeUs < nowUs || size > 0 && timesUs[0] < timeUs) {
@@ -118,7 +121,7 @@
         events[size] = null;
     }
 
-    /** Places an event at the free end of the heap or nearer to its root. */
+    /** Places an event at the free end of the heap and moves it towards the root as needed. */
     private void siftUp(long timeUs, long sequenceNumber, Object event) {
         int hole = size;
         while (hole > 0) {
@@ -132,7 +135,7 @@
         place(hole, timeUs, sequenceNumber, event);
     }
 
-    /** Places an event at the free root of the heap or nearer to its end. */
+    /** Places an event at the free root of the heap and moves it towards the end as needed. */
     private void siftDown(long timeUs, long sequenceNumber, Object event) {
         int hole = 0;
         while (2 * hole + 1 < size) {
--- a/src/main/java/passhatch/lab/sim/package-info.java
+++ b/src/main/java/passhatch/lab/sim/package-info.java
@@ -1,2 +1,2 @@
-/** What discrete-event simulations have in common. */
+/** Common parts of the discrete-event simulations. */
 package passhatch.lab.sim;
--- a/src/main/java/passhatch/lab/standin/BackendServer.java
+++ b/src/main/java/passhatch/lab/standin/BackendServer.java
@@ -30,27 +30,30 @@
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 
 /**
- * A backend by the protocol's page: cores, slots, a waiting room, a limit on connections, a cold
- * start, and the ways in which it can do badly. All of its state belongs to one event loop.
+ * Stand-in for a backend as the protocol describes it, with cores, slots, a bounded queue, a limit
+ * on connections, a cold start and injected faults. All of its state belongs to one event loop.
  */
 public final class BackendServer {
 
     /**
-     * A send to a draining backend is allowed for so long after it was told, with the page's slack.
+     * How long after the notification a send to a draining backend is allowed: the protocol's grace
+     * of 750 ms and its margin of 50 ms.
      */
     private static final long DRAIN_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(750 + 50);
 
     private static final int MAX_REQUEST_BODY_BYTES = 1 << 16;
 
     /**
-     * What a backend can do.
+     * Capacity of a backend.
      *
-     * @param cores requests that it works on at full speed; more share them
-     * @param slots requests that it works on at all
-     * @param maxQueuedRequests requests that wait beside these; more are turned away
-     * @param maxConnections that it holds; more are closed at once
-     * @param coldCapacityFraction part of its capacity right after a start
-     * @param warmUpUs time in microseconds until it is at its full capacity, which grows evenly
+     * @param cores number of requests that run at full speed; more requests share the cores
+     * @param slots maximum number of requests that run at the same time
+     * @param maxQueuedRequests maximum number of requests that wait for a slot; further ones are
+     *     rejected
+     * @param maxConnections maximum number of open connections; further ones are reset at once
+     * @param serviceTime time that a request takes on a core of its own
+     * @param coldCapacityFraction fraction of the full capacity right after a start
+     * @param warmUpUs time in microseconds from a start to full capacity; it grows linearly
      */
     public record Capacity(
             int cores,
@@ -61,7 +64,7 @@
             double coldCapacityFraction,
             long warmUpUs) {}
 
-    /** How it does. */
+    /** Health of a backend, as set by injected faults. */
     public enum Health {
         HEALTHY,
         SLOW,
@@ -88,7 +91,7 @@
     private Channel listener;
     private InetSocketAddress address;
 
-    /** A backend that does not listen yet. */
+    /** Creates a backend that does not listen yet. */
     public BackendServer(
             String name,
             Capacity capacity,
@@ -103,7 +106,7 @@
         this.serviceTimeUs = capacity.serviceTime().sampler(random);
     }
 
-    /** Starts to listen, warm, on a port that the system chooses. */
+    /** Starts to listen on a port chosen by the system, at full capacity. */
     public void start() throws IOException {
         bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
@@ -116,7 +119,9 @@
         return address;
     }
 
-    /** The body of its answer to a request: what a client got can be checked with it. */
+    /**
+     * Returns the body of the response to a request, so that clients can check what they received.
+     */
     public static byte[] bodyFor(String id) {
         return ("answer to " + id).getBytes(StandardCharsets.US_ASCII);
     }
@@ -124,10 +129,10 @@
     // ---- faults
 
     /**
-     * How it does from now on.
+     * Sets the health of the backend.
      *
-     * @param newSeverity for {@code SLOW} the factor on its times; for {@code FAILING} and {@code
-     *     RESETTING} the share of requests that it happens to; else it has no meaning
+     * @param newSeverity for {@code SLOW} the factor on service times; for {@code FAILING} and
+     *     {@code RESETTING} the fraction of requests affected; otherwise unused
      */
     public void setHealth(Health newHealth, double newSeverity) {
         loop.execute(
@@ -138,16 +143,16 @@
     }
 
     /**
-     * It drains: it finishes what it holds and turns away all else.
+     * Starts draining: the backend finishes the requests that it has and rejects all others.
      *
-     * @param notifiedAfterMs when proxies count as told of it, in milliseconds from now; what comes
-     *     later than that and the grace breaks the rule
+     * @param notifiedAfterMs when proxies are deemed notified of the drain, in milliseconds from
+     *     now; requests that arrive after that time and the grace violate the protocol
      */
     public void drain(long notifiedAfterMs) {
         drain(notifiedAfterMs, false);
     }
 
-    /** The same of a backend that goes on accepting requests, for as long as it runs. */
+    /** Starts draining, but goes on accepting requests for as long as the backend runs. */
     public void drainWhileAccepting(long notifiedAfterMs) {
         drain(notifiedAfterMs, true);
     }
@@ -162,7 +167,7 @@
                 });
     }
 
-    /** Its process dies: connections are reset, new ones refused, and its work is gone. */
+    /** Simulates a crash: resets connections, refuses new ones and abandons all requests. */
     public void crash() {
         loop.submit(
                         () -> {
@@ -173,7 +178,7 @@
                 .syncUninterruptibly();
     }
 
-    /** It starts again at the same address, cold. */
+    /** Starts again at the same address with the capacity of a cold start. */
     public void restart() throws IOException {
         loop.submit(
                         () -> {
@@ -186,7 +191,7 @@
         bind(address);
     }
 
-    /** Ends it. */
+    /** Stops the backend. */
     public void close() {
         crash();
     }
@@ -232,7 +237,7 @@
 
     // ---- requests
 
-    /** A request that has come whole. */
+    /** A request that was received completely. */
     private record QueuedRequest(Channel channel, String id) {}
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -282,7 +287,7 @@
         while (runningRequests < capacity.slots() && !queue.isEmpty()) {
             QueuedRequest request = queue.poll();
             if (health == Health.HUNG) {
-                continue; // it takes work and answers nothing
+                continue; // a hung backend accepts requests and never responds
             }
             runningRequests++;
             double timeUs =
@@ -303,7 +308,7 @@
         }
     }
 
-    /** The part of its full capacity that it has by now. */
+    /** Returns the fraction of the full capacity that is available now. */
     private double availableFraction() {
         double uptimeUs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startedNs);
         return uptimeUs >= capacity.warmUpUs()
--- a/src/main/java/passhatch/lab/standin/DiscoveryServer.java
+++ b/src/main/java/passhatch/lab/standin/DiscoveryServer.java
@@ -40,23 +40,24 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Discovery by the protocol's page: the whole list, and watches that carry one line for each
- * change. It can go down, stall, or tell late. All of its state belongs to one event loop.
+ * Stand-in for discovery as the protocol describes it: serves the whole list, and watches with one
+ * line per change. It can go down, stall or notify late. All of its state belongs to one event
+ * loop.
  */
 public final class DiscoveryServer {
 
     private static final long EMPTY_LINE_INTERVAL_MS = 2_000;
 
-    /** After a move its old address closes what is open there after so long. */
+    /** Time after an address change until connections to the old address are closed. */
     private static final long OLD_ADDRESS_CLOSE_DELAY_MS = 1_500;
 
-    /** While it is overloaded, a call waits in its queue for so long and is then turned away. */
+    /** Time that a call waits in the queue of an overloaded service before it is rejected. */
     private static final long OVERLOAD_QUEUE_WAIT_MS = 2_000;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * What the list says of a backend.
+     * One backend in the list.
      *
      * @param startedAtMs its last start in Unix milliseconds; 0 for long ago
      */
@@ -99,7 +100,7 @@
     private Channel listener;
     private InetSocketAddress address;
 
-    /** A service that does not listen yet. */
+    /** Creates a service that does not listen yet. */
     public DiscoveryServer(EventLoop loop) {
         this.loop = loop;
         loop.scheduleAtFixedRate(
@@ -109,7 +110,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Starts to listen on a port that the system chooses. */
+    /** Starts to listen on a port chosen by the system. */
     public void start() throws IOException {
         bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
@@ -118,13 +119,14 @@
         return address;
     }
 
-    /** Bytes of its answers and watches so far, over all connections, without those of TCP. */
+    /** Returns the bytes sent so far in responses and watches, without the overhead of TCP. */
     public long sentBytes() {
         return sentBytes.sum();
     }
 
     /**
-     * Takes entries into the list, or changes them, in one version; {@code DELETED} ones leave it.
+     * Adds endpoints to the list or changes them, all in one version; those with status {@code
+     * DELETED} are removed.
      */
     public void update(Collection<Endpoint> changed) {
         loop.submit(
@@ -152,7 +154,10 @@
                 .syncUninterruptibly();
     }
 
-    /** Calls that were answered with a list or with changes. */
+    /**
+     * Returns the number of calls answered so far; rejections by an overloaded service do not
+     * count.
+     */
     public long answeredCalls() {
         return answeredCalls.sum();
     }
@@ -160,8 +165,8 @@
     // ---- faults
 
     /**
-     * Listens at another address from now on; the old one takes no new connections, and closes the
-     * open ones a while later.
+     * Listens at another address from now on; the old one accepts no new connections, and its open
+     * ones are closed after a delay.
      *
      * @return the new address
      */
@@ -178,12 +183,12 @@
         return address;
     }
 
-    /** Writes a line to all watches as it stands, whether or not it is a change. */
+    /** Sends a line to all watches unchanged, whether or not it is a valid change. */
     public void sendLine(String line) {
         loop.submit(() -> sendToWatches(line + "\n")).syncUninterruptibly();
     }
 
-    /** It is down: watches end, and calls are refused until {@link #up}. */
+    /** Takes the service down: closes all connections and refuses new ones until {@link #up}. */
     public void down() {
         loop.submit(
                         () -> {
@@ -193,51 +198,51 @@
                 .syncUninterruptibly();
     }
 
-    /** It is there again, at the same address. */
+    /** Brings the service up again at the same address. */
     public void up() throws IOException {
         bind(address);
     }
 
-    /** Watches break off, once; calls are served on. */
+    /** Closes all open watches; calls and new watches are still served. */
     public void closeWatches() {
         loop.execute(() -> Set.copyOf(watches).forEach(Channel::close));
     }
 
-    /** Whether it says nothing: connections stay open and silent. */
+    /** Sets whether the service is stalled: connections stay open, but nothing is sent. */
     public void setStalled(boolean on) {
         loop.execute(
                 () -> {
                     stalled = on;
                     if (!on) {
-                        // What was to be told meanwhile is told by the calls that follow the break.
+                        // Clients call again and so receive the changes made in the meantime.
                         Set.copyOf(connections).forEach(Channel::close);
                     }
                 });
     }
 
-    /** Changes are told so much later from now on, in milliseconds; 0 for at once. */
+    /** Sets the delay of further changes on watches, in milliseconds; 0 for none. */
     public void setNotificationDelay(long delayMs) {
         loop.execute(() -> notificationDelayMs = delayMs);
     }
 
-    /** Whether each call is turned away after a wait; watches that are open go on. */
+    /** Sets whether each call is rejected after a wait; open watches are served as before. */
     public void setOverloaded(boolean on) {
         loop.submit(() -> overloaded = on).syncUninterruptibly();
     }
 
-    /** Calls are answered so much later from now on, in milliseconds; 0 for at once. */
+    /** Sets the delay of responses to further calls, in milliseconds; 0 for none. */
     public void setResponseDelay(long delayMs) {
         loop.submit(() -> responseDelayMs = delayMs).syncUninterruptibly();
     }
 
-    /** The whole list as it tells it now, with its version. */
+    /** Returns the current message with the whole list and its version. */
     public Map<String, Object> snapshot() {
         return loop.submit(() -> message(version, true, listedEndpoints()))
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    /** Ends it. */
+    /** Stops the service. */
     public void close() {
         down();
     }
--- a/src/main/java/passhatch/lab/standin/RequestLedger.java
+++ b/src/main/java/passhatch/lab/standin/RequestLedger.java
@@ -4,13 +4,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What reached the backends, over all of them, for the rules that bind every proxy. */
+/**
+ * Records the requests that reached any backend, to check the rules that every proxy must follow.
+ */
 public final class RequestLedger {
 
-    /** A request reaches backends this often at the most. */
+    /** Maximum number of attempts per request id, over all backends. */
     public static final int MAX_ATTEMPTS_PER_REQUEST = 3;
 
-    /** Of one request: how often it came, and how often it may have run. */
+    /** Number of attempts of one request, and how many of them may have been executed. */
     private record RequestCounts(int attempts, int executions, boolean atMostOnce) {}
 
     private final Map<String, RequestCounts> requests = new ConcurrentHashMap<>();
@@ -18,10 +20,11 @@
     private final LongAdder attemptsAfterDrain = new LongAdder();
 
     /**
-     * A request has come whole.
+     * Records a request that was received completely.
      *
-     * @param atMostOnce it must never run twice: it is neither safe to repeat nor has a key
-     * @param accepted the backend takes it up; false where it turns it away
+     * @param atMostOnce whether it must never be executed twice, because it is neither safe to
+     *     repeat nor has an idempotency key
+     * @param accepted whether the backend accepts it; false if it is rejected
      */
     void recordAttempt(String id, boolean atMostOnce, boolean accepted) {
         attempts.increment();
@@ -33,31 +36,29 @@
                                 a.attempts + b.attempts, a.executions + b.executions, atMostOnce));
     }
 
-    /**
-     * A request came to a backend that had been told to drain, after the time that the rules allow.
-     */
+    /** Records a request that reached a draining backend after the time allowed by the protocol. */
     void recordAttemptAfterDrain() {
         attemptsAfterDrain.increment();
     }
 
-    /** All requests that came whole to any backend, each as often as it came. */
+    /** Returns the number of complete requests received by all backends, each attempt counted. */
     public long attempts() {
         return attempts.sum();
     }
 
-    /** Requests that must not run twice and may have. */
+    /** Returns the number of requests that must not be executed twice but may have been. */
     public long duplicates() {
         return requests.values().stream().filter(s -> s.atMostOnce && s.executions > 1).count();
     }
 
-    /** Requests that came more often than is allowed. */
+    /** Returns the number of requests with more attempts than allowed. */
     public long requestsOverMaxAttempts() {
         return requests.values().stream()
                 .filter(s -> s.attempts > MAX_ATTEMPTS_PER_REQUEST)
                 .count();
     }
 
-    /** Requests that came too late to a draining backend. */
+    /** Returns the number of requests that reached a draining backend too late. */
     public long attemptsAfterDrain() {
         return attemptsAfterDrain.sum();
     }
--- a/src/main/java/passhatch/lab/standin/ServiceTime.java
+++ b/src/main/java/passhatch/lab/standin/ServiceTime.java
@@ -7,15 +7,15 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * How long a backend works on a request.
+ * Distribution of the time that a backend takes to execute a request.
  *
- * @param distribution what times are drawn from
- * @param meanUs their mean in microseconds
- * @param sigma spread of the logarithm, for {@code LOGNORMAL} only
+ * @param distribution distribution from which times are drawn
+ * @param meanUs mean in microseconds
+ * @param sigma standard deviation of the logarithm, for {@code LOGNORMAL} only
  */
 public record ServiceTime(Distribution distribution, double meanUs, double sigma) {
 
-    /** The distributions that times are drawn from. */
+    /** Supported distributions. */
     public enum Distribution {
         CONSTANT,
         EXPONENTIAL,
@@ -23,7 +23,7 @@
         UNIFORM
     }
 
-    /** A stream of times in microseconds. */
+    /** Returns a sampler of times in microseconds. */
     ContinuousSampler sampler(UniformRandomProvider random) {
         return switch (distribution) {
             case CONSTANT -> () -> meanUs;
--- a/src/main/java/passhatch/lab/standin/UdpRelay.java
+++ b/src/main/java/passhatch/lab/standin/UdpRelay.java
@@ -21,28 +21,28 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The way between the program's processes: each of them has one address for every other, and a
- * datagram to it comes out at that one from the sender's own address there; or late, twice, out of
- * order, cut, or never.
+ * Simulates the network between the program's processes. Each process has one relay address for
+ * every other; a datagram sent to it is delivered to that other process from the address that
+ * stands for the sender there. Datagrams may be delayed, duplicated, reordered, truncated or lost.
  *
- * <p>One thread carries them all. A datagram over the platform's 256 bytes is counted and not
- * carried.
+ * <p>One thread carries all datagrams. A datagram over the platform's 256 bytes is counted and not
+ * delivered.
  */
 public final class UdpRelay implements Closeable {
 
-    /** The most bytes of a datagram on the platform. */
+    /** Maximum size of a datagram on the platform, in bytes. */
     public static final int MAX_DATAGRAM_BYTES = 256;
 
     /**
-     * What happens to datagrams. Shares are from 0 to 1; each datagram draws for itself.
+     * Faults of the network. Rates are from 0 to 1 and apply to each datagram independently.
      *
-     * @param lossRate share that never arrives
-     * @param duplicateRate share that arrives twice
-     * @param truncateRate share of which only the first half arrives
-     * @param reorderRate share that later ones overtake: it is held for ten times the delay and 20
-     *     ms
-     * @param delayUs how late all arrive, in microseconds
-     * @param jitterUs and up to so much more, drawn evenly
+     * @param lossRate fraction that never arrives
+     * @param duplicateRate fraction that arrives twice
+     * @param truncateRate fraction of which only the first half arrives
+     * @param reorderRate fraction that later datagrams overtake: it is delayed by ten times the
+     *     usual delay and 20 ms
+     * @param delayUs delay of all datagrams, in microseconds
+     * @param jitterUs maximum of a further delay, uniformly distributed, in microseconds
      */
     public record NetworkConditions(
             double lossRate,
@@ -51,7 +51,7 @@
             double reorderRate,
             long delayUs,
             long jitterUs) {
-        /** Nothing happens. */
+        /** No faults and no delay. */
         public static final NetworkConditions UNIMPAIRED = new NetworkConditions(0, 0, 0, 0, 0, 0);
     }
 
@@ -79,10 +79,10 @@
     private long nextSequenceNumber;
 
     /**
-     * Opens a socket for each ordered pair of members; their listening addresses come by {@link
-     * #listenAddresses}.
+     * Opens a socket for each ordered pair of members; {@link #setListenAddress} sets the addresses
+     * at which members receive.
      *
-     * @throws IOException where there are not enough descriptors or ports
+     * @throws IOException if there are not enough file descriptors or ports
      */
     public UdpRelay(int members, UniformRandomProvider random) throws IOException {
         this.members = members;
@@ -102,12 +102,14 @@
         thread.start();
     }
 
-    /** Where a member receives. */
+    /** Sets the address at which a member receives. */
     public synchronized void setListenAddress(int member, InetSocketAddress address) {
         listenAddresses[member] = address;
     }
 
-    /** The addresses of all members as one of them sees them, by their numbers. */
+    /**
+     * Returns the relay addresses at which a member reaches all members, in order of their numbers.
+     */
     public List<InetSocketAddress> peersOf(int member) throws IOException {
         List<InetSocketAddress> peers = new ArrayList<>();
         for (int to = 0; to < members; to++) {
@@ -116,27 +118,27 @@
         return peers;
     }
 
-    /** What happens to datagrams from now on. */
+    /** Sets the network conditions for further datagrams. */
     public void setConditions(NetworkConditions newConditions) {
         conditions.set(newConditions);
     }
 
-    /** Which ordered pairs of members reach each other from now on. */
+    /** Sets which ordered pairs of members, sender first, are connected. */
     public void setConnectivity(BiPredicate<Integer, Integer> newConnectivity) {
         connectivity.set(newConnectivity);
     }
 
-    /** Datagrams that arrived, one that was doubled twice. */
+    /** Returns the number of datagrams delivered; a duplicated one counts twice. */
     public long delivered() {
         return delivered.sum();
     }
 
-    /** Datagrams that never arrived, by a fault or as their receiver is not there. */
+    /** Returns the number of datagrams lost by a fault or because their receiver does not exist. */
     public long dropped() {
         return dropped.sum();
     }
 
-    /** Datagrams that the platform would not have allowed. */
+    /** Returns the number of datagrams that exceeded the platform's maximum size. */
     public long oversized() {
         return oversized.sum();
     }
@@ -159,7 +161,7 @@
                 }
             }
         } catch (IOException | ClosedSelectorException closed) {
-            // It was closed.
+            // The relay was closed.
         }
     }
 
@@ -171,7 +173,8 @@
                 route(link, Arrays.copyOf(buffer.array(), buffer.position()));
             }
         } catch (IOException socketError) {
-            // One socket's error, as of a receiver that is not there, is a datagram lost.
+            // An error of one socket, such as that of a missing receiver, counts as a lost
+            // datagram.
             dropped.increment();
         }
     }
@@ -211,7 +214,9 @@
         }
     }
 
-    /** From the receiver's address of the sender, so that it can tell who spoke. */
+    /**
+     * Sends from the address that the receiver knows as the sender's, so that it can identify it.
+     */
     private void deliver(DelayedDatagram datagram) {
         InetSocketAddress to;
         synchronized (this) {
--- a/src/main/java/passhatch/lab/standin/package-info.java
+++ b/src/main/java/passhatch/lab/standin/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What stands in for the systems around the program: discovery, backends, the way between peers.
+ * Stand-ins for the systems around the program: discovery, backends and the network between peers.
  */
 package passhatch.lab.standin;
--- a/src/test/java/passhatch/lab/load/LoadGeneratorTest.java
+++ b/src/test/java/passhatch/lab/load/LoadGeneratorTest.java
@@ -14,7 +14,7 @@
 import passhatch.lab.standin.RequestLedger;
 import passhatch.lab.standin.ServiceTime;
 
-/** The load tool against a stand-in alone. */
+/** Tests the load generator against a single stand-in backend. */
 class LoadGeneratorTest {
 
     private final MultiThreadIoEventLoopGroup group =
@@ -82,8 +82,8 @@
     }
 
     /**
-     * A stall of the server is felt by all that were due meanwhile: by half of what it lasted on
-     * the mean.
+     * A stall of the server must raise the latency of all requests that were due during it, on
+     * average by half of its length.
      */
     @Test
     void latencyIncludesServerStall() throws Exception {
@@ -95,9 +95,8 @@
                                         .execute(
                                                 () -> {
                                                     try {
-                                                        Thread.sleep(
-                                                                400); // the stand-in's only thread
-                                                        // is the one that stalls
+                                                        // Blocks the backend's only thread.
+                                                        Thread.sleep(400);
                                                     } catch (InterruptedException interrupted) {
                                                         Thread.currentThread().interrupt();
                                                     }
@@ -105,7 +104,7 @@
         long delayedRequests = stats.latencyUs().getCountBetweenValues(100_000, 10_000_000);
         assertTrue(
                 delayedRequests >= 0.2 * 400 && delayedRequests <= 0.5 * 400,
-                delayedRequests + " requests took over 100 ms");
+                delayedRequests + " requests took more than 100 ms");
     }
 
     @Test
@@ -120,7 +119,8 @@
     void retriesOnlyRepeatableRequests() throws Exception {
         backend.setHealth(BackendServer.Health.FAILING, 1);
         LoadStats stats = runLoad(1, () -> {});
-        assertEquals(stats.offered() / 2.0, stats.clientRetries(), 80, "the safe ones");
+        assertEquals(
+                stats.offered() / 2.0, stats.clientRetries(), 80, "only the safe half is retried");
         assertEquals(stats.offered(), stats.count(Outcome.FAILED));
         assertEquals(0, ledger.duplicates());
     }
--- a/src/test/java/passhatch/lab/load/LoadStatsFixtures.java
+++ b/src/test/java/passhatch/lab/load/LoadStatsFixtures.java
@@ -2,12 +2,15 @@
 
 import java.util.List;
 
-/** Tallies for the tests of what judges them. */
+/** Creates load statistics for tests of the classes that evaluate them. */
 public final class LoadStatsFixtures {
 
     private LoadStatsFixtures() {}
 
-    /** A letter a step: s all served, h half of them, n none. */
+    /**
+     * Returns steps by a pattern with one letter per step: s for all requests served, h for half of
+     * them, n for none.
+     */
     public static List<LoadStats.Step> steps(String pattern, int offered) {
         LoadStats stats = new LoadStats();
         for (int i = 0; i < pattern.length(); i++) {
--- a/src/test/java/passhatch/lab/sim/EventQueueTest.java
+++ b/src/test/java/passhatch/lab/sim/EventQueueTest.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The order of events and the simulated clock. */
+/** Tests the order of events and the simulated clock. */
 final class EventQueueTest {
 
     private static final long START_US = 1_000;
@@ -80,7 +80,7 @@
         assertEquals(1, queue.size());
     }
 
-    /** Times collide often, and the queue grows and shrinks over several of its capacities. */
+    /** Many events share a time, and the queue grows and shrinks past several capacities. */
     @Test
     void pollsRandomEventsInTheOrderOfASortedReference() {
         SplittableRandom random = new SplittableRandom(11);
--- a/src/test/java/passhatch/lab/standin/UdpRelayTest.java
+++ b/src/test/java/passhatch/lab/standin/UdpRelayTest.java
@@ -19,6 +19,7 @@
 import passhatch.lab.Seeds;
 import passhatch.lab.standin.UdpRelay.NetworkConditions;
 
+/** Tests delivery, injected faults and connectivity of the relay. */
 class UdpRelayTest {
 
     private static final int MEMBERS = 3;
@@ -55,7 +56,8 @@
     }
 
     /**
-     * Sends many from 0 to 1, each with its number, and one more in fair weather that ends them.
+     * Sends numbered datagrams from member 0 to member 1 under the given conditions and returns the
+     * numbers received until none arrives for 500 ms; a truncated datagram counts as -1.
      */
     private List<Integer> receivedUnder(NetworkConditions conditions) throws IOException {
         relay.setConditions(conditions);
@@ -90,16 +92,19 @@
         assertEquals(DATAGRAMS, receivedUnder(NetworkConditions.UNIMPAIRED).size());
         int remaining = receivedUnder(new NetworkConditions(0.5, 0, 0, 0, 0, 0)).size();
         assertTrue(
-                remaining > DATAGRAMS / 4 && remaining < DATAGRAMS * 3 / 4, remaining + " arrived");
+                remaining > DATAGRAMS / 4 && remaining < DATAGRAMS * 3 / 4,
+                remaining + " datagrams arrived");
         int duplicated = receivedUnder(new NetworkConditions(0, 0.5, 0, 0, 0, 0)).size();
         assertTrue(
                 duplicated > DATAGRAMS * 5 / 4 && duplicated < DATAGRAMS * 7 / 4,
-                duplicated + " arrived");
+                duplicated + " datagrams arrived");
         long truncated =
                 receivedUnder(new NetworkConditions(0, 0, 0.5, 0, 0, 0)).stream()
                         .filter(n -> n < 0)
                         .count();
-        assertTrue(truncated > DATAGRAMS / 4 && truncated < DATAGRAMS * 3 / 4, truncated + " cut");
+        assertTrue(
+                truncated > DATAGRAMS / 4 && truncated < DATAGRAMS * 3 / 4,
+                truncated + " datagrams were truncated");
     }
 
     @Test
@@ -113,7 +118,8 @@
         long sentNs = System.nanoTime();
         send(0, 1, new byte[] {1, 1});
         receive(1, 5_000);
-        assertTrue(System.nanoTime() - sentNs >= 100_000_000, "it came early");
+        assertTrue(
+                System.nanoTime() - sentNs >= 100_000_000, "the datagram arrived before its delay");
     }
 
     @Test
