--- a/src/main/java/passhatch/lab/scale/AgentCommand.java
+++ b/src/main/java/passhatch/lab/scale/AgentCommand.java
@@ -27,8 +27,8 @@
 final class AgentCommand implements Callable<Integer> {
 
     private static final String NAME = "agent";
-    private static final int LEAST_MEMBERS = AgentMeasure.VOTERS + 1;
-    private static final int MOST_MEMBERS = 1_000;
+    private static final int MIN_MEMBERS = AgentMeasurement.VOTERS + 1;
+    private static final int MAX_MEMBERS = 1_000;
     private static final double KB_PER_MB = 1_024;
 
     @Spec private CommandSpec spec;
@@ -44,29 +44,29 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        ScaleOptions.within("--sizes", sizes, LEAST_MEMBERS, MOST_MEMBERS);
+        ScaleOptions.requireWithin("--sizes", sizes, MIN_MEMBERS, MAX_MEMBERS);
         options.seconds();
-        options.program();
+        options.programJar();
         Path folder = options.folder(NAME);
         AgentResult result = measure(folder);
         ScaleOptions.write(folder.resolve("result.json"), result);
         plot(result, folder.resolve("plot.png"));
-        tell(result, folder);
+        printResult(result, folder);
         return result.failures().isEmpty() ? 0 : 1;
     }
 
     private AgentResult measure(Path folder) throws InterruptedException {
         double loadBefore = Machine.loadAverage();
-        AgentMeasure measure = new AgentMeasure(options, folder);
+        AgentMeasurement measurement = new AgentMeasurement(options, folder);
         List<AgentResult.Point> points = new ArrayList<>();
         List<String> failures = new ArrayList<>();
         try (var progress = options.progress(NAME, 2 * sizes.size())) {
             for (boolean duties : new boolean[] {false, true}) {
                 for (int size : sizes) {
                     try {
-                        points.add(measure.measure(size, duties));
-                    } catch (IOException fell) {
-                        failures.add(size + " members: " + fell.getMessage());
+                        points.add(measurement.measure(size, duties));
+                    } catch (IOException failure) {
+                        failures.add(size + " members: " + failure.getMessage());
                     }
                     progress.step(size + " members" + (duties ? ", duties" : ""));
                 }
@@ -84,12 +84,22 @@
     private static List<AgentResult.Fit> fits(List<AgentResult.Point> points) {
         List<AgentResult.Fit> fits = new ArrayList<>();
         for (boolean duties : new boolean[] {false, true}) {
-            List<AgentResult.Point> same =
+            List<AgentResult.Point> matching =
                     points.stream().filter(p -> p.duties() == duties).toList();
-            if (same.stream().mapToInt(AgentResult.Point::members).distinct().count() >= 2) {
-                fits.add(fit("memory MB", duties, same, p -> megabytes(p)));
-                fits.add(fit("processor share", duties, same, AgentResult.Point::processorShare));
-                fits.add(fit("sent bytes/s", duties, same, AgentResult.Point::sentBytesPerSecond));
+            if (matching.stream().mapToInt(AgentResult.Point::members).distinct().count() >= 2) {
+                fits.add(fit("memory MB", duties, matching, p -> megabytes(p)));
+                fits.add(
+                        fit(
+                                "processor share",
+                                duties,
+                                matching,
+                                AgentResult.Point::processorShare));
+                fits.add(
+                        fit(
+                                "sent bytes/s",
+                                duties,
+                                matching,
+                                AgentResult.Point::sentBytesPerSecond));
             }
         }
         return fits;
@@ -115,20 +125,20 @@
     private static void plot(AgentResult result, Path file) throws IOException {
         Plot plot = new Plot("Resident memory of an agent", "members", "MB");
         for (boolean duties : new boolean[] {false, true}) {
-            List<AgentResult.Point> same =
+            List<AgentResult.Point> matching =
                     result.points().stream().filter(p -> p.duties() == duties).toList();
             plot.add(
                     duties ? "with duties" : "without duties",
-                    same.stream().map(AgentResult.Point::members).toList(),
-                    same.stream().map(AgentCommand::megabytes).toList());
+                    matching.stream().map(AgentResult.Point::members).toList(),
+                    matching.stream().map(AgentCommand::megabytes).toList());
         }
         plot.write(file);
     }
 
-    private void tell(AgentResult result, Path folder) {
-        PrintWriter text = spec.commandLine().getOut();
+    private void printResult(AgentResult result, Path folder) {
+        PrintWriter out = spec.commandLine().getOut();
         for (AgentResult.Point p : result.points()) {
-            text.printf(
+            out.printf(
                     Locale.ROOT,
                     "%4d members%s: %.1f MB resident, %d threads, %.2f %% of a core, sends %.0f"
                             + " bytes/s in %.1f datagrams/s, receives %.1f datagrams/s%n",
@@ -141,8 +151,8 @@
                     p.sentPerSecond(),
                     p.receivedPerSecond());
         }
-        result.failures().forEach(f -> text.println("FELL OVER: " + f));
-        text.println("Result: " + folder.resolve("result.json"));
-        text.flush();
+        result.failures().forEach(f -> out.println("FELL OVER: " + f));
+        out.println("Result: " + folder.resolve("result.json"));
+        out.flush();
     }
 }
--- /dev/null
+++ b/src/main/java/passhatch/lab/scale/AgentMeasurement.java
@@ -0,0 +1,137 @@
+package passhatch.lab.scale;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+import passhatch.lab.Seeds;
+import passhatch.lab.drill.AgentChild;
+
+/** Measures the first agent of a fleet whose other members are mostly hollow. */
+final class AgentMeasurement {
+
+    /** Voters on a duty, each a real process; without duties one real process is enough. */
+    static final int VOTERS = 3;
+
+    /** As {@link AgentChild} configures it. */
+    private static final String FLEET = "drill";
+
+    private static final long ALIVE_TIMEOUT_S = 60;
+    private static final long POLL_INTERVAL_MS = 200;
+    private static final long SETTLE_TIME_MS = 3_000;
+    private static final long SHUTDOWN_TIMEOUT_MS = 5_000;
+
+    private final ScaleOptions options;
+    private final Path folder;
+
+    AgentMeasurement(ScaleOptions options, Path folder) {
+        this.options = options;
+        this.folder = folder;
+    }
+
+    /** Figures that an agent counts itself. */
+    private record TrafficCounters(long sentBytes, long sentDatagrams, long receivedDatagrams) {
+        static TrafficCounters of(AgentChild agent) throws IOException {
+            String vars = agent.ask("vars");
+            return new TrafficCounters(
+                    readMetric(vars, "fleet_sent_bytes "),
+                    readMetric(vars, "fleet_datagrams{way=\"out\"} "),
+                    readMetric(vars, "fleet_datagrams{way=\"in\"} "));
+        }
+    }
+
+    private static long readMetric(String vars, String name) throws IOException {
+        return vars.lines()
+                .filter(line -> line.startsWith(name))
+                .map(line -> Long.valueOf(line.substring(name.length())))
+                .findFirst()
+                .orElseThrow(() -> new IOException("the agent does not tell " + name.strip()));
+    }
+
+    /**
+     * Measures a fleet of this size.
+     *
+     * @throws IOException where an agent ended, or the first never saw all members alive
+     */
+    AgentResult.Point measure(int members, boolean duties)
+            throws IOException, InterruptedException {
+        int processes = duties ? VOTERS : 1;
+        List<AgentChild> agents = new ArrayList<>();
+        Thread shutdownHook = new Thread(() -> agents.forEach(a -> a.child().endNow()));
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
+        try (InProcessMembers otherMembers = new InProcessMembers(members - processes)) {
+            Path fleetFolder = folder.resolve(members + (duties ? "-duties" : "-plain"));
+            for (int i = 0; i < processes; i++) {
+                agents.add(
+                        new AgentChild(
+                                options.programJar(),
+                                fleetFolder.resolve("agent-" + i),
+                                "agent-" + i));
+            }
+            List<InetSocketAddress> addresses = new ArrayList<>();
+            agents.forEach(agent -> addresses.add(agent.listen()));
+            addresses.addAll(otherMembers.addresses());
+            for (AgentChild agent : agents) {
+                agent.configure(addresses, agent.listen(), duties ? dutySection() : "");
+                agent.child().start();
+            }
+            otherMembers.start(FLEET, addresses, new Seeds(options.seed()));
+            awaitAllAlive(agents.get(0), members);
+            Thread.sleep(SETTLE_TIME_MS);
+            return measureAtRest(agents.get(0), members, processes, duties);
+        } finally {
+            agents.parallelStream().forEach(agent -> agent.child().end(SHUTDOWN_TIMEOUT_MS));
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
+        }
+    }
+
+    private static String dutySection() {
+        String voters =
+                IntStream.range(0, VOTERS)
+                        .mapToObj(i -> "\"agent-" + i + '"')
+                        .collect(Collectors.joining(", "));
+        return "[duties]\nvoters = [" + voters + "]\nwanted = [\"scale\"]\n";
+    }
+
+    private static void awaitAllAlive(AgentChild agent, int members)
+            throws IOException, InterruptedException {
+        String expectedLine = "fleet_members{status=\"alive\"} " + members + "\n";
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(ALIVE_TIMEOUT_S);
+        while (!agent.ask("vars").contains(expectedLine)) {
+            if (System.nanoTime() > deadlineNs || !agent.child().alive()) {
+                throw new IOException(
+                        "the agent did not see all members alive within "
+                                + ALIVE_TIMEOUT_S
+                                + " s; the end of its log:\n"
+                                + agent.child().logEnd());
+            }
+            Thread.sleep(POLL_INTERVAL_MS);
+        }
+    }
+
+    private AgentResult.Point measureAtRest(
+            AgentChild agent, int members, int processes, boolean duties)
+            throws IOException, InterruptedException {
+        long pid = agent.child().pid();
+        TrafficCounters countersBefore = TrafficCounters.of(agent);
+        ProcessUsage usageBefore = ProcessUsage.of(pid);
+        long startNs = System.nanoTime();
+        TimeUnit.SECONDS.sleep(options.seconds());
+        ProcessUsage usageAfter = ProcessUsage.of(pid);
+        double seconds = (System.nanoTime() - startNs) / 1e9;
+        TrafficCounters counters = TrafficCounters.of(agent);
+        return new AgentResult.Point(
+                members,
+                processes,
+                duties,
+                usageAfter,
+                (usageAfter.processorSeconds() - usageBefore.processorSeconds()) / seconds,
+                (counters.sentBytes() - countersBefore.sentBytes()) / seconds,
+                (counters.sentDatagrams() - countersBefore.sentDatagrams()) / seconds,
+                (counters.receivedDatagrams() - countersBefore.receivedDatagrams()) / seconds);
+    }
+}
--- a/src/main/java/passhatch/lab/scale/DistributionMeter.java
+++ b/src/main/java/passhatch/lab/scale/DistributionMeter.java
@@ -29,14 +29,14 @@
         }
     }
 
-    private record Expected(String key, long sinceUs) {}
+    private record ExpectedChange(String key, long createdUs) {}
 
     private final Map<Node, Traffic> traffic = new HashMap<>();
-    private final Map<Node, TreeMap<Long, Expected>> pending = new HashMap<>();
+    private final Map<Node, TreeMap<Long, ExpectedChange>> pending = new HashMap<>();
     private final List<Long> delaysUs = new ArrayList<>();
 
     /** Waited for when another leader gave their version to another change. */
-    private long replaced;
+    private long supersededCount;
 
     private Clock clock = () -> 0;
 
@@ -50,13 +50,13 @@
     }
 
     /** A change of a key has got a version; these subscribers want it since a time. */
-    void expect(String key, long version, long sinceUs, List<Node> subscribers) {
+    void expect(String key, long version, long createdUs, List<Node> subscribers) {
         for (Node node : subscribers) {
             if (node.isUp() && node.participant().version() < version) {
-                Expected before =
+                ExpectedChange previous =
                         pending.computeIfAbsent(node, any -> new TreeMap<>())
-                                .put(version, new Expected(key, sinceUs));
-                replaced += before == null ? 0 : 1;
+                                .put(version, new ExpectedChange(key, createdUs));
+                supersededCount += previous == null ? 0 : 1;
             }
         }
     }
@@ -64,39 +64,40 @@
     /** A change counts once its key has it or a newer one, whatever version the node is at. */
     @Override
     public void inForce(Node node, long epoch, long version) {
-        TreeMap<Long, Expected> waiting = node.role() == Role.SUBSCRIBER ? pending.get(node) : null;
-        if (waiting == null) {
+        TreeMap<Long, ExpectedChange> expectedByVersion =
+                node.role() == Role.SUBSCRIBER ? pending.get(node) : null;
+        if (expectedByVersion == null) {
             return;
         }
-        Iterator<Map.Entry<Long, Expected>> reached =
-                waiting.headMap(version, true).entrySet().iterator();
-        while (reached.hasNext()) {
-            Map.Entry<Long, Expected> next = reached.next();
-            Expected expected = next.getValue();
+        Iterator<Map.Entry<Long, ExpectedChange>> iterator =
+                expectedByVersion.headMap(version, true).entrySet().iterator();
+        while (iterator.hasNext()) {
+            Map.Entry<Long, ExpectedChange> next = iterator.next();
+            ExpectedChange expected = next.getValue();
             if (node.participant().versionOf(expected.key()) >= next.getKey()) {
-                delaysUs.add(clock.nowUs() - expected.sinceUs());
-                reached.remove();
+                delaysUs.add(clock.nowUs() - expected.createdUs());
+                iterator.remove();
             }
         }
     }
 
     @Override
     public void sent(Node from, int bytes) {
-        count(from, bytes);
+        countDatagram(from, bytes);
     }
 
     @Override
     public void received(Node to, int bytes) {
-        count(to, bytes);
+        countDatagram(to, bytes);
     }
 
-    private void count(Node node, int bytes) {
-        Traffic of = traffic.computeIfAbsent(node, any -> new Traffic());
-        of.bytes += bytes;
-        of.datagrams++;
+    private void countDatagram(Node node, int bytes) {
+        Traffic nodeTraffic = traffic.computeIfAbsent(node, any -> new Traffic());
+        nodeTraffic.bytes += bytes;
+        nodeTraffic.datagrams++;
     }
 
-    Traffic of(Node node) {
+    Traffic trafficOf(Node node) {
         return traffic.computeIfAbsent(node, any -> new Traffic());
     }
 
@@ -105,25 +106,25 @@
         traffic.clear();
         pending.clear();
         delaysUs.clear();
-        replaced = 0;
+        supersededCount = 0;
     }
 
     /** Changes that are not in force yet, summed over the subscribers that want them. */
-    long missing() {
-        return replaced + pending.values().stream().mapToLong(Map::size).sum();
+    long missingCount() {
+        return supersededCount + pending.values().stream().mapToLong(Map::size).sum();
     }
 
-    long samples() {
+    long sampleCount() {
         return delaysUs.size();
     }
 
     /** A quantile of the time from commit to in force, in seconds; 0 where there is no sample. */
-    double quantile(double share) {
+    double quantile(double fraction) {
         if (delaysUs.isEmpty()) {
             return 0;
         }
         Collections.sort(delaysUs);
-        int index = (int) Math.ceil(share * delaysUs.size()) - 1;
+        int index = (int) Math.ceil(fraction * delaysUs.size()) - 1;
         return delaysUs.get(Math.max(0, index)) * 1e-6;
     }
 }
--- a/src/main/java/passhatch/lab/scale/DistributionScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleCommand.java
@@ -24,8 +24,8 @@
         description = "Simulates the distribution of changes in fleets of several sizes.")
 final class DistributionScaleCommand implements Callable<Integer> {
 
-    private static final int MOST_SUBSCRIBERS = 40_000;
-    private static final int MOST_CHANGES = 10_000;
+    private static final int MAX_SUBSCRIBERS = 40_000;
+    private static final int MAX_CHANGES = 10_000;
     private static final Path DIRECTORY = Path.of("target", "scale", "distribution");
 
     /** What is written: figures by size, and lines fitted over the sizes. */
@@ -65,14 +65,14 @@
 
     @Override
     public Integer call() throws IOException {
-        check();
+        checkOptions();
         Map<Integer, Map<String, Double>> sizes = new TreeMap<>();
         for (int size : subscribers) {
             spec.commandLine().getErr().println("simulating " + size + " subscribers");
             spec.commandLine().getErr().flush();
             DistributionScaleRun run =
                     new DistributionScaleRun(size, zones, regions, changes, seed);
-            sizes.put(size, run.play(EnumSet.copyOf(events)));
+            sizes.put(size, run.run(EnumSet.copyOf(events)));
         }
         Files.createDirectories(DIRECTORY);
         Path file = DIRECTORY.resolve("result.json");
@@ -86,19 +86,19 @@
         return 0;
     }
 
-    private void check() {
+    private void checkOptions() {
         for (int size : subscribers) {
-            require(size >= 1 && size <= MOST_SUBSCRIBERS, "subscribers", MOST_SUBSCRIBERS);
+            require(size >= 1 && size <= MAX_SUBSCRIBERS, "subscribers", MAX_SUBSCRIBERS);
         }
         require(regions >= 1 && regions <= zones, "regions, at most as many as zones", zones);
-        require(changes >= 2 && changes <= MOST_CHANGES, "changes, at least 2", MOST_CHANGES);
+        require(changes >= 2 && changes <= MAX_CHANGES, "changes, at least 2", MAX_CHANGES);
         require(seed >= 0, "seed, not negative", Long.MAX_VALUE);
     }
 
-    private void require(boolean holds, String what, long most) {
+    private void require(boolean holds, String what, long max) {
         if (!holds) {
             throw new ParameterException(
-                    spec.commandLine(), "expected 1 to " + most + " for " + what);
+                    spec.commandLine(), "expected 1 to " + max + " for " + what);
         }
     }
 
@@ -110,7 +110,9 @@
         double[] x = sizes.keySet().stream().mapToDouble(Integer::doubleValue).toArray();
         for (String name : sizes.values().iterator().next().keySet()) {
             double[] y =
-                    sizes.values().stream().mapToDouble(of -> of.getOrDefault(name, 0.0)).toArray();
+                    sizes.values().stream()
+                            .mapToDouble(figures -> figures.getOrDefault(name, 0.0))
+                            .toArray();
             fits.put(name, LinearFit.of(x, y));
         }
         return fits;
@@ -121,12 +123,12 @@
         result.fits()
                 .forEach(
                         (name, fit) -> {
-                            Map<String, Object> of = new LinkedHashMap<>();
-                            of.put("intercept", fit.intercept());
-                            of.put("slope", fit.slope());
-                            of.put("residual", fit.residual());
-                            of.put("measured", new ArrayList<>(List.of(fit.from(), fit.to())));
-                            fits.put(name, of);
+                            Map<String, Object> fitMap = new LinkedHashMap<>();
+                            fitMap.put("intercept", fit.intercept());
+                            fitMap.put("slope", fit.slope());
+                            fitMap.put("residual", fit.residual());
+                            fitMap.put("measured", new ArrayList<>(List.of(fit.from(), fit.to())));
+                            fits.put(name, fitMap);
                         });
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("seed", result.seed());
--- a/src/main/java/passhatch/lab/scale/DistributionScalePlot.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScalePlot.java
@@ -8,14 +8,14 @@
 /** Bytes a second at a relay against the number of subscribers, a line for each event. */
 final class DistributionScalePlot {
 
-    private static final String FIGURE = ".relay.bytes_per_s";
+    private static final String FIGURE_SUFFIX = ".relay.bytes_per_s";
 
     private DistributionScalePlot() {}
 
     static void write(Path file, Map<Integer, Map<String, Double>> sizes) throws IOException {
         Plot plot = new Plot("bytes a second at a relay", "subscribers", "bytes/s");
         for (DistributionEvent event : DistributionEvent.values()) {
-            String figure = event.label() + FIGURE;
+            String figure = event.label() + FIGURE_SUFFIX;
             List<Integer> measured =
                     sizes.keySet().stream().filter(n -> sizes.get(n).containsKey(figure)).toList();
             List<Double> values = measured.stream().map(n -> sizes.get(n).get(figure)).toList();
--- a/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
@@ -27,47 +27,48 @@
 /** One fleet of a size in simulated time: what its roles cost, and how fast changes arrive. */
 final class DistributionScaleRun {
 
-    private static final long SECOND = 1_000_000;
-    private static final double LOSS = 0.05;
+    private static final long SECOND_US = 1_000_000;
+    private static final double LOSS_RATIO = 0.05;
     private static final int REPLICAS = 5;
     private static final int SERVICES = 2_600;
     private static final int SETTINGS_PER_SERVICE = 2;
     private static final int SERVICES_PER_SUBSCRIBER = 30;
 
     /** Longer than a follower stays away from its preferred source. */
-    private static final long WARM_UP_US = 60 * SECOND;
+    private static final long WARM_UP_US = 60 * SECOND_US;
 
-    private static final long IDLE_US = 10 * SECOND;
+    private static final long IDLE_DURATION_US = 10 * SECOND_US;
 
     /** 1,000 changes in a minute. */
-    private static final long CHANGE_EVERY_US = 60_000;
+    private static final long CHANGE_INTERVAL_US = 60_000;
 
-    private static final long SETTLE_US = 5 * SECOND;
-    private static final long COLD_LIMIT_US = 60 * SECOND;
-    private static final long STEP_US = 100_000;
-    private static final long LEASE_US = 2 * SECOND;
-    private static final long ZONE_CUT_US = 30 * SECOND;
-    private static final long REGION_CUT_US = 120 * SECOND;
-    private static final int RESTARTED_ONE_IN = 10;
+    private static final long SETTLE_TIME_US = 5 * SECOND_US;
+    private static final long CATCH_UP_TIMEOUT_US = 60 * SECOND_US;
+    private static final long POLL_INTERVAL_US = 100_000;
+    private static final long FAILOVER_LEASE_US = 2 * SECOND_US;
+    private static final long ZONE_PARTITION_US = 30 * SECOND_US;
+    private static final long REGION_PARTITION_US = 120 * SECOND_US;
+    private static final int RESTARTED_DIVISOR = 10;
 
     /** A change to submit; its time in force is counted at some subscribers. */
-    private record Change(String service, String value, long sinceUs, Predicate<Node> counted) {}
+    private record PendingChange(
+            String service, String value, long createdUs, Predicate<Node> measured) {}
 
     private final Fleet fleet;
     private final Simulation simulation;
     private final DistributionMeter meter = new DistributionMeter();
     private final LeaseStandIn lease;
     private final UniformRandomProvider random;
-    private final int changes;
-    private final Map<String, List<Node>> wanting = new HashMap<>();
+    private final int changesPerEvent;
+    private final Map<String, List<Node>> subscribersByService = new HashMap<>();
     private final Map<String, Double> figures = new TreeMap<>();
-    private final Deque<Change> untaken = new ArrayDeque<>();
-    private long submitted;
-    private long longestWaitUs;
+    private final Deque<PendingChange> pendingChanges = new ArrayDeque<>();
+    private long createdCount;
+    private long maxLeaderWaitUs;
 
-    DistributionScaleRun(int subscribers, int zones, int regions, int changes, long seed) {
+    DistributionScaleRun(int subscribers, int zones, int regions, int changesPerEvent, long seed) {
         Seeds seeds = new Seeds(seed);
-        this.changes = changes;
+        this.changesPerEvent = changesPerEvent;
         random = seeds.stream("changes");
         Fleet.Shape shape =
                 new Fleet.Shape(
@@ -80,7 +81,8 @@
                         SERVICES_PER_SUBSCRIBER);
         fleet = new Fleet(shape, seed);
         Network network =
-                new Network(seeds.stream("network"), regions, new Network.Quality(LOSS, 0, 0));
+                new Network(
+                        seeds.stream("network"), regions, new Network.Quality(LOSS_RATIO, 0, 0));
         simulation = new Simulation(seed, network, Simulation.Fidelity.SAMPLED, meter);
         meter.setClock(simulation::nowUs);
         fleet.addTo(simulation);
@@ -92,13 +94,13 @@
                         Fleet.FIRST_TERM);
         for (Node node : simulation.nodes(Role.SUBSCRIBER)) {
             for (String service : node.settings().services()) {
-                wanting.computeIfAbsent(service, any -> new ArrayList<>()).add(node);
+                subscribersByService.computeIfAbsent(service, any -> new ArrayList<>()).add(node);
             }
         }
     }
 
     /** Plays events in the order of the enum; figures by name. */
-    Map<String, Double> play(Set<DistributionEvent> events) {
+    Map<String, Double> run(Set<DistributionEvent> events) {
         for (Node node : simulation.nodes()) {
             node.setDisk(fleet.diskOf(node));
             node.start();
@@ -107,103 +109,106 @@
             }
         }
         lease.start();
-        pass(WARM_UP_US);
-        EnumSet.copyOf(events).forEach(this::play);
+        advance(WARM_UP_US);
+        EnumSet.copyOf(events).forEach(this::run);
         return figures;
     }
 
-    private void play(DistributionEvent event) {
+    private void run(DistributionEvent event) {
         switch (event) {
-            case IDLE -> idle();
-            case CHANGES -> changes(event.label(), () -> {});
-            case RELAY_KILLED -> relayKilled();
-            case LEADER_KILLED -> leaderKilled(event.label());
-            case ZONE_CUT -> zoneCut(event.label());
-            case REGION_CUT -> regionCut(event.label());
-            case TENTH_RESTARTED -> tenthRestarted(event.label());
-            case COLD -> cold();
+            case IDLE -> measureIdle();
+            case CHANGES -> measureChanges(event.label(), () -> {});
+            case RELAY_KILLED -> measureRelayKill();
+            case LEADER_KILLED -> measureLeaderKill(event.label());
+            case ZONE_CUT -> measureZonePartition(event.label());
+            case REGION_CUT -> measureRegionPartition(event.label());
+            case TENTH_RESTARTED -> measureRestart(event.label());
+            case COLD -> measureColdStart();
         }
     }
 
-    private void pass(long us) {
-        simulation.runUntil(simulation.nowUs() + us);
+    private void advance(long durationUs) {
+        simulation.runUntil(simulation.nowUs() + durationUs);
     }
 
-    private void idle() {
+    private void measureIdle() {
         meter.reset();
-        Map<Role, Long> busyBefore = busy();
-        pass(IDLE_US);
-        costs("idle", IDLE_US, busyBefore);
+        Map<Role, Long> busyBefore = busyNanosByRole();
+        advance(IDLE_DURATION_US);
+        recordCosts("idle", IDLE_DURATION_US, busyBefore);
     }
 
-    private Map<Role, Long> busy() {
-        Map<Role, Long> nanos = new HashMap<>();
-        simulation.nodes().forEach(n -> nanos.merge(n.role(), n.busyNanos(), Long::sum));
-        return nanos;
+    private Map<Role, Long> busyNanosByRole() {
+        Map<Role, Long> nanosByRole = new HashMap<>();
+        simulation.nodes().forEach(n -> nanosByRole.merge(n.role(), n.busyNanos(), Long::sum));
+        return nanosByRole;
     }
 
-    private void costs(String phase, long us, Map<Role, Long> busyBefore) {
-        double seconds = us * 1e-6;
-        Map<Role, Long> busyAfter = busy();
+    private void recordCosts(String phase, long durationUs, Map<Role, Long> busyBefore) {
+        double seconds = durationUs * 1e-6;
+        Map<Role, Long> busyAfter = busyNanosByRole();
         for (Role role : Role.values()) {
             Collection<Node> nodes = simulation.nodes(role);
-            long bytes = nodes.stream().mapToLong(n -> meter.of(n).bytes()).sum();
-            long datagrams = nodes.stream().mapToLong(n -> meter.of(n).datagrams()).sum();
-            long most = nodes.stream().mapToLong(n -> meter.of(n).bytes()).max().orElse(0);
+            long bytes = nodes.stream().mapToLong(n -> meter.trafficOf(n).bytes()).sum();
+            long datagrams = nodes.stream().mapToLong(n -> meter.trafficOf(n).datagrams()).sum();
+            long maxBytes =
+                    nodes.stream().mapToLong(n -> meter.trafficOf(n).bytes()).max().orElse(0);
             String name = phase + "." + role.name().toLowerCase(Locale.ROOT);
             figures.put(name + ".bytes_per_s", bytes / seconds / nodes.size());
-            figures.put(name + ".most_bytes_per_s", most / seconds);
+            figures.put(name + ".most_bytes_per_s", maxBytes / seconds);
             figures.put(name + ".datagrams_per_s", datagrams / seconds / nodes.size());
-            long nanos = busyAfter.get(role) - busyBefore.get(role);
-            figures.put(name + ".busy_share", nanos * 1e-9 / seconds / nodes.size());
+            long busyNanos = busyAfter.get(role) - busyBefore.get(role);
+            figures.put(name + ".busy_share", busyNanos * 1e-9 / seconds / nodes.size());
         }
         if (lease.holder() != null) {
-            figures.put(phase + ".leader.bytes_per_s", meter.of(lease.holder()).bytes() / seconds);
+            figures.put(
+                    phase + ".leader.bytes_per_s",
+                    meter.trafficOf(lease.holder()).bytes() / seconds);
         }
     }
 
-    private void changes(String phase, Runnable inTheMiddle) {
+    private void measureChanges(String phase, Runnable atMidpoint) {
         meter.reset();
-        Map<Role, Long> busyBefore = busy();
+        Map<Role, Long> busyBefore = busyNanosByRole();
         long startUs = simulation.nowUs();
-        for (int i = 0; i < changes; i++) {
-            if (i == changes / 2) {
-                inTheMiddle.run();
+        for (int i = 0; i < changesPerEvent; i++) {
+            if (i == changesPerEvent / 2) {
+                atMidpoint.run();
             }
-            change(node -> true);
-            pass(CHANGE_EVERY_US);
+            createChange(node -> true);
+            advance(CHANGE_INTERVAL_US);
         }
-        costs(phase, simulation.nowUs() - startUs, busyBefore);
-        finishUntaken();
-        pass(SETTLE_US);
-        inForce(phase);
+        recordCosts(phase, simulation.nowUs() - startUs, busyBefore);
+        retryPendingChanges();
+        advance(SETTLE_TIME_US);
+        recordDelays(phase);
     }
 
-    private void inForce(String phase) {
+    private void recordDelays(String phase) {
         figures.put(phase + ".in_force_s.median", meter.quantile(0.5));
         figures.put(phase + ".in_force_s.p999", meter.quantile(0.999));
         figures.put(phase + ".in_force_s.worst", meter.quantile(1));
-        figures.put(phase + ".samples", (double) meter.samples());
-        figures.put(phase + ".missing", (double) meter.missing());
+        figures.put(phase + ".samples", (double) meter.sampleCount());
+        figures.put(phase + ".missing", (double) meter.missingCount());
     }
 
     /** Submits a change; it counts from here on, so the time to a majority is included. */
-    private void change(Predicate<Node> counted) {
+    private void createChange(Predicate<Node> measured) {
         String service = "service-" + random.nextInt(SERVICES);
-        String value = Long.toString(1 + submitted++ % 60_000);
-        untaken.add(new Change(service, value, simulation.nowUs(), counted));
-        submitUntaken();
+        String value = Long.toString(1 + createdCount++ % 60_000);
+        pendingChanges.add(new PendingChange(service, value, simulation.nowUs(), measured));
+        submitPendingChanges();
     }
 
     /** Submits changes in their order until a leader refuses one or there is none. */
-    private void submitUntaken() {
-        while (!untaken.isEmpty() && isTaken(untaken.peekFirst())) {
-            Change taken = untaken.removeFirst();
-            longestWaitUs = Math.max(longestWaitUs, simulation.nowUs() - taken.sinceUs());
+    private void submitPendingChanges() {
+        while (!pendingChanges.isEmpty() && trySubmit(pendingChanges.peekFirst())) {
+            PendingChange accepted = pendingChanges.removeFirst();
+            maxLeaderWaitUs = Math.max(maxLeaderWaitUs, simulation.nowUs() - accepted.createdUs());
         }
     }
 
-    private boolean isTaken(Change change) {
+    private boolean trySubmit(PendingChange change) {
         if (lease.holder() == null) {
             return false;
         }
@@ -211,9 +216,11 @@
         AtomicLong version = new AtomicLong();
         lease.holder()
                 .run(
-                        p -> {
+                        participant -> {
                             try {
-                                version.set(p.submit(simulation.nowUs(), key, change.value(), -1));
+                                version.set(
+                                        participant.submit(
+                                                simulation.nowUs(), key, change.value(), -1));
                             } catch (InvalidChangeException refused) {
                                 figures.merge("refused", 1.0, Double::sum);
                             }
@@ -221,97 +228,98 @@
         if (version.get() == 0) {
             return false;
         }
-        List<Node> nodes = wanting.getOrDefault(change.service(), List.of());
-        List<Node> counted = nodes.stream().filter(change.counted()).toList();
-        meter.expect(key, version.get(), change.sinceUs(), counted);
+        List<Node> subscribers = subscribersByService.getOrDefault(change.service(), List.of());
+        List<Node> measured = subscribers.stream().filter(change.measured()).toList();
+        meter.expect(key, version.get(), change.createdUs(), measured);
         return true;
     }
 
     /** Repeats changes that no leader has taken, as their operators would. */
-    private void finishUntaken() {
-        long limitUs = simulation.nowUs() + COLD_LIMIT_US;
-        while (!untaken.isEmpty() && simulation.nowUs() < limitUs) {
-            pass(CHANGE_EVERY_US);
-            submitUntaken();
+    private void retryPendingChanges() {
+        long deadlineUs = simulation.nowUs() + CATCH_UP_TIMEOUT_US;
+        while (!pendingChanges.isEmpty() && simulation.nowUs() < deadlineUs) {
+            advance(CHANGE_INTERVAL_US);
+            submitPendingChanges();
         }
     }
 
-    private void relayKilled() {
+    private void measureRelayKill() {
         Node relay = simulation.nodes(Role.RELAY).get(0);
-        changes("relay_killed", relay::kill);
+        measureChanges("relay_killed", relay::kill);
         relay.setDisk(fleet.diskOf(relay));
         relay.start();
         relay.setDisk(List.of());
-        pass(SETTLE_US);
+        advance(SETTLE_TIME_US);
     }
 
     /** A change that finds no leader is repeated, and counts from the first time. */
-    private void leaderKilled(String phase) {
-        longestWaitUs = 0;
-        Node killed = lease.holder();
-        lease.setLeaseUs(LEASE_US);
-        changes(
+    private void measureLeaderKill(String phase) {
+        maxLeaderWaitUs = 0;
+        Node leader = lease.holder();
+        lease.setLeaseUs(FAILOVER_LEASE_US);
+        measureChanges(
                 phase,
                 () -> {
-                    killed.compact();
-                    killed.kill();
+                    leader.compact();
+                    leader.kill();
                 });
-        figures.put(phase + ".longest_wait_for_leader_s", longestWaitUs * 1e-6);
+        figures.put(phase + ".longest_wait_for_leader_s", maxLeaderWaitUs * 1e-6);
         lease.setLeaseUs(LeaseStandIn.DEFAULT_LEASE_US);
-        killed.start();
-        killed.setDisk(List.of());
-        pass(SETTLE_US);
+        leader.start();
+        leader.setDisk(List.of());
+        advance(SETTLE_TIME_US);
     }
 
-    private void zoneCut(String phase) {
+    private void measureZonePartition(String phase) {
         List<Node> relays = simulation.nodes(Role.RELAY);
         int zone = relays.get(relays.size() - 1).location().zone();
-        cut(phase, node -> node.location().zone() == zone, ZONE_CUT_US);
+        measurePartition(phase, node -> node.location().zone() == zone, ZONE_PARTITION_US);
     }
 
     /** The region of a replica that does not lead. */
-    private void regionCut(String phase) {
-        int leading = lease.holder().location().region();
+    private void measureRegionPartition(String phase) {
+        int leaderRegion = lease.holder().location().region();
         int region =
                 simulation.nodes(Role.REPLICA).stream()
                         .mapToInt(node -> node.location().region())
-                        .filter(other -> other != leading)
+                        .filter(other -> other != leaderRegion)
                         .findFirst()
-                        .orElse(leading);
-        cut(phase, node -> node.location().region() == region, REGION_CUT_US);
+                        .orElse(leaderRegion);
+        measurePartition(phase, node -> node.location().region() == region, REGION_PARTITION_US);
     }
 
     /** Changes go on during the cut; their time in force is that of the nodes outside. */
-    private void cut(String phase, Predicate<Node> inside, long us) {
+    private void measurePartition(String phase, Predicate<Node> inside, long durationUs) {
         meter.reset();
-        BiPredicate<Node, Node> severed = (from, to) -> inside.test(from) ^ inside.test(to);
-        simulation.network().block(severed);
+        BiPredicate<Node, Node> blocked = (from, to) -> inside.test(from) ^ inside.test(to);
+        simulation.network().block(blocked);
         long startUs = simulation.nowUs();
-        while (simulation.nowUs() < startUs + us) {
-            change(inside.negate());
-            pass(CHANGE_EVERY_US);
+        while (simulation.nowUs() < startUs + durationUs) {
+            createChange(inside.negate());
+            advance(CHANGE_INTERVAL_US);
         }
-        simulation.network().unblock(severed);
-        untilAtHead(phase, simulation.nodes(Role.SUBSCRIBER).stream().filter(inside).toList());
-        pass(SETTLE_US);
-        inForce(phase + ".elsewhere");
+        simulation.network().unblock(blocked);
+        awaitHead(phase, simulation.nodes(Role.SUBSCRIBER).stream().filter(inside).toList());
+        advance(SETTLE_TIME_US);
+        recordDelays(phase + ".elsewhere");
     }
 
     /** Waits until nodes have what is committed now. */
-    private void untilAtHead(String phase, List<Node> nodes) {
-        long head = head();
-        long behind = nodes.stream().filter(node -> node.participant().version() < head).count();
-        figures.put(phase + ".behind", (double) behind);
+    private void awaitHead(String phase, List<Node> nodes) {
+        long head = headVersion();
+        long behindCount =
+                nodes.stream().filter(node -> node.participant().version() < head).count();
+        figures.put(phase + ".behind", (double) behindCount);
         figures.put(phase + ".nodes", (double) nodes.size());
         long startUs = simulation.nowUs();
         while (nodes.stream().anyMatch(node -> node.participant().version() < head)
-                && simulation.nowUs() < startUs + COLD_LIMIT_US) {
-            pass(STEP_US);
+                && simulation.nowUs() < startUs + CATCH_UP_TIMEOUT_US) {
+            advance(POLL_INTERVAL_US);
         }
         figures.put(phase + ".until_all_s", (simulation.nowUs() - startUs) * 1e-6);
     }
 
-    private long head() {
+    private long headVersion() {
         return simulation.nodes(Role.REPLICA).stream()
                 .filter(Node::isUp)
                 .mapToLong(node -> node.participant().version())
@@ -320,35 +328,35 @@
     }
 
     /** They are down while changes are made, and then start at once from what they had. */
-    private void tenthRestarted(String phase) {
+    private void measureRestart(String phase) {
         List<Node> subscribers = simulation.nodes(Role.SUBSCRIBER);
-        int count = (subscribers.size() + RESTARTED_ONE_IN - 1) / RESTARTED_ONE_IN;
+        int count = (subscribers.size() + RESTARTED_DIVISOR - 1) / RESTARTED_DIVISOR;
         List<Node> restarted = subscribers.subList(0, count);
         restarted.forEach(
                 node -> {
                     node.compact();
                     node.kill();
                 });
-        for (int i = 0; i < changes; i++) {
-            change(node -> true);
-            pass(CHANGE_EVERY_US);
+        for (int i = 0; i < changesPerEvent; i++) {
+            createChange(node -> true);
+            advance(CHANGE_INTERVAL_US);
         }
         meter.reset();
-        Map<Role, Long> busyBefore = busy();
+        Map<Role, Long> busyBefore = busyNanosByRole();
         long startUs = simulation.nowUs();
         restarted.forEach(
                 node -> {
                     node.start();
                     node.setDisk(List.of());
                 });
-        untilAtHead(phase, restarted);
-        costs(phase, simulation.nowUs() - startUs, busyBefore);
+        awaitHead(phase, restarted);
+        recordCosts(phase, simulation.nowUs() - startUs, busyBefore);
     }
 
     /** All subscribers begin with an empty disk at once. */
-    private void cold() {
+    private void measureColdStart() {
         meter.reset();
-        Map<Role, Long> busyBefore = busy();
+        Map<Role, Long> busyBefore = busyNanosByRole();
         List<Node> subscribers = simulation.nodes(Role.SUBSCRIBER);
         long startUs = simulation.nowUs();
         subscribers.forEach(
@@ -358,11 +366,11 @@
                     node.start();
                 });
         while (subscribers.stream().anyMatch(node -> node.participant().version() == 0)
-                && simulation.nowUs() < startUs + COLD_LIMIT_US) {
-            pass(STEP_US);
+                && simulation.nowUs() < startUs + CATCH_UP_TIMEOUT_US) {
+            advance(POLL_INTERVAL_US);
         }
         figures.put("cold.until_all_s", (simulation.nowUs() - startUs) * 1e-6);
-        costs("cold", simulation.nowUs() - startUs, busyBefore);
+        recordCosts("cold", simulation.nowUs() - startUs, busyBefore);
         figures.put(
                 "entries_held.subscriber.most",
                 (double)
--- a/src/main/java/passhatch/lab/scale/HollowMembers.java
+++ b/src/main/java/passhatch/lab/scale/InProcessMembers.java
@@ -27,65 +27,65 @@
  * Members of a fleet that share this process and one thread: each has its own socket and the
  * program's own state machine, and no store, control address or duties.
  */
-final class HollowMembers implements Closeable {
+final class InProcessMembers implements Closeable {
 
     /** As the agent has it where its configuration does not say. */
-    private static final long PERIOD_US = 500_000;
+    private static final long PROBE_PERIOD_US = 500_000;
 
     private static final long BYTES_PER_SECOND = 16_384;
     private static final long FORGET_AFTER_US = TimeUnit.HOURS.toMicros(1);
-    private static final int RECEIVE_BYTES = 512;
-    private static final long LONGEST_WAIT_MS = 10;
+    private static final int RECEIVE_BUFFER_BYTES = 512;
+    private static final long MAX_WAIT_MS = 10;
 
     private final Selector selector = Selector.open();
-    private final List<Node> nodes = new ArrayList<>();
+    private final List<Member> members = new ArrayList<>();
     private final Thread thread = new Thread(this::run, "hollow-members");
-    private Map<InetSocketAddress, Integer> places;
-    private List<InetSocketAddress> members;
+    private Map<InetSocketAddress, Integer> addressIndexes;
+    private List<InetSocketAddress> fleetAddresses;
 
     /** Opens the sockets; the members are silent until {@link #start}. */
-    HollowMembers(int count) throws IOException {
+    InProcessMembers(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             DatagramChannel socket = DatagramChannel.open();
-            Node node = new Node(socket);
-            nodes.add(node);
+            Member member = new Member(socket);
+            members.add(member);
             socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             socket.configureBlocking(false);
-            socket.register(selector, SelectionKey.OP_READ, node);
+            socket.register(selector, SelectionKey.OP_READ, member);
         }
     }
 
     /** Where they receive. */
     List<InetSocketAddress> addresses() throws IOException {
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (Node node : nodes) {
-            addresses.add((InetSocketAddress) node.socket.getLocalAddress());
+        for (Member member : members) {
+            addresses.add((InetSocketAddress) member.socket.getLocalAddress());
         }
         return addresses;
     }
 
     /** Has them take part in the fleet. */
-    void start(String fleet, List<InetSocketAddress> all, Seeds seeds) throws IOException {
-        members = List.copyOf(all);
-        places = new HashMap<>();
-        members.forEach(member -> places.put(member, places.size()));
-        for (int i = 0; i < nodes.size(); i++) {
-            nodes.get(i).join(fleet, "hollow-" + i, seeds);
+    void start(String fleet, List<InetSocketAddress> allAddresses, Seeds seeds) throws IOException {
+        fleetAddresses = List.copyOf(allAddresses);
+        addressIndexes = new HashMap<>();
+        fleetAddresses.forEach(address -> addressIndexes.put(address, addressIndexes.size()));
+        for (int i = 0; i < members.size(); i++) {
+            members.get(i).join(fleet, "hollow-" + i, seeds);
         }
         thread.setDaemon(true);
         thread.start();
     }
 
     private void run() {
-        ByteBuffer buffer = ByteBuffer.allocate(RECEIVE_BYTES);
+        ByteBuffer buffer = ByteBuffer.allocate(RECEIVE_BUFFER_BYTES);
         try {
             while (selector.isOpen()) {
-                selector.select(key -> ((Node) key.attachment()).receive(buffer), LONGEST_WAIT_MS);
-                for (Node node : nodes) {
-                    node.wake();
+                selector.select(key -> ((Member) key.attachment()).receive(buffer), MAX_WAIT_MS);
+                for (Member member : members) {
+                    member.runDueTimer();
                 }
             }
-        } catch (IOException | ClosedSelectorException over) {
+        } catch (IOException | ClosedSelectorException closed) {
             // It was closed.
         }
     }
@@ -97,16 +97,16 @@
     @Override
     public void close() throws IOException {
         selector.close();
-        for (Node node : nodes) {
-            node.socket.close();
+        for (Member member : members) {
+            member.socket.close();
         }
     }
 
-    private final class Node implements FleetActions {
+    private final class Member implements FleetActions {
         private final DatagramChannel socket;
         private Membership membership;
 
-        Node(DatagramChannel socket) {
+        Member(DatagramChannel socket) {
             this.socket = socket;
         }
 
@@ -117,9 +117,9 @@
                             name,
                             "hollow",
                             "proxy",
-                            places.get((InetSocketAddress) socket.getLocalAddress()),
-                            members.size(),
-                            PERIOD_US,
+                            addressIndexes.get((InetSocketAddress) socket.getLocalAddress()),
+                            fleetAddresses.size(),
+                            PROBE_PERIOD_US,
                             BYTES_PER_SECOND,
                             FORGET_AFTER_US);
             SplittableRandom random = new SplittableRandom(seeds.stream(name).nextLong());
@@ -130,17 +130,17 @@
             try {
                 buffer.clear();
                 InetSocketAddress from = (InetSocketAddress) socket.receive(buffer);
-                Integer place = from == null ? null : places.get(from);
-                if (place != null) {
-                    byte[] bytes = Arrays.copyOf(buffer.array(), buffer.position());
-                    membership.receive(nowUs(), place, bytes);
+                Integer addressIndex = from == null ? null : addressIndexes.get(from);
+                if (addressIndex != null) {
+                    byte[] datagram = Arrays.copyOf(buffer.array(), buffer.position());
+                    membership.receive(nowUs(), addressIndex, datagram);
                 }
             } catch (IOException lost) {
                 // An error of one datagram's way is a datagram lost.
             }
         }
 
-        void wake() {
+        void runDueTimer() {
             if (membership.wakeAtUs() <= nowUs()) {
                 membership.timer(nowUs());
             }
@@ -149,7 +149,7 @@
         @Override
         public void send(int address, byte[] datagram) {
             try {
-                socket.send(ByteBuffer.wrap(datagram), members.get(address));
+                socket.send(ByteBuffer.wrap(datagram), fleetAddresses.get(address));
             } catch (IOException lost) {
                 // As above.
             }
--- a/src/main/java/passhatch/lab/scale/LatencyCommand.java
+++ b/src/main/java/passhatch/lab/scale/LatencyCommand.java
@@ -32,11 +32,11 @@
             "each proxy's list has one entry, the next proxy; the last one's has the backends;"
                     + " there are no services between them";
     private static final int MEMORY_MB = 144;
-    private static final int MOST_ENTRIES = 5_000;
-    private static final int MOST_RATE = 20_000;
-    private static final int MOST_DEPTH = 20;
-    private static final int MOST_TRIES = 10;
-    private static final int MOST_BEHIND_US = 10_000_000;
+    private static final int MAX_ENTRIES = 5_000;
+    private static final int MAX_RATE = 20_000;
+    private static final int MAX_DEPTH = 20;
+    private static final int MAX_TRIES = 10;
+    private static final int MAX_BEHIND_US = 10_000_000;
     private static final int WARM_UP_RATE = 400;
     private static final int WARM_UP_S = 3;
 
@@ -85,48 +85,52 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        ScaleOptions.within("--paths", paths, 1, MOST_DEPTH);
-        ScaleOptions.within("--rates", rates, 1, MOST_RATE);
-        ScaleOptions.within("--sizes", sizes, 1, MOST_ENTRIES);
-        if (behindUs < 1 || behindUs > MOST_BEHIND_US) {
-            throw new InvalidInputException("--behind-us: expected 1 to " + MOST_BEHIND_US);
+        ScaleOptions.requireWithin("--paths", paths, 1, MAX_DEPTH);
+        ScaleOptions.requireWithin("--rates", rates, 1, MAX_RATE);
+        ScaleOptions.requireWithin("--sizes", sizes, 1, MAX_ENTRIES);
+        if (behindUs < 1 || behindUs > MAX_BEHIND_US) {
+            throw new InvalidInputException("--behind-us: expected 1 to " + MAX_BEHIND_US);
         }
-        if (tries < 1 || tries > MOST_TRIES) {
-            throw new InvalidInputException("--tries: expected 1 to " + MOST_TRIES);
+        if (tries < 1 || tries > MAX_TRIES) {
+            throw new InvalidInputException("--tries: expected 1 to " + MAX_TRIES);
         }
         options.seconds();
-        options.program();
+        options.programJar();
         Path folder = options.folder(NAME);
         LatencyResult result = measure(folder);
         ScaleOptions.write(folder.resolve("result.json"), result);
         plot(result, folder.resolve("plot.png"));
-        tell(result, folder);
+        printResult(result, folder);
         return result.tooBusy() ? 1 : 0;
     }
 
     private LatencyResult measure(Path folder) throws IOException, InterruptedException {
         double loadBefore = Machine.loadAverage();
         List<LatencyResult.Step> steps = new ArrayList<>();
-        int planned = (paths.size() + 1) * (rates.size() + sizes.size() - 1);
-        ProxyField field =
-                new ProxyField(
-                        options.program(), folder, options.seed(), MEMORY_MB, options.jvmOptions());
-        try (var progress = options.progress(NAME, planned);
+        int plannedSteps = (paths.size() + 1) * (rates.size() + sizes.size() - 1);
+        ProxyTestbed testbed =
+                new ProxyTestbed(
+                        options.programJar(),
+                        folder,
+                        options.seed(),
+                        MEMORY_MB,
+                        options.jvmOptions());
+        try (var progress = options.progress(NAME, plannedSteps);
                 ProxyChain chain =
                         new ProxyChain(
-                                field,
+                                testbed,
                                 Collections.max(paths),
                                 Collections.max(sizes),
                                 options.seed())) {
-            LatencyMeasure measure =
-                    new LatencyMeasure(
+            LatencyMeasurement measurement =
+                    new LatencyMeasurement(
                             chain, new Seeds(options.seed()), options.seconds(), behindUs, tries);
             for (int size : sizes) {
-                chain.list(size);
-                measure.warmUp(0, WARM_UP_RATE, WARM_UP_S);
-                measure.warmUp(Collections.max(paths), WARM_UP_RATE, WARM_UP_S);
+                chain.setListedCount(size);
+                measurement.warmUp(0, WARM_UP_RATE, WARM_UP_S);
+                measurement.warmUp(Collections.max(paths), WARM_UP_RATE, WARM_UP_S);
                 for (int rate : size == sizes.get(0) ? rates : rates.subList(0, 1)) {
-                    steps.addAll(atRate(measure, size, rate, progress));
+                    steps.addAll(measureAtRate(measurement, size, rate, progress));
                 }
             }
         }
@@ -144,15 +148,15 @@
     }
 
     /** All paths at one load, close together in time. */
-    private List<LatencyResult.Step> atRate(
-            LatencyMeasure measure, int size, int rate, ScaleOptions.Progress progress)
+    private List<LatencyResult.Step> measureAtRate(
+            LatencyMeasurement measurement, int size, int rate, ScaleOptions.Progress progress)
             throws IOException, InterruptedException {
         List<LatencyResult.Step> steps = new ArrayList<>();
-        steps.add(measure.step(0, size, rate));
+        steps.add(measurement.measureStep(0, size, rate));
         progress.step(size + " entries, " + rate + " calls/s, direct");
-        for (int passes : paths) {
-            steps.add(measure.step(passes, size, rate));
-            progress.step(size + " entries, " + rate + " calls/s, " + passes + " proxies");
+        for (int proxyCount : paths) {
+            steps.add(measurement.measureStep(proxyCount, size, rate));
+            progress.step(size + " entries, " + rate + " calls/s, " + proxyCount + " proxies");
         }
         return steps;
     }
@@ -192,26 +196,26 @@
 
     private void plot(LatencyResult result, Path file) throws IOException {
         Plot plot = new Plot("Time added at p99", "calls a second", "microseconds");
-        for (int passes : paths) {
-            List<LatencyResult.Added> line =
+        for (int proxyCount : paths) {
+            List<LatencyResult.Added> points =
                     result.added().stream()
-                            .filter(a -> a.proxies() == passes && a.entries() == sizes.get(0))
+                            .filter(a -> a.proxies() == proxyCount && a.entries() == sizes.get(0))
                             .toList();
             plot.add(
-                    passes + " proxies",
-                    line.stream().map(LatencyResult.Added::callsPerSecond).toList(),
-                    line.stream().map(LatencyResult.Added::p99Us).toList());
+                    proxyCount + " proxies",
+                    points.stream().map(LatencyResult.Added::callsPerSecond).toList(),
+                    points.stream().map(LatencyResult.Added::p99Us).toList());
         }
         plot.write(file);
     }
 
-    private void tell(LatencyResult result, Path folder) {
-        PrintWriter text = spec.commandLine().getOut();
+    private void printResult(LatencyResult result, Path folder) {
+        PrintWriter out = spec.commandLine().getOut();
         for (LatencyResult.Step s : result.steps()) {
-            text.println(line(s));
+            out.println(stepText(s));
         }
         for (LatencyResult.Added a : result.added()) {
-            text.printf(
+            out.printf(
                     Locale.ROOT,
                     "added: %d proxies, %4d entries, %5d calls/s: p50 %d us, p99 %d us, p99.9 %d"
                             + " us; p99 is %.2f of the direct call's%n",
@@ -223,13 +227,13 @@
                     a.p999Us(),
                     a.ratioP99());
         }
-        result.verdicts().forEach(v -> text.println(v.text()));
-        text.println("Result: " + folder.resolve("result.json"));
-        text.flush();
+        result.verdicts().forEach(v -> out.println(v.text()));
+        out.println("Result: " + folder.resolve("result.json"));
+        out.flush();
     }
 
-    private static String line(LatencyResult.Step s) {
-        String where =
+    private static String stepText(LatencyResult.Step s) {
+        String prefix =
                 String.format(
                         Locale.ROOT,
                         "%d proxies, %4d entries, %5d calls/s: ",
@@ -237,13 +241,13 @@
                         s.entries(),
                         s.callsPerSecond());
         if (s.tooBusy()) {
-            return where
+            return prefix
                     + String.format(
                             Locale.ROOT,
                             "too busy to measure (calls sent late: p99 %.0f us)",
                             s.behindP99Us());
         }
-        return where
+        return prefix
                 + String.format(
                         Locale.ROOT,
                         "p50 %d us, p99 %d us, p99.9 %d us, served %.4f%s%s",
--- /dev/null
+++ b/src/main/java/passhatch/lab/scale/LatencyMeasurement.java
@@ -0,0 +1,154 @@
+package passhatch.lab.scale;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.HdrHistogram.Histogram;
+import passhatch.lab.Seeds;
+import passhatch.lab.drill.ProxyChild;
+import passhatch.lab.load.LoadGenerator;
+import passhatch.lab.load.LoadPlan;
+import passhatch.lab.load.LoadStats;
+import passhatch.lab.load.Outcome;
+import passhatch.lab.load.ProxyPool;
+
+/** Gives one load to one path at a time and measures it. */
+final class LatencyMeasurement {
+
+    private static final int MAX_LATENCY_US = 120_000_000;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final long START_DELAY_MS = 50;
+
+    /** Calls of the first second open connections and are left out of the quantiles. */
+    private static final int SKIPPED_STEPS = 1_000 / LoadStats.STEP_MS;
+
+    private static final int CONNECTIONS = 64;
+
+    /** The load tool must not add a part of its own to times of a tenth of a millisecond. */
+    private static final long TICK_US = 50;
+
+    private static final long DEADLINE_US = 1_000_000;
+    private static final String REQUEST_CLASS = "look-up";
+    private static final double SATURATION_SERVED_RATIO = 0.99;
+    private static final double SATURATION_PROCESSOR_RATIO = 0.9;
+
+    private final ProxyChain chain;
+    private final Seeds seeds;
+    private final int seconds;
+    private final int maxBehindUs;
+    private final int maxAttempts;
+
+    /**
+     * Measures on a chain.
+     *
+     * @param maxBehindUs a step is void where a hundredth of its calls went out later than this
+     * @param maxAttempts a void step is given again, so often in all
+     */
+    LatencyMeasurement(
+            ProxyChain chain, Seeds seeds, int seconds, int maxBehindUs, int maxAttempts) {
+        this.chain = chain;
+        this.seeds = seeds;
+        this.seconds = seconds;
+        this.maxBehindUs = maxBehindUs;
+        this.maxAttempts = maxAttempts;
+    }
+
+    /** Gives a load without measuring it: a JVM that has just started is slow. */
+    void warmUp(int proxyCount, int requestsPerSecond, int durationSeconds)
+            throws InterruptedException {
+        runLoad(proxyCount, requestsPerSecond, durationSeconds);
+    }
+
+    /** Measures one load on one path, again where the load tool fell behind. */
+    LatencyResult.Step measureStep(int proxyCount, int entries, int requestsPerSecond)
+            throws IOException, InterruptedException {
+        LatencyResult.Step step = measureOnce(proxyCount, entries, requestsPerSecond);
+        for (int i = 1; i < maxAttempts && step.tooBusy(); i++) {
+            step = measureOnce(proxyCount, entries, requestsPerSecond);
+        }
+        return step;
+    }
+
+    private LatencyResult.Step measureOnce(int proxyCount, int entries, int requestsPerSecond)
+            throws IOException, InterruptedException {
+        List<Double> processorSecondsBefore = processorSeconds(proxyCount);
+        long startNs = System.nanoTime();
+        LoadStats tally = runLoad(proxyCount, requestsPerSecond, seconds + 1);
+        double elapsedSeconds = (System.nanoTime() - startNs) / 1e9;
+        List<Double> processorSecondsAfter = processorSeconds(proxyCount);
+        long requests = tally.offered();
+        double behindP99Us = tally.sendDelayUs().getValueAtPercentile(99);
+        double servedRatio = requests == 0 ? 0 : (double) tally.count(Outcome.SERVED) / requests;
+        if (behindP99Us > maxBehindUs || requests == 0) {
+            return new LatencyResult.Step(
+                    proxyCount,
+                    entries,
+                    requestsPerSecond,
+                    requests,
+                    servedRatio,
+                    behindP99Us,
+                    null,
+                    null,
+                    null,
+                    false);
+        }
+        double totalProcessorSeconds = 0;
+        double maxProcessorSeconds = 0;
+        for (int i = 0; i < proxyCount; i++) {
+            totalProcessorSeconds += processorSecondsAfter.get(i) - processorSecondsBefore.get(i);
+            maxProcessorSeconds =
+                    Math.max(
+                            maxProcessorSeconds,
+                            processorSecondsAfter.get(i) - processorSecondsBefore.get(i));
+        }
+        return new LatencyResult.Step(
+                proxyCount,
+                entries,
+                requestsPerSecond,
+                requests,
+                servedRatio,
+                behindP99Us,
+                LatencyResult.Quantiles.of(latencyAfterSkippedSteps(tally)),
+                proxyCount == 0 ? null : totalProcessorSeconds * 1e6 / proxyCount / requests,
+                proxyCount == 0 ? null : maxProcessorSeconds / elapsedSeconds,
+                servedRatio < SATURATION_SERVED_RATIO
+                        || maxProcessorSeconds / elapsedSeconds > SATURATION_PROCESSOR_RATIO);
+    }
+
+    private LoadStats runLoad(int proxyCount, int requestsPerSecond, int durationSeconds)
+            throws InterruptedException {
+        ProxyPool front = new ProxyPool(List.of(chain.entryAddress(proxyCount)));
+        front.setAdmitted(0, true);
+        LoadPlan plan =
+                new LoadPlan(
+                        requestsPerSecond,
+                        false,
+                        TimeUnit.SECONDS.toMillis(durationSeconds),
+                        0,
+                        CONNECTIONS,
+                        1,
+                        TICK_US,
+                        List.of(
+                                new LoadPlan.RequestClass(
+                                        REQUEST_CLASS, LoadPlan.Effect.SAFE, 1, DEADLINE_US)));
+        try (LoadGenerator load = new LoadGenerator(plan, front, seeds)) {
+            load.start(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_DELAY_MS));
+            return load.await();
+        }
+    }
+
+    private List<Double> processorSeconds(int proxyCount) throws IOException {
+        List<Double> processorSeconds = new ArrayList<>();
+        for (ProxyChild proxy : chain.proxiesOnPath(proxyCount)) {
+            processorSeconds.add(ProcessUsage.of(proxy.child().pid()).processorSeconds());
+        }
+        return processorSeconds;
+    }
+
+    private static Histogram latencyAfterSkippedSteps(LoadStats tally) {
+        Histogram latencyUs = new Histogram(MAX_LATENCY_US, SIGNIFICANT_DIGITS);
+        tally.steps().stream().skip(SKIPPED_STEPS).forEach(s -> latencyUs.add(s.latencyUs()));
+        return latencyUs;
+    }
+}
--- a/src/main/java/passhatch/lab/scale/LatencyResult.java
+++ b/src/main/java/passhatch/lab/scale/LatencyResult.java
@@ -23,11 +23,11 @@
 
     /** Quantiles in microseconds, counted from when calls were due. */
     record Quantiles(long p50, long p99, long p999) {
-        static Quantiles of(Histogram us) {
+        static Quantiles of(Histogram latencyUs) {
             return new Quantiles(
-                    us.getValueAtPercentile(50),
-                    us.getValueAtPercentile(99),
-                    us.getValueAtPercentile(99.9));
+                    latencyUs.getValueAtPercentile(50),
+                    latencyUs.getValueAtPercentile(99),
+                    latencyUs.getValueAtPercentile(99.9));
         }
     }
 
@@ -74,16 +74,16 @@
             long p999Us,
             double ratioP99) {
         static Added of(Step direct, Step path) {
-            Quantiles before = direct.latencyUs();
-            Quantiles after = path.latencyUs();
+            Quantiles directLatency = direct.latencyUs();
+            Quantiles pathLatency = path.latencyUs();
             return new Added(
                     path.proxies(),
                     path.entries(),
                     path.callsPerSecond(),
-                    after.p50() - before.p50(),
-                    after.p99() - before.p99(),
-                    after.p999() - before.p999(),
-                    (double) after.p99() / Math.max(1, before.p99()));
+                    pathLatency.p50() - directLatency.p50(),
+                    pathLatency.p99() - directLatency.p99(),
+                    pathLatency.p999() - directLatency.p999(),
+                    (double) pathLatency.p99() / Math.max(1, directLatency.p99()));
         }
     }
 }
--- a/src/main/java/passhatch/lab/scale/LinearFit.java
+++ b/src/main/java/passhatch/lab/scale/LinearFit.java
@@ -43,12 +43,13 @@
         }
         double slope = sumXy / sumXx;
         double intercept = meanY - slope * meanX;
-        double squares = 0;
+        double sumOfSquares = 0;
         for (int i = 0; i < x.length; i++) {
             double distance = y[i] - intercept - slope * x[i];
-            squares += distance * distance;
+            sumOfSquares += distance * distance;
         }
-        return new LinearFit(intercept, slope, Math.sqrt(squares / x.length), from, to, x.length);
+        return new LinearFit(
+                intercept, slope, Math.sqrt(sumOfSquares / x.length), from, to, x.length);
     }
 
     /** The line's value at x. */
--- a/src/main/java/passhatch/lab/scale/MembershipMemory.java
+++ b/src/main/java/passhatch/lab/scale/MembershipMemory.java
@@ -16,7 +16,7 @@
 final class MembershipMemory {
 
     private static final long START_US = 1_000_000;
-    private static final int COLLECTIONS = 3;
+    private static final int GC_RUNS = 3;
     private static final int WARM_UP_MEMBERS = 64;
     private static final long WARM_UP_SEED = 1L << 40;
 
@@ -26,29 +26,29 @@
     static double bytesPerMember(int members) {
         // Once without measuring, as the classes are no member's. Few and other members, as facts
         // that the codec has seen already would not count.
-        grownBytes(WARM_UP_MEMBERS, WARM_UP_SEED);
-        return (double) grownBytes(members, 0) / members;
+        heapGrowthBytes(WARM_UP_MEMBERS, WARM_UP_SEED);
+        return (double) heapGrowthBytes(members, 0) / members;
     }
 
-    private static long grownBytes(int members, long seed) {
+    private static long heapGrowthBytes(int members, long seed) {
         List<byte[]> datagrams = new ArrayList<>();
         for (int i = 1; i < members; i++) {
-            datagrams.add(greeting(i, members, seed));
+            datagrams.add(firstDatagram(i, members, seed));
         }
         Membership observer = membership(0, members, seed, new Recorder());
-        long before = usedBytes();
+        long usedBefore = usedBytes();
         for (int i = 1; i < members; i++) {
             observer.receive(START_US, i, datagrams.get(i - 1));
         }
-        long grown = usedBytes() - before;
+        long growth = usedBytes() - usedBefore;
         if (observer.presentCount() != members) {
             throw new IllegalStateException("the observer knows of " + observer.presentCount());
         }
-        return grown;
+        return growth;
     }
 
     /** The first datagram that a process sends. */
-    private static byte[] greeting(int number, int members, long seed) {
+    private static byte[] firstDatagram(int number, int members, long seed) {
         Recorder recorder = new Recorder();
         Membership sender = membership(number, members, seed, recorder);
         while (recorder.last == null) {
@@ -68,7 +68,7 @@
 
     private static long usedBytes() {
         Runtime runtime = Runtime.getRuntime();
-        for (int i = 0; i < COLLECTIONS; i++) {
+        for (int i = 0; i < GC_RUNS; i++) {
             System.gc();
         }
         return runtime.totalMemory() - runtime.freeMemory();
--- a/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
@@ -35,8 +35,8 @@
                         + " them. A line of progress for each scenario goes to standard error.")
 final class MembershipScaleCommand implements Callable<Integer> {
 
-    private static final int FEWEST = 50;
-    private static final int FEWEST_BYTES = 1_024;
+    private static final int MIN_MEMBERS = 50;
+    private static final int MIN_BYTES_PER_SECOND = 1_024;
 
     @Spec private CommandSpec spec;
 
@@ -106,11 +106,11 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        check();
+        checkOptions();
         PrintWriter out = spec.commandLine().getOut();
         List<Size> measured = new ArrayList<>();
         for (int members : sizes) {
-            Size size = new Size(members, play(members));
+            Size size = new Size(members, runScenarios(members));
             measured.add(size);
             // After each size, so that a run that is ended early leaves what it has.
             MembershipScaleText.print(out, size);
@@ -127,7 +127,7 @@
                 loss,
                 seconds,
                 measured,
-                MembershipScaleFits.through(measured, target));
+                MembershipScaleFits.fitLines(measured, target));
     }
 
     private void write(MembershipScaleResult result) throws IOException {
@@ -138,11 +138,11 @@
         MembershipScalePlot.write(folder.resolve("plot.svg"), result);
     }
 
-    private void check() {
+    private void checkOptions() {
         for (Integer size : sizes) {
-            if (size < FEWEST || size > Membership.MAX_MEMBERS) {
+            if (size < MIN_MEMBERS || size > Membership.MAX_MEMBERS) {
                 throw new InvalidInputException(
-                        "--members: expected " + FEWEST + " to " + Membership.MAX_MEMBERS);
+                        "--members: expected " + MIN_MEMBERS + " to " + Membership.MAX_MEMBERS);
             }
         }
         require(loss >= 0 && loss <= 0.9, "--loss: expected 0 to 0.9");
@@ -150,8 +150,8 @@
         require(cutSeconds >= 1 && cutSeconds <= 3600, "--cut-seconds: expected 1 to 3600");
         require(wallSeconds >= 1 && wallSeconds <= 3600, "--wall-seconds: expected 1 to 3600");
         require(
-                bytesPerSecond >= FEWEST_BYTES,
-                "--bytes-per-second: expected " + FEWEST_BYTES + " or more");
+                bytesPerSecond >= MIN_BYTES_PER_SECOND,
+                "--bytes-per-second: expected " + MIN_BYTES_PER_SECOND + " or more");
         require(threads >= 1 && threads <= 64, "--threads: expected 1 to 64");
         require(target >= 1, "--target: expected 1 or more");
     }
@@ -162,21 +162,21 @@
         }
     }
 
-    private List<Outcome> play(int members) throws InterruptedException {
+    private List<Outcome> runScenarios(int members) throws InterruptedException {
         MembershipScaleRun run =
                 new MembershipScaleRun(
                         seed, members, bytesPerSecond, loss, seconds, cutSeconds, wallSeconds);
         List<Outcome> outcomes = new ArrayList<>();
         // Memory is measured as the growth of the heap, so nothing else may run beside it.
         if (scenarios.contains(MembershipScenario.MEMORY)) {
-            outcomes.add(report(members, run.play(MembershipScenario.MEMORY)));
+            outcomes.add(printProgress(members, run.run(MembershipScenario.MEMORY)));
         }
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<Outcome>> running = new ArrayList<>();
             for (MembershipScenario scenario : scenarios) {
                 if (scenario != MembershipScenario.MEMORY) {
-                    running.add(pool.submit(() -> report(members, run.play(scenario))));
+                    running.add(pool.submit(() -> printProgress(members, run.run(scenario))));
                 }
             }
             for (Future<Outcome> outcome : running) {
@@ -190,7 +190,7 @@
         return outcomes;
     }
 
-    private Outcome report(int members, Outcome outcome) {
+    private Outcome printProgress(int members, Outcome outcome) {
         PrintWriter err = spec.commandLine().getErr();
         err.printf(
                 Locale.ROOT,
--- a/src/main/java/passhatch/lab/scale/MembershipScaleFits.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleFits.java
@@ -16,7 +16,7 @@
     private MembershipScaleFits() {}
 
     /** A line for each figure that was measured at two sizes or more. */
-    static List<Fit> through(List<Size> sizes, int target) {
+    static List<Fit> fitLines(List<Size> sizes, int target) {
         Map<String, String> units = new LinkedHashMap<>();
         Map<String, TreeMap<Integer, Double>> values = new LinkedHashMap<>();
         for (Size size : sizes) {
@@ -32,13 +32,14 @@
         values.forEach(
                 (name, points) -> {
                     if (points.size() >= 2) {
-                        fits.add(fit(name, units.get(name), points, target));
+                        fits.add(fitLine(name, units.get(name), points, target));
                     }
                 });
         return fits;
     }
 
-    private static Fit fit(String name, String unit, TreeMap<Integer, Double> points, int target) {
+    private static Fit fitLine(
+            String name, String unit, TreeMap<Integer, Double> points, int target) {
         LinearFit line =
                 LinearFit.of(
                         points.keySet().stream().mapToDouble(Integer::doubleValue).toArray(),
--- a/src/main/java/passhatch/lab/scale/MembershipScalePlot.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScalePlot.java
@@ -17,8 +17,8 @@
 /** Bytes a second of one member against the size of the fleet, a series for each scenario. */
 final class MembershipScalePlot {
 
-    private static final int WIDTH = 1000;
-    private static final int HEIGHT = 500;
+    private static final int WIDTH_PX = 1000;
+    private static final int HEIGHT_PX = 500;
     private static final String UNIT = "bytes/s";
 
     private MembershipScalePlot() {}
@@ -26,8 +26,8 @@
     static void write(Path file, MembershipScaleResult result) throws IOException {
         XYChart chart =
                 new XYChartBuilder()
-                        .width(WIDTH)
-                        .height(HEIGHT)
+                        .width(WIDTH_PX)
+                        .height(HEIGHT_PX)
                         .title("bytes sent a second by one member")
                         .xAxisTitle("members")
                         .yAxisTitle(UNIT)
--- a/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
@@ -14,9 +14,9 @@
  * Plays the scenarios at one size.
  *
  * @param bytesPerSecond that a process sends at most
- * @param loss share of datagrams lost in the scenario with loss
- * @param seconds simulated, in scenarios that measure over a time
- * @param cutSeconds simulated, for which a region is cut off
+ * @param measureLoss share of datagrams lost in the scenario with loss
+ * @param simulatedSeconds simulated, in scenarios that measure over a time
+ * @param partitionSeconds simulated, for which a region is cut off
  * @param wallSeconds real time that a scenario may take
  */
 record MembershipScaleRun(
@@ -24,44 +24,44 @@
         int members,
         long bytesPerSecond,
         double loss,
-        int seconds,
-        int cutSeconds,
+        int simulatedSeconds,
+        int partitionSeconds,
         long wallSeconds) {
 
     /** Machines that fail and processes that restart, in the whole fleet in a day. */
-    private static final int FAILURES_A_DAY = 35;
+    private static final int FAILURES_PER_DAY = 35;
 
-    private static final int RESTARTS_A_DAY = 1_800;
-    private static final double DAY_SECONDS = 86_400;
+    private static final int RESTARTS_PER_DAY = 1_800;
+    private static final double SECONDS_PER_DAY = 86_400;
 
     /** Churn comes so many times as fast as in the real fleet, to be seen in a short run. */
     private static final int CHURN_FACTOR = 20;
 
     private static final int ZONES = 25;
     private static final int REGIONS = 7;
-    private static final int RESTARTED = 10;
-    private static final long DOWN_US = 2 * SECOND_US;
+    private static final int RESTARTED_DIVISOR = 10;
+    private static final long RESTART_DOWNTIME_US = 2 * SECOND_US;
 
     /** What other processes thought, counted by observer and member. */
-    private static final class Counts {
+    private static final class FalseAlarms {
         private long suspicions;
         private long falseFailures;
     }
 
     /** Plays a scenario; where it takes too long, the outcome says so and has no figures. */
-    Outcome play(MembershipScenario scenario) {
-        long begun = System.nanoTime();
+    Outcome run(MembershipScenario scenario) {
+        long startNs = System.nanoTime();
         List<Figure> figures = List.of();
         String problem = null;
         try {
-            figures = figures(scenario);
-        } catch (TimeoutException late) {
-            problem = late.getMessage();
+            figures = measure(scenario);
+        } catch (TimeoutException timeout) {
+            problem = timeout.getMessage();
         }
-        return new Outcome(scenario, figures, (System.nanoTime() - begun) / 1e9, problem);
+        return new Outcome(scenario, figures, (System.nanoTime() - startNs) / 1e9, problem);
     }
 
-    private List<Figure> figures(MembershipScenario scenario) throws TimeoutException {
+    private List<Figure> measure(MembershipScenario scenario) throws TimeoutException {
         if (scenario == MembershipScenario.MEMORY) {
             return List.of(
                     new Figure(
@@ -72,39 +72,40 @@
         MembershipTrial trial = new MembershipTrial(seed, members, bytesPerSecond, wallSeconds);
         return switch (scenario) {
             case MEMORY -> List.of();
-            case REST -> traffic("at rest", trial.traffic(seconds));
-            case CHURN -> churn(trial);
-            case LOSS -> loss(trial);
-            case DEATH -> killed(trial, 1, "death");
-            case REJOIN -> rejoin(trial);
-            case ZONE -> killed(trial, Math.max(1, members / ZONES), "zone");
-            case TENTH -> tenth(trial);
-            case REGION -> region(trial);
+            case REST -> trafficFigures("at rest", trial.measureTraffic(simulatedSeconds));
+            case CHURN -> measureChurn(trial);
+            case LOSS -> measureLoss(trial);
+            case DEATH -> measureKill(trial, 1, "death");
+            case REJOIN -> measureRejoin(trial);
+            case ZONE -> measureKill(trial, Math.max(1, members / ZONES), "zone");
+            case TENTH -> measureMassRestart(trial);
+            case REGION -> measureRegionPartition(trial);
         };
     }
 
-    private static List<Figure> traffic(String when, Traffic traffic) {
+    private static List<Figure> trafficFigures(String when, Traffic traffic) {
         return List.of(
                 new Figure("sent " + when, "bytes/s", traffic.bytesPerSecond()),
                 new Figure("datagrams " + when, "1/s", traffic.datagramsPerSecond()),
                 new Figure("processor " + when, "us/s", traffic.processorMicrosPerSecond()));
     }
 
-    private static Figure bytes(String name, Traffic traffic) {
+    private static Figure bytesPerSecondFigure(String name, Traffic traffic) {
         return new Figure(name, "bytes/s", traffic.bytesPerSecond());
     }
 
-    private List<Figure> churn(MembershipTrial trial) throws TimeoutException {
+    private List<Figure> measureChurn(MembershipTrial trial) throws TimeoutException {
         FleetSim sim = trial.sim();
-        Traffic rest = trial.traffic(seconds);
-        double everySeconds = DAY_SECONDS / (FAILURES_A_DAY + RESTARTS_A_DAY) / CHURN_FACTOR;
-        int events = (int) (seconds / everySeconds);
-        int failures = Math.round((float) events * FAILURES_A_DAY / RESTARTS_A_DAY);
+        Traffic idleTraffic = trial.measureTraffic(simulatedSeconds);
+        double intervalSeconds =
+                SECONDS_PER_DAY / (FAILURES_PER_DAY + RESTARTS_PER_DAY) / CHURN_FACTOR;
+        int events = (int) (simulatedSeconds / intervalSeconds);
+        int failures = Math.round((float) events * FAILURES_PER_DAY / RESTARTS_PER_DAY);
         for (int i = 0; i < events; i++) {
             int number = (int) ((long) i * members / Math.max(1, events));
             boolean fails = i < failures;
             sim.after(
-                    (long) (i * everySeconds * SECOND_US),
+                    (long) (i * intervalSeconds * SECOND_US),
                     () -> {
                         if (fails) {
                             sim.kill(number);
@@ -113,111 +114,129 @@
                         }
                     });
         }
-        Traffic fast = trial.traffic(seconds);
-        double real =
-                rest.bytesPerSecond()
-                        + (fast.bytesPerSecond() - rest.bytesPerSecond()) / CHURN_FACTOR;
+        Traffic churnTraffic = trial.measureTraffic(simulatedSeconds);
+        double fleetBytesPerSecond =
+                idleTraffic.bytesPerSecond()
+                        + (churnTraffic.bytesPerSecond() - idleTraffic.bytesPerSecond())
+                                / CHURN_FACTOR;
         return List.of(
-                bytes("sent with churn " + CHURN_FACTOR + " times as fast", fast),
-                new Figure("sent with the fleet's churn", "bytes/s", real),
+                bytesPerSecondFigure(
+                        "sent with churn " + CHURN_FACTOR + " times as fast", churnTraffic),
+                new Figure("sent with the fleet's churn", "bytes/s", fleetBytesPerSecond),
                 new Figure(
                         "processor with churn " + CHURN_FACTOR + " times as fast",
                         "us/s",
-                        fast.processorMicrosPerSecond()));
+                        churnTraffic.processorMicrosPerSecond()));
     }
 
     private static void restart(FleetSim sim, int number) {
         sim.leave(number);
-        sim.after(DOWN_US, () -> sim.start(number));
+        sim.after(RESTART_DOWNTIME_US, () -> sim.start(number));
     }
 
-    private List<Figure> loss(MembershipTrial trial) throws TimeoutException {
-        FleetSim.Network fair = FleetSim.Network.FAIR;
-        Counts counts = watch(trial.sim(), 0, 0);
-        trial.sim().network(new FleetSim.Network(loss, 0, 0, fair.delayUs(), fair.jitterUs()));
-        Traffic traffic = trial.traffic(seconds);
+    private List<Figure> measureLoss(MembershipTrial trial) throws TimeoutException {
+        FleetSim.Network lossless = FleetSim.Network.FAIR;
+        FalseAlarms falseAlarms = countFalseAlarms(trial.sim(), 0, 0);
+        trial.sim()
+                .network(new FleetSim.Network(loss, 0, 0, lossless.delayUs(), lossless.jitterUs()));
+        Traffic traffic = trial.measureTraffic(simulatedSeconds);
         return List.of(
-                new Figure("false failures with loss", "in all views", counts.falseFailures),
-                new Figure("suspicions with loss", "in all views", counts.suspicions),
-                bytes("sent with loss", traffic),
+                new Figure("false failures with loss", "in all views", falseAlarms.falseFailures),
+                new Figure("suspicions with loss", "in all views", falseAlarms.suspicions),
+                bytesPerSecondFigure("sent with loss", traffic),
                 new Figure("processor with loss", "us/s", traffic.processorMicrosPerSecond()));
     }
 
-    private List<Figure> killed(MembershipTrial trial, int count, String what)
+    private List<Figure> measureKill(MembershipTrial trial, int count, String label)
             throws TimeoutException {
         FleetSim sim = trial.sim();
-        Counts counts = watch(sim, 0, count);
-        long bytes = sim.bytes();
+        FalseAlarms falseAlarms = countFalseAlarms(sim, 0, count);
+        long bytesBefore = sim.bytes();
         for (int i = 0; i < count; i++) {
             sim.kill(i);
         }
-        double took = trial.until(() -> trial.allSee(members - count));
-        return recovery(what + ", until all know", took, counts, sim.bytes() - bytes);
+        double elapsedSeconds = trial.advanceUntil(() -> trial.allViewsHave(members - count));
+        return recoveryFigures(
+                label + ", until all know", elapsedSeconds, falseAlarms, sim.bytes() - bytesBefore);
     }
 
-    private List<Figure> rejoin(MembershipTrial trial) throws TimeoutException {
+    private List<Figure> measureRejoin(MembershipTrial trial) throws TimeoutException {
         FleetSim sim = trial.sim();
         restart(sim, 0);
-        trial.until(() -> !sim.runs(0));
-        trial.until(() -> sim.runs(0));
-        double took = trial.until(() -> sim.present(0) == members);
+        trial.advanceUntil(() -> !sim.runs(0));
+        trial.advanceUntil(() -> sim.runs(0));
+        double elapsedSeconds = trial.advanceUntil(() -> sim.present(0) == members);
         return List.of(
-                new Figure("restart, until it knows all", "s", took),
+                new Figure("restart, until it knows all", "s", elapsedSeconds),
                 new Figure(
                         "restart, its own bytes meanwhile", "bytes", sim.figures(0).sentBytes()));
     }
 
-    private List<Figure> tenth(MembershipTrial trial) throws TimeoutException {
+    private List<Figure> measureMassRestart(MembershipTrial trial) throws TimeoutException {
         FleetSim sim = trial.sim();
-        int count = Math.max(1, members / RESTARTED);
-        Counts counts = watch(sim, 0, count);
-        long bytes = sim.bytes();
+        int count = Math.max(1, members / RESTARTED_DIVISOR);
+        FalseAlarms falseAlarms = countFalseAlarms(sim, 0, count);
+        long bytesBefore = sim.bytes();
         for (int i = 0; i < count; i++) {
             int number = i;
             sim.kill(number);
-            sim.after(DOWN_US, () -> sim.start(number));
+            sim.after(RESTART_DOWNTIME_US, () -> sim.start(number));
         }
-        trial.run(DOWN_US + SECOND_US);
-        double took = 1 + trial.until(() -> trial.allSee(members) && sim.agree());
-        return recovery("a tenth restarted, until views agree", took, counts, sim.bytes() - bytes);
+        trial.advance(RESTART_DOWNTIME_US + SECOND_US);
+        double elapsedSeconds =
+                1 + trial.advanceUntil(() -> trial.allViewsHave(members) && sim.agree());
+        return recoveryFigures(
+                "a tenth restarted, until views agree",
+                elapsedSeconds,
+                falseAlarms,
+                sim.bytes() - bytesBefore);
     }
 
-    private List<Figure> region(MembershipTrial trial) throws TimeoutException {
+    private List<Figure> measureRegionPartition(MembershipTrial trial) throws TimeoutException {
         FleetSim sim = trial.sim();
         int count = Math.max(1, members / REGIONS);
-        Counts counts = watch(sim, count, 0);
+        FalseAlarms falseAlarms = countFalseAlarms(sim, count, 0);
         sim.connected((a, b) -> a < count == b < count);
-        trial.run(cutSeconds * SECOND_US);
+        trial.advance(partitionSeconds * SECOND_US);
         sim.connected((a, b) -> true);
-        long bytes = sim.bytes();
-        double took = trial.until(() -> trial.allSee(members) && sim.agree());
-        return recovery("region back, until views agree", took, counts, sim.bytes() - bytes);
+        long bytesBefore = sim.bytes();
+        double elapsedSeconds =
+                trial.advanceUntil(() -> trial.allViewsHave(members) && sim.agree());
+        return recoveryFigures(
+                "region back, until views agree",
+                elapsedSeconds,
+                falseAlarms,
+                sim.bytes() - bytesBefore);
     }
 
-    private List<Figure> recovery(String what, double seconds, Counts counts, long bytes) {
-        double perMember = (double) bytes / members / Math.max(1, seconds);
+    private List<Figure> recoveryFigures(
+            String label, double elapsedSeconds, FalseAlarms falseAlarms, long bytes) {
+        double bytesPerMemberSecond = (double) bytes / members / Math.max(1, elapsedSeconds);
         return List.of(
-                new Figure(what, "s", seconds),
-                new Figure(what + ": sent", "bytes/s", perMember),
-                new Figure(what + ": false failures", "in all views", counts.falseFailures));
+                new Figure(label, "s", elapsedSeconds),
+                new Figure(label + ": sent", "bytes/s", bytesPerMemberSecond),
+                new Figure(label + ": false failures", "in all views", falseAlarms.falseFailures));
     }
 
     /**
      * Counts from now on what is thought of members, but across a cut that parts the first ones
      * from the others, and but of the first ones that are killed.
      */
-    private static Counts watch(FleetSim sim, int cut, int killed) {
-        Counts counts = new Counts();
+    private static FalseAlarms countFalseAlarms(
+            FleetSim sim, int partitionedCount, int killedCount) {
+        FalseAlarms falseAlarms = new FalseAlarms();
         sim.watcher(
                 (us, observer, before, after) -> {
                     int member = Integer.parseInt(after.name().substring(1));
-                    boolean expected = member < killed || member < cut != observer < cut;
+                    boolean expected =
+                            member < killedCount
+                                    || member < partitionedCount != observer < partitionedCount;
                     if (expected) {
                         return;
                     }
-                    counts.suspicions += after.status() == Status.SUSPECT ? 1 : 0;
-                    counts.falseFailures += after.status() == Status.FAILED ? 1 : 0;
+                    falseAlarms.suspicions += after.status() == Status.SUSPECT ? 1 : 0;
+                    falseAlarms.falseFailures += after.status() == Status.FAILED ? 1 : 0;
                 });
-        return counts;
+        return falseAlarms;
     }
 }
--- a/src/main/java/passhatch/lab/scale/MembershipTrial.java
+++ b/src/main/java/passhatch/lab/scale/MembershipTrial.java
@@ -25,13 +25,13 @@
     private final long deadlineNs;
 
     /** Starts the fleet and plays on until its first probes are over. */
-    MembershipTrial(long seed, int members, long bytesPerSecond, long mostWallSeconds)
+    MembershipTrial(long seed, int members, long bytesPerSecond, long maxWallSeconds)
             throws TimeoutException {
         this.members = members;
-        this.deadlineNs = System.nanoTime() + mostWallSeconds * 1_000_000_000L;
+        this.deadlineNs = System.nanoTime() + maxWallSeconds * 1_000_000_000L;
         this.sim = FleetSim.fleet(seed, members, bytesPerSecond);
         sim.startAllAgreed();
-        run(WARM_UP_US);
+        advance(WARM_UP_US);
     }
 
     FleetSim sim() {
@@ -43,39 +43,39 @@
     }
 
     /** Plays so much more simulated time. */
-    void run(long us) throws TimeoutException {
-        long end = sim.nowUs() + us;
-        while (sim.nowUs() < end) {
-            requireTime();
-            sim.run(Math.min(STEP_US, end - sim.nowUs()));
+    void advance(long durationUs) throws TimeoutException {
+        long endUs = sim.nowUs() + durationUs;
+        while (sim.nowUs() < endUs) {
+            checkDeadline();
+            sim.run(Math.min(STEP_US, endUs - sim.nowUs()));
         }
     }
 
     /** Plays on until something holds; simulated seconds it took. */
-    double until(BooleanSupplier holds) throws TimeoutException {
-        long begun = sim.nowUs();
-        while (!holds.getAsBoolean()) {
-            requireTime();
+    double advanceUntil(BooleanSupplier condition) throws TimeoutException {
+        long startUs = sim.nowUs();
+        while (!condition.getAsBoolean()) {
+            checkDeadline();
             sim.run(STEP_US);
         }
-        return (double) (sim.nowUs() - begun) / SECOND_US;
+        return (double) (sim.nowUs() - startUs) / SECOND_US;
     }
 
     /** Plays so much simulated time, and measures what an average member does in it. */
-    Traffic traffic(int seconds) throws TimeoutException {
-        long bytes = sim.bytes();
-        long datagrams = sim.datagrams();
-        long processorNs = processorNs();
-        run(seconds * SECOND_US);
+    Traffic measureTraffic(int seconds) throws TimeoutException {
+        long bytesBefore = sim.bytes();
+        long datagramsBefore = sim.datagrams();
+        long processorNsBefore = processorNs();
+        advance(seconds * SECOND_US);
         double memberSeconds = (double) members * seconds;
         return new Traffic(
-                (sim.bytes() - bytes) / memberSeconds,
-                (sim.datagrams() - datagrams) / memberSeconds,
-                (processorNs() - processorNs) / 1e3 / memberSeconds);
+                (sim.bytes() - bytesBefore) / memberSeconds,
+                (sim.datagrams() - datagramsBefore) / memberSeconds,
+                (processorNs() - processorNsBefore) / 1e3 / memberSeconds);
     }
 
     /** Whether all that run see just so many as present. */
-    boolean allSee(int present) {
+    boolean allViewsHave(int present) {
         for (int i = 0; i < members; i++) {
             if (sim.runs(i) && sim.present(i) != present) {
                 return false;
@@ -88,7 +88,7 @@
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    private void requireTime() throws TimeoutException {
+    private void checkDeadline() throws TimeoutException {
         if (System.nanoTime() > deadlineNs) {
             throw new TimeoutException("not finished in the real time allowed");
         }
--- a/src/main/java/passhatch/lab/scale/Plot.java
+++ b/src/main/java/passhatch/lab/scale/Plot.java
@@ -11,19 +11,19 @@
 /** Plots with a logarithmic x axis, as sizes and rates are steps of a factor. */
 final class Plot {
 
-    private static final int WIDTH = 900;
-    private static final int HEIGHT = 500;
+    private static final int WIDTH_PX = 900;
+    private static final int HEIGHT_PX = 500;
 
     private final XYChart chart;
 
-    Plot(String title, String x, String y) {
+    Plot(String title, String xAxisTitle, String yAxisTitle) {
         chart =
                 new XYChartBuilder()
-                        .width(WIDTH)
-                        .height(HEIGHT)
+                        .width(WIDTH_PX)
+                        .height(HEIGHT_PX)
                         .title(title)
-                        .xAxisTitle(x)
-                        .yAxisTitle(y)
+                        .xAxisTitle(xAxisTitle)
+                        .yAxisTitle(yAxisTitle)
                         .build();
         chart.getStyler().setChartBackgroundColor(Color.WHITE).setLegendVisible(true);
         chart.getStyler().setXAxisLogarithmic(true);
--- a/src/main/java/passhatch/lab/scale/ProcessUsage.java
+++ b/src/main/java/passhatch/lab/scale/ProcessUsage.java
@@ -19,9 +19,9 @@
     private static final double TICKS_PER_SECOND = 100;
 
     /** Places of utime and stime, counted from the field after the command's name. */
-    private static final int USER_TIME = 11;
+    private static final int USER_TIME_INDEX = 11;
 
-    private static final int SYSTEM_TIME = 12;
+    private static final int SYSTEM_TIME_INDEX = 12;
 
     /**
      * Reads it.
@@ -31,28 +31,28 @@
     static ProcessUsage of(long pid) throws IOException {
         Path folder = Path.of("/proc", String.valueOf(pid));
         List<String> status = Files.readAllLines(folder.resolve("status"));
-        Long resident = field(status, "VmRSS:");
-        Long threads = field(status, "Threads:");
+        Long resident = numberAfter(status, "VmRSS:");
+        Long threads = numberAfter(status, "Threads:");
         if (resident == null || threads == null) {
             throw new IOException("process " + pid + " has ended");
         }
         return new ProcessUsage(
                 resident,
-                proportional(folder),
+                readProportionalKb(folder),
                 threads.intValue(),
                 processorSeconds(Files.readString(folder.resolve("stat"))));
     }
 
-    private static Long proportional(Path folder) {
+    private static Long readProportionalKb(Path folder) {
         try {
-            return field(Files.readAllLines(folder.resolve("smaps_rollup")), "Pss:");
-        } catch (IOException notTold) {
+            return numberAfter(Files.readAllLines(folder.resolve("smaps_rollup")), "Pss:");
+        } catch (IOException unavailable) {
             return null;
         }
     }
 
     /** The number after a label; null where there is no such line. */
-    private static Long field(List<String> lines, String label) {
+    private static Long numberAfter(List<String> lines, String label) {
         return lines.stream()
                 .filter(line -> line.startsWith(label))
                 .map(line -> Long.valueOf(line.substring(label.length()).strip().split("\\s+")[0]))
@@ -63,7 +63,7 @@
     /** The command's name stands in parentheses and may hold spaces. */
     static double processorSeconds(String stat) {
         String[] fields = stat.substring(stat.lastIndexOf(')') + 1).strip().split("\\s+");
-        return (Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]))
+        return (Long.parseLong(fields[USER_TIME_INDEX]) + Long.parseLong(fields[SYSTEM_TIME_INDEX]))
                 / TICKS_PER_SECOND;
     }
 }
--- a/src/main/java/passhatch/lab/scale/ProxyChain.java
+++ b/src/main/java/passhatch/lab/scale/ProxyChain.java
@@ -29,7 +29,7 @@
     private static final int STAND_IN_THREADS = 2;
 
     /** Backends answer at once, as what is measured lies before them. */
-    private static final BackendServer.Capacity SHAPE =
+    private static final BackendServer.Capacity BACKEND_SHAPE =
             new BackendServer.Capacity(
                     1 << 16,
                     1 << 16,
@@ -52,17 +52,17 @@
     private final List<ProxyChild> proxies = new ArrayList<>();
 
     private final DiscoveryServer lastDiscovery = new DiscoveryServer(discoveryLoop);
-    private final ProxyField field;
-    private int listed;
+    private final ProxyTestbed testbed;
+    private int listedCount;
 
     /** Starts as many proxies and backends; the list of the last has all backends. */
-    ProxyChain(ProxyField field, int depth, int backendCount, long seed)
+    ProxyChain(ProxyTestbed testbed, int depth, int backendCount, long seed)
             throws IOException, InterruptedException {
-        this.field = field;
+        this.testbed = testbed;
         try {
             startBackends(backendCount, new Seeds(seed));
             lastDiscovery.start();
-            list(backendCount);
+            setListedCount(backendCount);
             startProxies(depth);
         } catch (IOException | InterruptedException | RuntimeException failed) {
             close();
@@ -75,7 +75,7 @@
         for (int i = 0; i < count; i++) {
             String name = "backend-" + i;
             BackendServer backend =
-                    new BackendServer(name, SHAPE, backendLoop, ledger, seeds.stream(name));
+                    new BackendServer(name, BACKEND_SHAPE, backendLoop, ledger, seeds.stream(name));
             backend.start();
             backends.add(backend);
         }
@@ -84,7 +84,7 @@
     private void startProxies(int depth) throws IOException, InterruptedException {
         DiscoveryServer discovery = lastDiscovery;
         for (int i = 1; i <= depth; i++) {
-            ProxyChild proxy = field.start("before-end-" + i, discovery.address());
+            ProxyChild proxy = testbed.start("before-end-" + i, discovery.address());
             proxies.add(proxy);
             discovery = new DiscoveryServer(discoveryLoop);
             discovery.start();
@@ -96,9 +96,9 @@
     }
 
     /** Has the last proxy's list hold only so many backends. */
-    void list(int count) {
+    void setListedCount(int count) {
         List<DiscoveryServer.Endpoint> changed = new ArrayList<>();
-        for (int i = Math.min(count, listed); i < Math.max(count, listed); i++) {
+        for (int i = Math.min(count, listedCount); i < Math.max(count, listedCount); i++) {
             BackendServer backend = backends.get(i);
             changed.add(
                     new DiscoveryServer.Endpoint(
@@ -107,25 +107,25 @@
                             i < count ? "SERVING" : "DELETED",
                             0));
         }
-        listed = count;
+        listedCount = count;
         if (!changed.isEmpty()) {
             lastDiscovery.update(changed);
         }
     }
 
     /** Where a call enters that shall pass so many proxies; with 0, a backend. */
-    InetSocketAddress entrance(int passes) {
-        return passes == 0 ? backends.get(0).address() : proxies.get(passes - 1).listen();
+    InetSocketAddress entryAddress(int proxyCount) {
+        return proxyCount == 0 ? backends.get(0).address() : proxies.get(proxyCount - 1).listen();
     }
 
     /** The processes that such a call passes. */
-    List<ProxyChild> passed(int passes) {
-        return proxies.subList(0, passes);
+    List<ProxyChild> proxiesOnPath(int proxyCount) {
+        return proxies.subList(0, proxyCount);
     }
 
     @Override
     public void close() {
-        field.close();
+        testbed.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/passhatch/lab/scale/ProxyCommand.java
+++ b/src/main/java/passhatch/lab/scale/ProxyCommand.java
@@ -27,11 +27,11 @@
 final class ProxyCommand implements Callable<Integer> {
 
     private static final String NAME = "proxy";
-    private static final int MOST_ENTRIES = 50_000;
-    private static final int MOST_CHANGES = 1_000;
-    private static final int LEAST_MEMORY_MB = 64;
-    private static final int MOST_MEMORY_MB = 4_096;
-    private static final double SECONDS_A_DAY = 86_400;
+    private static final int MAX_ENTRIES = 50_000;
+    private static final int MAX_CHANGES = 1_000;
+    private static final int MIN_MEMORY_MB = 64;
+    private static final int MAX_MEMORY_MB = 4_096;
+    private static final double SECONDS_PER_DAY = 86_400;
     private static final double KB_PER_MB = 1_024;
 
     @Spec private CommandSpec spec;
@@ -61,29 +61,29 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        ScaleOptions.within("--sizes", sizes, 1, MOST_ENTRIES);
-        ScaleOptions.within("--changes", changes, 0, MOST_CHANGES);
-        if (memoryMb < LEAST_MEMORY_MB || memoryMb > MOST_MEMORY_MB) {
+        ScaleOptions.requireWithin("--sizes", sizes, 1, MAX_ENTRIES);
+        ScaleOptions.requireWithin("--changes", changes, 0, MAX_CHANGES);
+        if (memoryMb < MIN_MEMORY_MB || memoryMb > MAX_MEMORY_MB) {
             throw new InvalidInputException(
-                    "--memory-mb: expected " + LEAST_MEMORY_MB + " to " + MOST_MEMORY_MB);
+                    "--memory-mb: expected " + MIN_MEMORY_MB + " to " + MAX_MEMORY_MB);
         }
         options.seconds();
-        options.program();
+        options.programJar();
         Path folder = options.folder(NAME);
         ProxyResult result = measure(folder);
         ScaleOptions.write(folder.resolve("result.json"), result);
         plot(result, folder.resolve("plot.png"));
-        tell(result, folder);
+        printResult(result, folder);
         return result.failures().isEmpty() ? 0 : 1;
     }
 
     private ProxyResult measure(Path folder) throws InterruptedException {
         double loadBefore = Machine.loadAverage();
-        ProxyMeasure measure = new ProxyMeasure(options, folder, memoryMb);
+        ProxyMeasurement measurement = new ProxyMeasurement(options, folder, memoryMb);
         List<ProxyResult.Point> points = new ArrayList<>();
         try (var progress = options.progress(NAME, sizes.size() * changes.size())) {
             for (int size : sizes) {
-                points.addAll(measure.measure(size, changes, progress));
+                points.addAll(measurement.measure(size, changes, progress));
             }
         }
         List<ProxyResult.Fit> fits = fits(points);
@@ -94,21 +94,21 @@
                 Machine.since(loadBefore),
                 points,
                 fits,
-                measure.failures(),
+                measurement.failures(),
                 verdicts(fits));
     }
 
     private List<ProxyResult.Fit> fits(List<ProxyResult.Point> points) {
         List<ProxyResult.Fit> fits = new ArrayList<>();
         for (int rate : changes) {
-            List<ProxyResult.Point> same =
+            List<ProxyResult.Point> matching =
                     points.stream().filter(p -> p.changesPerSecond() == rate).toList();
-            addFits(fits, "entries", rate, same, ProxyResult.Point::entries);
+            addFits(fits, "entries", rate, matching, ProxyResult.Point::entries);
         }
         for (int size : sizes) {
-            List<ProxyResult.Point> same =
+            List<ProxyResult.Point> matching =
                     points.stream().filter(p -> p.entries() == size).toList();
-            addFits(fits, "changes/s", size, same, ProxyResult.Point::changesPerSecond);
+            addFits(fits, "changes/s", size, matching, ProxyResult.Point::changesPerSecond);
         }
         return fits;
     }
@@ -149,7 +149,7 @@
     /** The whole fleet in one list, at rest, and with its changes by the day. */
     private static List<Verdict> verdicts(List<ProxyResult.Fit> fits) {
         List<Verdict> verdicts = new ArrayList<>();
-        double changesPerSecond = Limits.CHANGES_PER_DAY / SECONDS_A_DAY;
+        double changesPerSecond = Limits.CHANGES_PER_DAY / SECONDS_PER_DAY;
         for (ProxyResult.Fit fit : fits) {
             LinearFit line = fit.line();
             if (fit.over().equals("entries") && fit.at() == 0) {
@@ -172,33 +172,33 @@
     }
 
     private static Verdict verdict(
-            String quantity, String where, double value, boolean extrapolated) {
+            String quantity, String suffix, double value, boolean extrapolated) {
         double limit =
                 switch (quantity) {
                     case "memory MB" -> Limits.MEMORY_MB;
                     case "processor share" -> Limits.PROCESSOR_SHARE;
                     default -> Limits.BYTES_PER_SECOND;
                 };
-        return Verdict.of(quantity + where, "", value, limit, extrapolated);
+        return Verdict.of(quantity + suffix, "", value, limit, extrapolated);
     }
 
     private void plot(ProxyResult result, Path file) throws IOException {
         Plot plot = new Plot("Resident memory of a proxy", "entries", "MB");
         for (int rate : changes) {
-            List<ProxyResult.Point> same =
+            List<ProxyResult.Point> pointsAtRate =
                     result.points().stream().filter(p -> p.changesPerSecond() == rate).toList();
             plot.add(
                     rate + " changes/s",
-                    same.stream().map(ProxyResult.Point::entries).toList(),
-                    same.stream().map(p -> p.usage().residentKb() / KB_PER_MB).toList());
+                    pointsAtRate.stream().map(ProxyResult.Point::entries).toList(),
+                    pointsAtRate.stream().map(p -> p.usage().residentKb() / KB_PER_MB).toList());
         }
         plot.write(file);
     }
 
-    private void tell(ProxyResult result, Path folder) {
-        PrintWriter text = spec.commandLine().getOut();
+    private void printResult(ProxyResult result, Path folder) {
+        PrintWriter out = spec.commandLine().getOut();
         for (ProxyResult.Point p : result.points()) {
-            text.printf(
+            out.printf(
                     Locale.ROOT,
                     "%6d entries, %4d changes/s: %6.1f MB resident, %s, %3d threads,"
                             + " %5.2f %% of a core, %9.0f bytes/s%n",
@@ -215,9 +215,9 @@
                     100 * p.processorShare(),
                     p.discoveryBytesPerSecond());
         }
-        result.verdicts().forEach(v -> text.println(v.text()));
-        result.failures().forEach(f -> text.println("FELL OVER: " + f));
-        text.println("Result: " + folder.resolve("result.json"));
-        text.flush();
+        result.verdicts().forEach(v -> out.println(v.text()));
+        result.failures().forEach(f -> out.println("FELL OVER: " + f));
+        out.println("Result: " + folder.resolve("result.json"));
+        out.flush();
     }
 }
--- a/src/main/java/passhatch/lab/scale/ProxyMeasure.java
+++ b/src/main/java/passhatch/lab/scale/ProxyMeasurement.java
@@ -20,18 +20,18 @@
  * Measures one proxy after the other, a new process for each length of the list. No calls are
  * given, so the addresses in the list need no listener.
  */
-final class ProxyMeasure {
+final class ProxyMeasurement {
 
-    private static final long SETTLE_MS = 5_000;
+    private static final long SETTLE_TIME_MS = 5_000;
     private static final int LISTED_PORT = 9;
-    private static final int HOSTS_A_NETWORK = 250;
+    private static final int HOSTS_PER_NETWORK = 250;
 
     private final ScaleOptions options;
     private final Path folder;
     private final int memoryMb;
     private final List<String> failures = new ArrayList<>();
 
-    ProxyMeasure(ScaleOptions options, Path folder, int memoryMb) {
+    ProxyMeasurement(ScaleOptions options, Path folder, int memoryMb) {
         this.options = options;
         this.folder = folder;
         this.memoryMb = memoryMb;
@@ -50,9 +50,9 @@
         var group =
                 new MultiThreadIoEventLoopGroup(
                         1, new DefaultThreadFactory("discovery", true), NioIoHandler.newFactory());
-        try (ProxyField field =
-                new ProxyField(
-                        options.program(),
+        try (ProxyTestbed testbed =
+                new ProxyTestbed(
+                        options.programJar(),
                         folder,
                         options.seed(),
                         memoryMb,
@@ -60,23 +60,23 @@
             EventLoop loop = group.next();
             DiscoveryServer discovery = new DiscoveryServer(loop);
             discovery.start();
-            discovery.update(list(entries));
-            ProxyChild proxy = field.start("entries-" + entries, discovery.address());
-            Thread.sleep(SETTLE_MS);
+            discovery.update(servingEntries(entries));
+            ProxyChild proxy = testbed.start("entries-" + entries, discovery.address());
+            Thread.sleep(SETTLE_TIME_MS);
             long firstListBytes = discovery.sentBytes();
             for (int rate : rates) {
-                points.add(step(proxy, discovery, entries, rate, firstListBytes));
+                points.add(measureStep(proxy, discovery, entries, rate, firstListBytes));
                 progress.step(entries + " entries, " + rate + " changes/s");
             }
-        } catch (IOException fell) {
-            failures.add(entries + " entries: " + fell.getMessage());
+        } catch (IOException failure) {
+            failures.add(entries + " entries: " + failure.getMessage());
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         }
         return points;
     }
 
-    private ProxyResult.Point step(
+    private ProxyResult.Point measureStep(
             ProxyChild proxy, DiscoveryServer discovery, int entries, int rate, long firstListBytes)
             throws IOException, InterruptedException {
         UniformRandomProvider random =
@@ -86,19 +86,19 @@
         long pid = proxy.child().pid();
         ProcessUsage before = ProcessUsage.of(pid);
         long bytesBefore = discovery.sentBytes();
-        long beganNs = System.nanoTime();
+        long startNs = System.nanoTime();
         for (int i = 0; i < changes; i++) {
-            sleepUntil(beganNs + TimeUnit.SECONDS.toNanos(1) * i / rate);
+            sleepUntil(startNs + TimeUnit.SECONDS.toNanos(1) * i / rate);
             int entry = random.nextInt(entries);
             draining[entry] = !draining[entry];
             discovery.update(List.of(entry(entry, draining[entry] ? "DRAINING" : "SERVING")));
         }
-        sleepUntil(beganNs + TimeUnit.SECONDS.toNanos(options.seconds()));
+        sleepUntil(startNs + TimeUnit.SECONDS.toNanos(options.seconds()));
         if (!proxy.child().alive()) {
             throw new IOException("ended at " + rate + " changes/s:\n" + proxy.child().logEnd());
         }
         ProcessUsage after = ProcessUsage.of(pid);
-        double seconds = (System.nanoTime() - beganNs) / 1e9;
+        double seconds = (System.nanoTime() - startNs) / 1e9;
         return new ProxyResult.Point(
                 entries,
                 rate,
@@ -109,24 +109,24 @@
                 (discovery.sentBytes() - bytesBefore) / seconds);
     }
 
-    private static void sleepUntil(long ns) throws InterruptedException {
-        long leftNs = ns - System.nanoTime();
-        if (leftNs > 0) {
-            TimeUnit.NANOSECONDS.sleep(leftNs);
+    private static void sleepUntil(long endNs) throws InterruptedException {
+        long remainingNs = endNs - System.nanoTime();
+        if (remainingNs > 0) {
+            TimeUnit.NANOSECONDS.sleep(remainingNs);
         }
     }
 
-    private static List<DiscoveryServer.Endpoint> list(int entries) throws IOException {
-        List<DiscoveryServer.Endpoint> list = new ArrayList<>();
-        for (int i = 0; i < entries; i++) {
-            list.add(entry(i, "SERVING"));
+    private static List<DiscoveryServer.Endpoint> servingEntries(int count) throws IOException {
+        List<DiscoveryServer.Endpoint> entries = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            entries.add(entry(i, "SERVING"));
         }
-        return list;
+        return entries;
     }
 
     private static DiscoveryServer.Endpoint entry(int number, String status) throws IOException {
         byte[] address = {
-            127, 1, (byte) (number / HOSTS_A_NETWORK), (byte) (number % HOSTS_A_NETWORK + 1)
+            127, 1, (byte) (number / HOSTS_PER_NETWORK), (byte) (number % HOSTS_PER_NETWORK + 1)
         };
         return new DiscoveryServer.Endpoint(
                 "backend-" + number,
--- a/src/main/java/passhatch/lab/scale/ProxyField.java
+++ b/src/main/java/passhatch/lab/scale/ProxyTestbed.java
@@ -11,10 +11,10 @@
 import passhatch.lab.drill.ProxyChild;
 
 /** Proxies that were started for a measurement, each a process; all of them end with it. */
-final class ProxyField implements Closeable {
+final class ProxyTestbed implements Closeable {
 
-    private static final long READY_WITHIN_MS = 20_000;
-    private static final long END_PATIENCE_MS = 5_000;
+    private static final long READY_TIMEOUT_MS = 20_000;
+    private static final long SHUTDOWN_TIMEOUT_MS = 5_000;
 
     private final Path jar;
     private final Path folder;
@@ -24,15 +24,15 @@
     private final List<ProxyChild> proxies = new ArrayList<>();
 
     /** Ends the processes also where this JVM is told to end. */
-    private final Thread lastResort = new Thread(this::endNow, "end-of-measurement");
+    private final Thread shutdownHook = new Thread(this::killAll, "end-of-measurement");
 
-    ProxyField(Path jar, Path folder, long seed, int memoryMb, List<String> jvmOptions) {
+    ProxyTestbed(Path jar, Path folder, long seed, int memoryMb, List<String> jvmOptions) {
         this.jar = jar;
         this.folder = folder;
         this.seed = seed;
         this.memoryMb = memoryMb;
         this.jvmOptions = jvmOptions;
-        Runtime.getRuntime().addShutdownHook(lastResort);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     /**
@@ -42,26 +42,26 @@
      */
     ProxyChild start(String name, InetSocketAddress discovery)
             throws IOException, InterruptedException {
-        InetSocketAddress peerListen = freeDatagramPort();
+        InetSocketAddress peerListen = unusedUdpAddress();
         var shared =
                 ProxyChild.Shared.alone(
                         jar, folder.resolve(name), seed, memoryMb, discovery, jvmOptions);
         ProxyChild proxy = new ProxyChild(0, shared, List.of(peerListen), peerListen);
         proxies.add(proxy);
         proxy.firstStart();
-        if (!proxy.awaitReady(READY_WITHIN_MS)) {
+        if (!proxy.awaitReady(READY_TIMEOUT_MS)) {
             throw new IOException(
                     name
                             + (proxy.child().alive() ? " did not get ready" : " ended")
                             + " within "
-                            + READY_WITHIN_MS
+                            + READY_TIMEOUT_MS
                             + " ms of its start; the end of its log:\n"
                             + proxy.child().logEnd());
         }
         return proxy;
     }
 
-    private static InetSocketAddress freeDatagramPort() throws IOException {
+    private static InetSocketAddress unusedUdpAddress() throws IOException {
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             return (InetSocketAddress) socket.getLocalSocketAddress();
         }
@@ -69,15 +69,15 @@
 
     @Override
     public void close() {
-        proxies.parallelStream().forEach(p -> p.child().end(END_PATIENCE_MS));
+        proxies.parallelStream().forEach(p -> p.child().end(SHUTDOWN_TIMEOUT_MS));
         try {
-            Runtime.getRuntime().removeShutdownHook(lastResort);
-        } catch (IllegalStateException ending) {
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
+        } catch (IllegalStateException jvmShutsDown) {
             // The JVM is on its way out: the hook runs, and finds nothing left to end.
         }
     }
 
-    private void endNow() {
+    private void killAll() {
         proxies.forEach(p -> p.child().endNow());
     }
 }
--- a/src/main/java/passhatch/lab/scale/ScaleOptions.java
+++ b/src/main/java/passhatch/lab/scale/ScaleOptions.java
@@ -19,8 +19,8 @@
 
     private static final ObjectMapper JSON =
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-    private static final int MOST_SECONDS = 120;
-    private static final int MOST_STEPS = 20;
+    private static final int MAX_SECONDS = 120;
+    private static final int MAX_VALUES = 20;
 
     /** The archive of classes that the build leaves; a deployed start uses it where it is there. */
     private static final String CLASS_ARCHIVE = "passhatch.jsa";
@@ -53,21 +53,21 @@
         return seed;
     }
 
-    Path program() {
+    Path programJar() {
         return ProgramJar.find(jar);
     }
 
     /** Options for the program's JVMs beside those that limit their memory. */
     List<String> jvmOptions() {
-        Path archive = program().resolveSibling(CLASS_ARCHIVE);
+        Path archive = programJar().resolveSibling(CLASS_ARCHIVE);
         return Files.isRegularFile(archive)
                 ? List.of("-XX:SharedArchiveFile=" + archive)
                 : List.of();
     }
 
     int seconds() {
-        if (seconds < 1 || seconds > MOST_SECONDS) {
-            throw new InvalidInputException("--seconds: expected 1 to " + MOST_SECONDS);
+        if (seconds < 1 || seconds > MAX_SECONDS) {
+            throw new InvalidInputException("--seconds: expected 1 to " + MAX_SECONDS);
         }
         return seconds;
     }
@@ -85,14 +85,14 @@
     }
 
     /** Checks a list of sizes or rates. */
-    static List<Integer> within(String option, List<Integer> values, int least, int most) {
-        if (values.isEmpty() || values.size() > MOST_STEPS) {
-            throw new InvalidInputException(option + ": expected 1 to " + MOST_STEPS + " values");
+    static List<Integer> requireWithin(String option, List<Integer> values, int min, int max) {
+        if (values.isEmpty() || values.size() > MAX_VALUES) {
+            throw new InvalidInputException(option + ": expected 1 to " + MAX_VALUES + " values");
         }
         for (int value : values) {
-            if (value < least || value > most) {
+            if (value < min || value > max) {
                 throw new InvalidInputException(
-                        option + ": expected " + least + " to " + most + ", not " + value);
+                        option + ": expected " + min + " to " + max + ", not " + value);
             }
         }
         return new ArrayList<>(values);
@@ -100,10 +100,10 @@
 
     /** The line of progress on the error output. */
     Progress progress(String task, int steps) {
-        return quiet ? new Progress(null) : new Progress(bar(task, steps));
+        return quiet ? new Progress(null) : new Progress(progressBar(task, steps));
     }
 
-    private static ProgressBar bar(String task, int steps) {
+    private static ProgressBar progressBar(String task, int steps) {
         return new ProgressBarBuilder()
                 .setTaskName("scale " + task)
                 .setInitialMax(steps)
@@ -118,10 +118,10 @@
 
     /** Counts the steps that are done; silent where no line is wanted. */
     record Progress(ProgressBar bar) implements AutoCloseable {
-        void step(String next) {
+        void step(String message) {
             if (bar != null) {
                 bar.step();
-                bar.setExtraMessage(next);
+                bar.setExtraMessage(message);
             }
         }
 
--- a/src/test/java/passhatch/lab/scale/LinearFitTest.java
+++ b/src/test/java/passhatch/lab/scale/LinearFitTest.java
@@ -10,16 +10,16 @@
 /** The line through measured points. */
 class LinearFitTest {
 
-    private static final double CLOSE = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
     @Test
     void pointsOnALineLeaveNoResidual() {
         LinearFit fit = LinearFit.of(new double[] {10, 100, 1_000}, new double[] {25, 205, 2_005});
-        assertEquals(5, fit.intercept(), CLOSE);
-        assertEquals(2, fit.slope(), CLOSE);
-        assertEquals(0, fit.residual(), CLOSE);
+        assertEquals(5, fit.intercept(), TOLERANCE);
+        assertEquals(2, fit.slope(), TOLERANCE);
+        assertEquals(0, fit.residual(), TOLERANCE);
         assertEquals(3, fit.points());
-        assertEquals(4_005, fit.at(2_000), CLOSE);
+        assertEquals(4_005, fit.at(2_000), TOLERANCE);
         assertTrue(fit.extrapolates(2_000));
         assertFalse(fit.extrapolates(1_000));
     }
@@ -27,19 +27,19 @@
     @Test
     void residualIsTheRootMeanSquareDistance() {
         LinearFit fit = LinearFit.of(new double[] {0, 0, 1, 1}, new double[] {-1, 1, 1, 3});
-        assertEquals(0, fit.intercept(), CLOSE);
-        assertEquals(2, fit.slope(), CLOSE);
-        assertEquals(1, fit.residual(), CLOSE);
+        assertEquals(0, fit.intercept(), TOLERANCE);
+        assertEquals(2, fit.slope(), TOLERANCE);
+        assertEquals(1, fit.residual(), TOLERANCE);
     }
 
     @Test
-    void refusesWhatHasNoLine() {
-        double[] one = {1};
-        double[] same = {1, 1};
-        double[] open = {1, Double.NaN};
-        assertThrows(IllegalArgumentException.class, () -> LinearFit.of(one, one));
-        assertThrows(IllegalArgumentException.class, () -> LinearFit.of(same, open));
-        assertThrows(IllegalArgumentException.class, () -> LinearFit.of(same, one));
-        assertThrows(IllegalArgumentException.class, () -> LinearFit.of(same, same));
+    void rejectsPointsThatDetermineNoLine() {
+        double[] single = {1};
+        double[] equal = {1, 1};
+        double[] notFinite = {1, Double.NaN};
+        assertThrows(IllegalArgumentException.class, () -> LinearFit.of(single, single));
+        assertThrows(IllegalArgumentException.class, () -> LinearFit.of(equal, notFinite));
+        assertThrows(IllegalArgumentException.class, () -> LinearFit.of(equal, single));
+        assertThrows(IllegalArgumentException.class, () -> LinearFit.of(equal, equal));
     }
 }
--- a/src/test/java/passhatch/lab/scale/MembershipScaleCommandTest.java
+++ b/src/test/java/passhatch/lab/scale/MembershipScaleCommandTest.java
@@ -29,7 +29,7 @@
         return line.execute(arguments);
     }
 
-    private void assertRefused(String option, String... options) {
+    private void assertUsageError(String option, String... options) {
         errors.getBuffer().setLength(0);
         assertEquals(Commands.EXIT_USAGE, run(options));
         assertEquals(1, errors.toString().lines().count(), errors::toString);
@@ -37,14 +37,14 @@
     }
 
     @Test
-    void aWrongSizeOrSeedIsOneLine() {
-        assertRefused("--members", "--members=1");
-        assertRefused("--members", "--members=100,40000");
-        assertRefused("--members", "--members=many");
-        assertRefused("--members", "--members=");
-        assertRefused("--members");
-        assertRefused("--seed", "--members=50", "--seed=x");
-        assertRefused("--loss", "--members=50", "--loss=1");
+    void invalidOptionsGiveAOneLineUsageError() {
+        assertUsageError("--members", "--members=1");
+        assertUsageError("--members", "--members=100,40000");
+        assertUsageError("--members", "--members=many");
+        assertUsageError("--members", "--members=");
+        assertUsageError("--members");
+        assertUsageError("--seed", "--members=50", "--seed=x");
+        assertUsageError("--loss", "--members=50", "--loss=1");
     }
 
     @Test
--- a/src/test/java/passhatch/lab/scale/ScaleCommandTest.java
+++ b/src/test/java/passhatch/lab/scale/ScaleCommandTest.java
@@ -20,7 +20,7 @@
 
     @TempDir private Path folder;
 
-    private static void refused(String... args) {
+    private static void assertUsageError(String... args) {
         StringWriter err = new StringWriter();
         CommandLine line = Commands.oneLineErrors(ScaleCommand.line());
         line.setErr(new PrintWriter(err, true));
@@ -46,36 +46,37 @@
                 "latency --behind-us 0",
                 "latency --tries 0"
             })
-    void wrongValuesAreOneLineAndWrongUse(String args) {
-        refused(args.split(" "));
+    void invalidValuesGiveAOneLineUsageError(String args) {
+        assertUsageError(args.split(" "));
     }
 
     @Test
-    void aFileInPlaceOfTheFolderIsWrongUse() throws Exception {
+    void aFileAsOutputFolderIsAUsageError() throws Exception {
         Path file = Files.createFile(folder.resolve("file"));
-        refused("proxy", "--jar", file.toString(), "--out", file.toString());
+        assertUsageError("proxy", "--jar", file.toString(), "--out", file.toString());
     }
 
     @Test
-    void readsItsOwnProcess() throws Exception {
+    void readsTheUsageOfItsOwnProcess() throws Exception {
         ProcessUsage usage = ProcessUsage.of(ProcessHandle.current().pid());
         assertTrue(usage.residentKb() > 0);
         assertTrue(usage.threads() > 0);
     }
 
     @Test
-    void findsTimesBehindANameWithSpaces() {
+    void parsesProcessorTimesAfterACommandNameWithSpaces() {
         String stat = "7 (a ) b) S 1 1 1 0 -1 0 1 2 3 4 250 150 9 9 20 0 1";
         assertEquals(4.0, ProcessUsage.processorSeconds(stat));
     }
 
     private static LatencyResult.Step step(int proxies, Long p99, boolean saturated) {
-        var us = p99 == null ? null : new LatencyResult.Quantiles(p99 / 2, p99, 2 * p99);
-        return new LatencyResult.Step(proxies, 10, 100, 800, 1, 60, us, null, null, saturated);
+        var latencyUs = p99 == null ? null : new LatencyResult.Quantiles(p99 / 2, p99, 2 * p99);
+        return new LatencyResult.Step(
+                proxies, 10, 100, 800, 1, 60, latencyUs, null, null, saturated);
     }
 
     @Test
-    void whatIsAddedIsThePathLessTheDirectCall() {
+    void addedLatencyIsThatOfThePathMinusThatOfDirectRequests() {
         var added =
                 LatencyCommand.added(List.of(step(0, 200L, false), step(7, 900L, false))).get(0);
         assertEquals(700, added.p99Us());
@@ -83,7 +84,7 @@
     }
 
     @Test
-    void noFigureComesOfAVoidOrSaturatedStep() {
+    void voidAndSaturatedStepsGiveNoAddedLatency() {
         var steps = List.of(step(0, 200L, false), step(1, null, false), step(7, 900L, true));
         assertEquals(List.of(), LatencyCommand.added(steps));
         assertEquals(
--- a/src/test/java/passhatch/lab/scale/ScaleIT.java
+++ b/src/test/java/passhatch/lab/scale/ScaleIT.java
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void givesNoFigureWhereTheLoadToolFellBehind() throws Exception {
+    void reportsNoLatencyWhenTheLoadToolFallsBehind() throws Exception {
         assertEquals(1, latency("1"));
         assertTrue(result().get("tooBusy").asBoolean());
         assertEquals(0, result().get("added").size());
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void measuresAnAgentAmongHollowMembers() throws Exception {
+    void measuresAnAgentAmongInProcessMembers() throws Exception {
         assertEquals(0, run("agent", "--sizes", "5,9"));
         JsonNode points = result().get("points");
         assertEquals(4, points.size());
