--- a/src/main/java/passhatch/lab/scale/AgentCommand.java
+++ b/src/main/java/passhatch/lab/scale/AgentCommand.java
@@ -14,15 +14,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code scale agent}. */
+/** The command {@code scale agent}: measures the resources that one agent uses. */
 @Command(
         name = "agent",
         mixinStandardHelpOptions = true,
         description = {
             "Measures memory, processor share and traffic of one agent process, by the number of"
                     + " members, with and without duties.",
-            "The other members are hollow: they share the tool's process. Exit code 1 where an"
-                    + " agent fell over."
+            "The other members run inside the tool's process. Exit code 1 if an agent ended early"
+                    + " or never saw all members alive."
         })
 final class AgentCommand implements Callable<Integer> {
 
--- a/src/main/java/passhatch/lab/scale/AgentMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/AgentMeasurement.java
@@ -11,13 +11,16 @@
 import passhatch.lab.Seeds;
 import passhatch.lab.drill.AgentChild;
 
-/** Measures the first agent of a fleet whose other members are mostly hollow. */
+/** Measures the first agent of a fleet most of whose members run inside this process. */
 final class AgentMeasurement {
 
-    /** Voters on a duty, each a real process; without duties one real process is enough. */
+    /**
+     * Number of voters on a duty, each an agent process of its own; without duties one agent
+     * process is enough.
+     */
     static final int VOTERS = 3;
 
-    /** As {@link AgentChild} configures it. */
+    /** The name of the fleet that {@link AgentChild} configures. */
     private static final String FLEET = "drill";
 
     private static final long ALIVE_TIMEOUT_S = 60;
@@ -33,7 +36,7 @@
         this.folder = folder;
     }
 
-    /** Figures that an agent counts itself. */
+    /** Metrics that the agent itself reports. */
     private record TrafficCounters(long sentBytes, long sentDatagrams, long receivedDatagrams) {
         static TrafficCounters of(AgentChild agent) throws IOException {
             String vars = agent.ask("vars");
@@ -49,13 +52,14 @@
                 .filter(line -> line.startsWith(name))
                 .map(line -> Long.valueOf(line.substring(name.length())))
                 .findFirst()
-                .orElseThrow(() -> new IOException("the agent does not tell " + name.strip()));
+                .orElseThrow(() -> new IOException("the agent does not report " + name.strip()));
     }
 
     /**
      * Measures a fleet of this size.
      *
-     * @throws IOException where an agent ended, or the first never saw all members alive
+     * @throws IOException if an agent ended, or the first one did not see all members alive within
+     *     60 s
      */
     AgentResult.Point measure(int members, boolean duties)
             throws IOException, InterruptedException {
--- a/src/main/java/passhatch/lab/scale/AgentResult.java
+++ b/src/main/java/passhatch/lab/scale/AgentResult.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * What one agent uses in fleets of several sizes.
+ * Resources that one agent uses in fleets of several sizes.
  *
- * @param failures what went wrong, by size: an agent that ended, or never saw all members alive
+ * @param failures the failures, each with its fleet size: an agent ended, or never saw all members
+ *     alive
  */
 record AgentResult(
         long seed,
@@ -16,11 +17,11 @@
         List<String> failures) {
 
     /**
-     * One fleet at rest.
+     * One fleet without failures or changes.
      *
-     * @param processes of the members, so many are real agents, the others hollow
-     * @param duties whether three real agents vote on a duty and stand for it
-     * @param processorShare of one core
+     * @param processes number of members that are agent processes; the others run inside the tool
+     * @param duties whether three agent processes are voters and candidates for a duty
+     * @param processorShare fraction of one core
      */
     record Point(
             int members,
@@ -32,6 +33,6 @@
             double sentPerSecond,
             double receivedPerSecond) {}
 
-    /** A line over the number of members. */
+    /** A line fitted over the number of members. */
     record Fit(String quantity, boolean duties, LinearFit line) {}
 }
--- a/src/main/java/passhatch/lab/scale/DistributionEvent.java
+++ b/src/main/java/passhatch/lab/scale/DistributionEvent.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** What {@code scale distribution} measures, in the order in which it is played. */
+/** Events that {@code scale distribution} measures, in the order in which they run. */
 enum DistributionEvent {
     /** No changes. */
     IDLE,
@@ -15,21 +15,21 @@
     RELAY_KILLED,
     /** The leader is killed in the middle of changes. */
     LEADER_KILLED,
-    /** A zone is cut off during changes, and comes back. */
+    /** A zone is partitioned from the others during changes, and reconnects. */
     ZONE_CUT,
-    /** A region is cut off during changes, and comes back. */
+    /** A region is partitioned from the others during changes, and reconnects. */
     REGION_CUT,
-    /** A tenth of the subscribers miss changes and start from disk at once. */
+    /** A tenth of the subscribers miss changes, and start from disk at the same time. */
     TENTH_RESTARTED,
-    /** All subscribers start with an empty disk at once. */
+    /** All subscribers start with an empty disk at the same time. */
     COLD;
 
-    /** Its name as an option and as the beginning of the names of its figures. */
+    /** Returns the event's name as an option value and as the prefix of its figures' names. */
     String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Reads a {@link #label}. */
+    /** Converts a {@link #label} to its event. */
     static final class Converter implements ITypeConverter<DistributionEvent> {
         @Override
         public DistributionEvent convert(String label) {
--- a/src/main/java/passhatch/lab/scale/DistributionMeter.java
+++ b/src/main/java/passhatch/lab/scale/DistributionMeter.java
@@ -12,10 +12,13 @@
 import passhatch.lab.distribution.Observer;
 import passhatch.lab.distribution.Simulation;
 
-/** Counts traffic of each node, and the time from a commit to being in force at subscribers. */
+/**
+ * Counts the traffic of each node, and measures the delay from the creation of a change until it is
+ * in force at a subscriber.
+ */
 final class DistributionMeter implements Observer {
 
-    /** What a node has sent and received. */
+    /** Datagrams and bytes that a node has sent and received. */
     static final class Traffic {
         private long bytes;
         private long datagrams;
@@ -35,12 +38,12 @@
     private final Map<Node, TreeMap<Long, ExpectedChange>> pending = new HashMap<>();
     private final List<Long> delaysUs = new ArrayList<>();
 
-    /** Waited for when another leader gave their version to another change. */
+    /** Expected changes whose version another leader gave to a different change. */
     private long supersededCount;
 
     private Clock clock = () -> 0;
 
-    /** Simulated time, as {@link Simulation#nowUs}. */
+    /** Source of the simulated time in microseconds, as {@link Simulation#nowUs}. */
     interface Clock {
         long nowUs();
     }
@@ -49,7 +52,12 @@
         this.clock = clock;
     }
 
-    /** A change of a key has got a version; these subscribers want it since a time. */
+    /**
+     * Expects a change of a key to come into force at those of the subscribers that run and have
+     * not reached its version.
+     *
+     * @param createdUs simulated time at which the delay starts
+     */
     void expect(String key, long version, long createdUs, List<Node> subscribers) {
         for (Node node : subscribers) {
             if (node.isUp() && node.participant().version() < version) {
@@ -61,7 +69,10 @@
         }
     }
 
-    /** A change counts once its key has it or a newer one, whatever version the node is at. */
+    /**
+     * Records the delay of each expected change whose key has that version or a newer one. The
+     * version of the node alone does not count.
+     */
     @Override
     public void inForce(Node node, long epoch, long version) {
         TreeMap<Long, ExpectedChange> expectedByVersion =
@@ -101,7 +112,7 @@
         return traffic.computeIfAbsent(node, any -> new Traffic());
     }
 
-    /** Begins a new phase. */
+    /** Clears all counts and expected changes for a new phase. */
     void reset() {
         traffic.clear();
         pending.clear();
@@ -109,7 +120,7 @@
         supersededCount = 0;
     }
 
-    /** Changes that are not in force yet, summed over the subscribers that want them. */
+    /** Returns how many expected changes are not in force, summed over their subscribers. */
     long missingCount() {
         return supersededCount + pending.values().stream().mapToLong(Map::size).sum();
     }
@@ -118,7 +129,10 @@
         return delaysUs.size();
     }
 
-    /** A quantile of the time from commit to in force, in seconds; 0 where there is no sample. */
+    /**
+     * Returns a quantile of the delay from the creation of a change until it is in force, in
+     * seconds; 0 if there are no samples.
+     */
     double quantile(double fraction) {
         if (delaysUs.isEmpty()) {
             return 0;
--- a/src/main/java/passhatch/lab/scale/DistributionScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command {@code scale distribution}: changes in fleets of several sizes. */
+/** The command {@code scale distribution}: simulates changes in fleets of several sizes. */
 @Command(
         name = "distribution",
         mixinStandardHelpOptions = true,
@@ -28,7 +28,7 @@
     private static final int MAX_CHANGES = 10_000;
     private static final Path DIRECTORY = Path.of("target", "scale", "distribution");
 
-    /** What is written: figures by size, and lines fitted over the sizes. */
+    /** The result that is written: figures by size, and lines fitted over the sizes. */
     record Result(
             long seed, Map<Integer, Map<String, Double>> sizes, Map<String, LinearFit> fits) {}
 
@@ -50,14 +50,14 @@
     @Option(
             names = "--changes",
             defaultValue = "200",
-            description = "For each event, 1,000 a minute; default: ${DEFAULT-VALUE}.")
+            description = "Changes in each event, 1,000 a minute; default: ${DEFAULT-VALUE}.")
     private int changes;
 
     @Option(
             names = "--events",
             split = ",",
             converter = DistributionEvent.Converter.class,
-            description = "Measures these only; default: all.")
+            description = "Measures only these events; default: all.")
     private List<DistributionEvent> events = List.of(DistributionEvent.values());
 
     @Option(names = "--seed", defaultValue = "1", description = "Default: ${DEFAULT-VALUE}.")
--- a/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
@@ -24,7 +24,10 @@
 import passhatch.lab.distribution.Node;
 import passhatch.lab.distribution.Simulation;
 
-/** One fleet of a size in simulated time: what its roles cost, and how fast changes arrive. */
+/**
+ * Simulates one fleet of a given size, and measures the traffic and processor time of each role and
+ * the delay until changes are in force at subscribers.
+ */
 final class DistributionScaleRun {
 
     private static final long SECOND_US = 1_000_000;
@@ -34,12 +37,12 @@
     private static final int SETTINGS_PER_SERVICE = 2;
     private static final int SERVICES_PER_SUBSCRIBER = 30;
 
-    /** Longer than a follower stays away from its preferred source. */
+    /** Longer than the time for which a follower avoids its preferred source. */
     private static final long WARM_UP_US = 60 * SECOND_US;
 
     private static final long IDLE_DURATION_US = 10 * SECOND_US;
 
-    /** 1,000 changes in a minute. */
+    /** 1,000 changes a minute. */
     private static final long CHANGE_INTERVAL_US = 60_000;
 
     private static final long SETTLE_TIME_US = 5 * SECOND_US;
@@ -50,7 +53,12 @@
     private static final long REGION_PARTITION_US = 120 * SECOND_US;
     private static final int RESTARTED_DIVISOR = 10;
 
-    /** A change to submit; its time in force is counted at some subscribers. */
+    /**
+     * A change that no leader has accepted yet.
+     *
+     * @param createdUs simulated time of its creation
+     * @param measured selects the subscribers at which its delay is measured
+     */
     private record PendingChange(
             String service, String value, long createdUs, Predicate<Node> measured) {}
 
@@ -99,7 +107,7 @@
         }
     }
 
-    /** Plays events in the order of the enum; figures by name. */
+    /** Runs events in the order of the enum, and returns figures by name. */
     Map<String, Double> run(Set<DistributionEvent> events) {
         for (Node node : simulation.nodes()) {
             node.setDisk(fleet.diskOf(node));
@@ -192,7 +200,10 @@
         figures.put(phase + ".missing", (double) meter.missingCount());
     }
 
-    /** Submits a change; it counts from here on, so the time to a majority is included. */
+    /**
+     * Creates a change and tries to submit it. Its delay starts now, so it includes the time until
+     * a majority of the replicas has the change.
+     */
     private void createChange(Predicate<Node> measured) {
         String service = "service-" + random.nextInt(SERVICES);
         String value = Long.toString(1 + createdCount++ % 60_000);
@@ -200,7 +211,10 @@
         submitPendingChanges();
     }
 
-    /** Submits changes in their order until a leader refuses one or there is none. */
+    /**
+     * Submits pending changes in their order until none is left or one is not accepted, because
+     * there is no leader or the leader rejects it.
+     */
     private void submitPendingChanges() {
         while (!pendingChanges.isEmpty() && trySubmit(pendingChanges.peekFirst())) {
             PendingChange accepted = pendingChanges.removeFirst();
@@ -234,7 +248,7 @@
         return true;
     }
 
-    /** Repeats changes that no leader has taken, as their operators would. */
+    /** Resubmits changes that no leader has accepted, as an operator would, for up to 60 s. */
     private void retryPendingChanges() {
         long deadlineUs = simulation.nowUs() + CATCH_UP_TIMEOUT_US;
         while (!pendingChanges.isEmpty() && simulation.nowUs() < deadlineUs) {
@@ -252,7 +266,10 @@
         advance(SETTLE_TIME_US);
     }
 
-    /** A change that finds no leader is repeated, and counts from the first time. */
+    /**
+     * Kills the leader in the middle of changes. A change without a leader to accept it is
+     * submitted again; its delay starts with its creation.
+     */
     private void measureLeaderKill(String phase) {
         maxLeaderWaitUs = 0;
         Node leader = lease.holder();
@@ -276,7 +293,7 @@
         measurePartition(phase, node -> node.location().zone() == zone, ZONE_PARTITION_US);
     }
 
-    /** The region of a replica that does not lead. */
+    /** Partitions the region of a replica that is not the leader. */
     private void measureRegionPartition(String phase) {
         int leaderRegion = lease.holder().location().region();
         int region =
@@ -288,7 +305,10 @@
         measurePartition(phase, node -> node.location().region() == region, REGION_PARTITION_US);
     }
 
-    /** Changes go on during the cut; their time in force is that of the nodes outside. */
+    /**
+     * Partitions the nodes inside from the others while changes continue. The delay of the changes
+     * is measured at the nodes outside.
+     */
     private void measurePartition(String phase, Predicate<Node> inside, long durationUs) {
         meter.reset();
         BiPredicate<Node, Node> blocked = (from, to) -> inside.test(from) ^ inside.test(to);
@@ -304,7 +324,7 @@
         recordDelays(phase + ".elsewhere");
     }
 
-    /** Waits until nodes have what is committed now. */
+    /** Waits, for up to 60 s, until nodes have all that is committed now. */
     private void awaitHead(String phase, List<Node> nodes) {
         long head = headVersion();
         long behindCount =
@@ -327,7 +347,10 @@
                 .orElse(0);
     }
 
-    /** They are down while changes are made, and then start at once from what they had. */
+    /**
+     * Kills a tenth of the subscribers, makes changes, and then starts them all at the same time
+     * from the state on their disks.
+     */
     private void measureRestart(String phase) {
         List<Node> subscribers = simulation.nodes(Role.SUBSCRIBER);
         int count = (subscribers.size() + RESTARTED_DIVISOR - 1) / RESTARTED_DIVISOR;
@@ -353,7 +376,7 @@
         recordCosts(phase, simulation.nowUs() - startUs, busyBefore);
     }
 
-    /** All subscribers begin with an empty disk at once. */
+    /** Restarts all subscribers at the same time with empty disks. */
     private void measureColdStart() {
         meter.reset();
         Map<Role, Long> busyBefore = busyNanosByRole();
--- a/src/main/java/passhatch/lab/scale/InProcessMembers.java
+++ b/src/main/java/passhatch/lab/scale/InProcessMembers.java
@@ -24,12 +24,12 @@
 import passhatch.lab.Seeds;
 
 /**
- * Members of a fleet that share this process and one thread: each has its own socket and the
- * program's own state machine, and no store, control address or duties.
+ * Members of a fleet that run on one thread of this process. Each has its own socket and the
+ * program's membership state machine, but no store, control address or duties.
  */
 final class InProcessMembers implements Closeable {
 
-    /** As the agent has it where its configuration does not say. */
+    /** The default of the agent's configuration. */
     private static final long PROBE_PERIOD_US = 500_000;
 
     private static final long BYTES_PER_SECOND = 16_384;
@@ -43,7 +43,7 @@
     private Map<InetSocketAddress, Integer> addressIndexes;
     private List<InetSocketAddress> fleetAddresses;
 
-    /** Opens the sockets; the members are silent until {@link #start}. */
+    /** Opens the sockets; the members send nothing until {@link #start}. */
     InProcessMembers(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             DatagramChannel socket = DatagramChannel.open();
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Where they receive. */
+    /** Returns the addresses on which the members receive. */
     List<InetSocketAddress> addresses() throws IOException {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (Member member : members) {
@@ -64,7 +64,7 @@
         return addresses;
     }
 
-    /** Has them take part in the fleet. */
+    /** Lets the members join the fleet. */
     void start(String fleet, List<InetSocketAddress> allAddresses, Seeds seeds) throws IOException {
         fleetAddresses = List.copyOf(allAddresses);
         addressIndexes = new HashMap<>();
@@ -86,7 +86,7 @@
                 }
             }
         } catch (IOException | ClosedSelectorException closed) {
-            // It was closed.
+            // Closed by close().
         }
     }
 
@@ -136,7 +136,7 @@
                     membership.receive(nowUs(), addressIndex, datagram);
                 }
             } catch (IOException lost) {
-                // An error of one datagram's way is a datagram lost.
+                // A datagram that cannot be received counts as lost.
             }
         }
 
@@ -151,7 +151,7 @@
             try {
                 socket.send(ByteBuffer.wrap(datagram), fleetAddresses.get(address));
             } catch (IOException lost) {
-                // As above.
+                // A datagram that cannot be sent counts as lost.
             }
         }
 
@@ -162,12 +162,12 @@
 
         @Override
         public void memberChanged(Status before, MemberInfo after) {
-            // Nobody asks a hollow member.
+            // These members have no control address to report changes on.
         }
 
         @Override
         public void warn(String text) {
-            // Nobody reads its log.
+            // These members have no log.
         }
     }
 }
--- a/src/main/java/passhatch/lab/scale/LatencyCommand.java
+++ b/src/main/java/passhatch/lab/scale/LatencyCommand.java
@@ -16,14 +16,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code scale latency}. */
+/** The command {@code scale latency}: measures the latency that proxies add to a request. */
 @Command(
         name = "latency",
         mixinStandardHelpOptions = true,
         description = {
-            "Measures the time that proxies add to a call: the same open load direct, and through"
-                    + " several proxies in a row.",
-            "Exit code 1, and no figure for the step, where the load tool itself fell behind."
+            "Measures the latency that proxies add to a request: runs the same open load direct,"
+                    + " and through several proxies in a row.",
+            "Exit code 1, and no figures for the step, if the load tool itself fell behind."
         })
 final class LatencyCommand implements Callable<Integer> {
 
@@ -48,7 +48,7 @@
             split = ",",
             paramLabel = "N",
             defaultValue = "1,2,7",
-            description = "Proxies in a row, beside direct calls; default: ${DEFAULT-VALUE}.")
+            description = "Proxies in a row, besides direct requests; default: ${DEFAULT-VALUE}.")
     private List<Integer> paths;
 
     @Option(
@@ -56,7 +56,7 @@
             split = ",",
             paramLabel = "N",
             defaultValue = "100,400,1600,3200",
-            description = "Calls a second; default: ${DEFAULT-VALUE}.")
+            description = "Requests a second; default: ${DEFAULT-VALUE}.")
     private List<Integer> rates;
 
     @Option(
@@ -73,14 +73,15 @@
             names = "--behind-us",
             defaultValue = "250",
             description =
-                    "A step is void where a hundredth of its calls went out later than this after"
-                            + " they were due; default: ${DEFAULT-VALUE}.")
+                    "A step is void if its requests were sent later than this after they were due,"
+                            + " at the 99th percentile; default: ${DEFAULT-VALUE}.")
     private int behindUs;
 
     @Option(
             names = "--tries",
             defaultValue = "3",
-            description = "How often a void step is given in all; default: ${DEFAULT-VALUE}.")
+            description =
+                    "How often a step is run in all while it is void; default: ${DEFAULT-VALUE}.")
     private int tries;
 
     @Override
@@ -147,7 +148,7 @@
                 verdicts(added));
     }
 
-    /** All paths at one load, close together in time. */
+    /** Measures all paths at one rate, close together in time. */
     private List<LatencyResult.Step> measureAtRate(
             LatencyMeasurement measurement, int size, int rate, ScaleOptions.Progress progress)
             throws IOException, InterruptedException {
@@ -161,7 +162,10 @@
         return steps;
     }
 
-    /** Paths less the direct one, where neither is void nor saturated. */
+    /**
+     * Returns the latency of each path minus that of direct requests at the same load. Void and
+     * saturated paths are left out.
+     */
     static List<LatencyResult.Added> added(List<LatencyResult.Step> steps) {
         List<LatencyResult.Added> added = new ArrayList<>();
         for (LatencyResult.Step path : steps) {
--- a/src/main/java/passhatch/lab/scale/LatencyMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/LatencyMeasurement.java
@@ -13,19 +13,19 @@
 import passhatch.lab.load.Outcome;
 import passhatch.lab.load.ProxyPool;
 
-/** Gives one load to one path at a time and measures it. */
+/** Runs one load on one path at a time and measures its latency. */
 final class LatencyMeasurement {
 
     private static final int MAX_LATENCY_US = 120_000_000;
     private static final int SIGNIFICANT_DIGITS = 3;
     private static final long START_DELAY_MS = 50;
 
-    /** Calls of the first second open connections and are left out of the quantiles. */
+    /** Requests of the first second open connections and are left out of the quantiles. */
     private static final int SKIPPED_STEPS = 1_000 / LoadStats.STEP_MS;
 
     private static final int CONNECTIONS = 64;
 
-    /** The load tool must not add a part of its own to times of a tenth of a millisecond. */
+    /** Short, as the load tool must not add noticeably to latencies of a tenth of a millisecond. */
     private static final long TICK_US = 50;
 
     private static final long DEADLINE_US = 1_000_000;
@@ -40,10 +40,12 @@
     private final int maxAttempts;
 
     /**
-     * Measures on a chain.
+     * Creates a measurement on a chain of proxies.
      *
-     * @param maxBehindUs a step is void where a hundredth of its calls went out later than this
-     * @param maxAttempts a void step is given again, so often in all
+     * @param seconds duration of each step, after the second that is left out
+     * @param maxBehindUs a step is void if its requests were sent later than this after they were
+     *     due, at the 99th percentile
+     * @param maxAttempts how often a step is run in all while it is void
      */
     LatencyMeasurement(
             ProxyChain chain, Seeds seeds, int seconds, int maxBehindUs, int maxAttempts) {
@@ -54,13 +56,13 @@
         this.maxAttempts = maxAttempts;
     }
 
-    /** Gives a load without measuring it: a JVM that has just started is slow. */
+    /** Runs a load without measuring it, because a JVM that has just started is slow. */
     void warmUp(int proxyCount, int requestsPerSecond, int durationSeconds)
             throws InterruptedException {
         runLoad(proxyCount, requestsPerSecond, durationSeconds);
     }
 
-    /** Measures one load on one path, again where the load tool fell behind. */
+    /** Measures one load on one path, and repeats it if the load tool fell behind. */
     LatencyResult.Step measureStep(int proxyCount, int entries, int requestsPerSecond)
             throws IOException, InterruptedException {
         LatencyResult.Step step = measureOnce(proxyCount, entries, requestsPerSecond);
--- a/src/main/java/passhatch/lab/scale/LatencyResult.java
+++ b/src/main/java/passhatch/lab/scale/LatencyResult.java
@@ -4,11 +4,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What calls took on paths of several lengths, and what proxies added.
+ * Latency of requests on paths of several lengths, and what the proxies added to it.
  *
- * @param topology how proxies were put in a row
- * @param targetUs the limit of what the longest path may add at the 99th percentile
- * @param tooBusy whether the load tool fell behind in any step, which has no figures then
+ * @param topology how the proxies were chained
+ * @param targetUs limit of the latency that the longest path may add at the 99th percentile
+ * @param tooBusy whether the load tool fell behind in any step; such a step has no figures
  */
 record LatencyResult(
         long seed,
@@ -21,7 +21,7 @@
         List<Added> added,
         List<Verdict> verdicts) {
 
-    /** Quantiles in microseconds, counted from when calls were due. */
+    /** Quantiles of the latency in microseconds, measured from when requests were due. */
     record Quantiles(long p50, long p99, long p999) {
         static Quantiles of(Histogram latencyUs) {
             return new Quantiles(
@@ -34,15 +34,15 @@
     /**
      * One load on one path.
      *
-     * @param proxies that calls pass; 0 for direct ones
-     * @param entries in the list of the last proxy
-     * @param servedShare of the calls
-     * @param behindP99Us how much later than due a hundredth of the calls went out
-     * @param latencyUs null where the load tool fell behind
-     * @param processorUsPerCall mean over the proxies passed; null for direct calls, and where the
-     *     load tool fell behind
-     * @param busiestShare of a core, of the proxy that took most; null likewise
-     * @param saturated whether calls failed, or a proxy had no more of its core
+     * @param proxies number of proxies that a request passes; 0 for direct requests
+     * @param entries length of the last proxy's list
+     * @param servedShare fraction of the requests that was served
+     * @param behindP99Us how long after they were due requests were sent, at the 99th percentile
+     * @param latencyUs null if the load tool fell behind
+     * @param processorUsPerCall processor time per request, as the mean over the proxies passed;
+     *     null for direct requests, and if the load tool fell behind
+     * @param busiestShare fraction of a core that the busiest proxy used; null in the same cases
+     * @param saturated whether requests failed or a proxy used nearly all of its core
      */
     record Step(
             int proxies,
@@ -61,9 +61,9 @@
     }
 
     /**
-     * What a path took more than the direct one under the same load.
+     * Latency that a path added to that of direct requests under the same load.
      *
-     * @param ratioP99 to the direct call
+     * @param ratioP99 the path's 99th percentile divided by that of direct requests
      */
     record Added(
             int proxies,
--- a/src/main/java/passhatch/lab/scale/Limits.java
+++ b/src/main/java/passhatch/lab/scale/Limits.java
@@ -1,27 +1,27 @@
 package passhatch.lab.scale;
 
-/** What the program may cost, and the size that it has to hold. */
+/** Limits on what the program may use, and the size of the fleet for which they hold. */
 final class Limits {
 
-    /** Time that proxies may add to a call at the 99th percentile over the whole path. */
+    /** Latency that all proxies of the longest path may add to a request at the 99th percentile. */
     static final double ADDED_P99_US = 610;
 
-    /** Proxies on the longest path of a call. */
+    /** Number of proxies on the longest path of a request. */
     static final int PATH_DEPTH = 7;
 
-    /** Share of a core that the control side of a proxy may take. */
+    /** Fraction of a core that the control plane of a proxy may use. */
     static final double PROCESSOR_SHARE = 0.038;
 
-    /** Memory of a proxy. */
+    /** Memory that a proxy may use. */
     static final int MEMORY_MB = 128;
 
-    /** Traffic of the control side of a proxy. */
+    /** Traffic that the control plane of a proxy may cause. */
     static final double BYTES_PER_SECOND = 5_000;
 
-    /** Backends in the largest fleet, one proxy beside each. */
+    /** Number of backends in the largest fleet; one proxy runs beside each. */
     static final int BACKENDS = 19_000;
 
-    /** Changes of the list a day over the whole fleet. */
+    /** Changes of the list of backends a day in the whole fleet. */
     static final int CHANGES_PER_DAY = 15_000;
 
     private Limits() {}
--- a/src/main/java/passhatch/lab/scale/LinearFit.java
+++ b/src/main/java/passhatch/lab/scale/LinearFit.java
@@ -3,23 +3,23 @@
 import java.util.Arrays;
 
 /**
- * A straight line through measured points by least squares.
+ * A straight line fitted to measured points by least squares.
  *
- * @param intercept the value at 0
- * @param slope the growth of the value for each unit of x
- * @param residual root of the mean squared distance of the points from the line, in units of y
- * @param from the least x that was measured; below it the line is an extrapolation
- * @param to the greatest x that was measured; beyond it the line is an extrapolation
- * @param points how many points it goes through
+ * @param intercept the value at x = 0
+ * @param slope the growth of the value per unit of x
+ * @param residual root mean square distance of the points from the line, in units of y
+ * @param from the smallest measured x; below it the line is an extrapolation
+ * @param to the largest measured x; above it the line is an extrapolation
+ * @param points the number of points
  */
 public record LinearFit(
         double intercept, double slope, double residual, double from, double to, int points) {
 
     /**
-     * Fits a line.
+     * Fits a line to points.
      *
-     * @throws IllegalArgumentException where the arrays differ in length, hold a value that is not
-     *     finite, or hold fewer than two different x
+     * @throws IllegalArgumentException if the arrays differ in length, contain a value that is not
+     *     finite, or contain fewer than two different x
      */
     public static LinearFit of(double[] x, double[] y) {
         requireFinite(x);
@@ -52,12 +52,12 @@
                 intercept, slope, Math.sqrt(sumOfSquares / x.length), from, to, x.length);
     }
 
-    /** The line's value at x. */
+    /** Returns the line's value at x. */
     public double at(double x) {
         return intercept + slope * x;
     }
 
-    /** Whether x lies outside what was measured. */
+    /** Returns whether x lies outside the measured range. */
     public boolean extrapolates(double x) {
         return x < from || x > to;
     }
--- a/src/main/java/passhatch/lab/scale/Machine.java
+++ b/src/main/java/passhatch/lab/scale/Machine.java
@@ -3,20 +3,20 @@
 import java.lang.management.ManagementFactory;
 
 /**
- * The machine while something was measured, to judge the figures by.
+ * The load of the machine during a measurement, for judging its figures.
  *
- * @param processors that this tool may use
- * @param loadBefore the system's load average of one minute when it began
- * @param loadAfter the same when it ended
+ * @param processors number of processors that this tool may use
+ * @param loadBefore one-minute load average of the system at the start of the measurement
+ * @param loadAfter the same at its end
  */
 record Machine(int processors, double loadBefore, double loadAfter) {
 
-    /** The load average of one minute now; negative where the system does not tell. */
+    /** Returns the current one-minute load average; negative if it is not available. */
     static double loadAverage() {
         return ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
     }
 
-    /** The machine of a measurement that ends now. */
+    /** Returns the machine's load for a measurement that ends now. */
     static Machine since(double loadBefore) {
         return new Machine(Runtime.getRuntime().availableProcessors(), loadBefore, loadAverage());
     }
--- a/src/main/java/passhatch/lab/scale/MembershipMemory.java
+++ b/src/main/java/passhatch/lab/scale/MembershipMemory.java
@@ -10,8 +10,8 @@
 import passhatch.lab.fleet.FleetSim;
 
 /**
- * Memory of one membership that heard of each member by that member's own datagram, as an agent
- * does, measured as the growth of the heap that is in use.
+ * Measures the memory of one membership as the growth of the used heap. The membership learns each
+ * member from that member's own datagram, as an agent does.
  */
 final class MembershipMemory {
 
@@ -22,10 +22,10 @@
 
     private MembershipMemory() {}
 
-    /** Bytes for each member, with all that was heard still waiting to be told to others. */
+    /** Returns bytes per member, including the updates that are still queued for gossip. */
     static double bytesPerMember(int members) {
-        // Once without measuring, as the classes are no member's. Few and other members, as facts
-        // that the codec has seen already would not count.
+        // The warm-up run loads the classes, whose memory belongs to no member. It has few members
+        // and another seed, as updates that the codec has already seen would not be counted.
         heapGrowthBytes(WARM_UP_MEMBERS, WARM_UP_SEED);
         return (double) heapGrowthBytes(members, 0) / members;
     }
@@ -42,12 +42,13 @@
         }
         long growth = usedBytes() - usedBefore;
         if (observer.presentCount() != members) {
-            throw new IllegalStateException("the observer knows of " + observer.presentCount());
+            throw new IllegalStateException(
+                    "wrong number of members that the observer knows: " + observer.presentCount());
         }
         return growth;
     }
 
-    /** The first datagram that a process sends. */
+    /** Returns the first datagram that a process sends. */
     private static byte[] firstDatagram(int number, int members, long seed) {
         Recorder recorder = new Recorder();
         Membership sender = membership(number, members, seed, recorder);
@@ -74,7 +75,7 @@
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    /** Keeps the last datagram that was to be sent. */
+    /** Keeps the last datagram that the membership sends. */
     private static final class Recorder implements FleetActions {
         private byte[] last;
 
--- a/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
@@ -26,13 +26,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code scale membership}: what membership costs as the fleet grows. */
+/** The command {@code scale membership}: measures the cost of membership at several fleet sizes. */
 @Command(
         name = "membership",
         mixinStandardHelpOptions = true,
         description =
-                "Measures membership in simulated time at several sizes, and fits lines through"
-                        + " them. A line of progress for each scenario goes to standard error.")
+                "Measures membership in simulated time at several fleet sizes, and fits lines over"
+                        + " the sizes. Writes a progress line for each scenario to standard error.")
 final class MembershipScaleCommand implements Callable<Integer> {
 
     private static final int MIN_MEMBERS = 50;
@@ -53,37 +53,38 @@
     @Option(
             names = "--loss",
             defaultValue = "0.3",
-            description = "Share of datagrams lost in LOSS; default: ${DEFAULT-VALUE}.")
+            description = "Fraction of datagrams lost in LOSS; default: ${DEFAULT-VALUE}.")
     private double loss;
 
     @Option(
             names = "--bytes-per-second",
             defaultValue = "" + FleetSim.BYTES_PER_SECOND,
-            description = "That a process sends at most; default: ${DEFAULT-VALUE}.")
+            description = "Send limit of each process; default: ${DEFAULT-VALUE}.")
     private long bytesPerSecond;
 
     @Option(
             names = "--simulated-seconds",
             defaultValue = "30",
-            description = "For REST, CHURN and LOSS; default: ${DEFAULT-VALUE}.")
+            description = "Simulated duration of REST, CHURN and LOSS; default: ${DEFAULT-VALUE}.")
     private int seconds;
 
     @Option(
             names = "--cut-seconds",
             defaultValue = "120",
-            description = "Simulated, for REGION; default: ${DEFAULT-VALUE}.")
+            description =
+                    "Simulated duration of the partition in REGION; default: ${DEFAULT-VALUE}.")
     private int cutSeconds;
 
     @Option(
             names = "--wall-seconds",
             defaultValue = "120",
-            description = "Real time for each scenario at most; default: ${DEFAULT-VALUE}.")
+            description = "Limit of real time for each scenario; default: ${DEFAULT-VALUE}.")
     private long wallSeconds;
 
     @Option(
             names = "--threads",
             defaultValue = "1",
-            description = "Scenarios that run at a time; default: ${DEFAULT-VALUE}.")
+            description = "Number of scenarios that run in parallel; default: ${DEFAULT-VALUE}.")
     private int threads;
 
     @Option(
@@ -95,7 +96,7 @@
     @Option(
             names = "--target",
             defaultValue = "19000",
-            description = "The size that lines are read at; default: ${DEFAULT-VALUE}.")
+            description = "Fleet size at which the lines are evaluated; default: ${DEFAULT-VALUE}.")
     private int target;
 
     @Option(
@@ -112,7 +113,7 @@
         for (int members : sizes) {
             Size size = new Size(members, runScenarios(members));
             measured.add(size);
-            // After each size, so that a run that is ended early leaves what it has.
+            // Writes after each size, so that an interrupted run keeps the results so far.
             MembershipScaleText.print(out, size);
             write(result(measured));
         }
@@ -167,7 +168,7 @@
                 new MembershipScaleRun(
                         seed, members, bytesPerSecond, loss, seconds, cutSeconds, wallSeconds);
         List<Outcome> outcomes = new ArrayList<>();
-        // Memory is measured as the growth of the heap, so nothing else may run beside it.
+        // Memory is measured as the growth of the heap, so no other scenario may run meanwhile.
         if (scenarios.contains(MembershipScenario.MEMORY)) {
             outcomes.add(printProgress(members, run.run(MembershipScenario.MEMORY)));
         }
--- a/src/main/java/passhatch/lab/scale/MembershipScaleFits.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleFits.java
@@ -10,12 +10,12 @@
 import passhatch.lab.scale.MembershipScaleResult.Outcome;
 import passhatch.lab.scale.MembershipScaleResult.Size;
 
-/** Lines through the figures of several sizes. */
+/** Fits lines to the figures of several fleet sizes. */
 final class MembershipScaleFits {
 
     private MembershipScaleFits() {}
 
-    /** A line for each figure that was measured at two sizes or more. */
+    /** Returns a line for each figure that was measured at two sizes or more. */
     static List<Fit> fitLines(List<Size> sizes, int target) {
         Map<String, String> units = new LinkedHashMap<>();
         Map<String, TreeMap<Integer, Double>> values = new LinkedHashMap<>();
--- a/src/main/java/passhatch/lab/scale/MembershipScalePlot.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScalePlot.java
@@ -14,7 +14,7 @@
 import passhatch.lab.scale.MembershipScaleResult.Outcome;
 import passhatch.lab.scale.MembershipScaleResult.Size;
 
-/** Bytes a second of one member against the size of the fleet, a series for each scenario. */
+/** Plots bytes a second of one member over the size of the fleet, with a series for each figure. */
 final class MembershipScalePlot {
 
     private static final int WIDTH_PX = 1000;
--- a/src/main/java/passhatch/lab/scale/MembershipScaleResult.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleResult.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What {@code scale membership} measured.
+ * The result of {@code scale membership}.
  *
- * @param fits a line through the sizes for each figure that was measured at two sizes or more
+ * @param fits a line over the sizes for each figure that was measured at two sizes or more
  */
 record MembershipScaleResult(
         long seed,
@@ -15,13 +15,13 @@
         List<Size> sizes,
         List<Fit> fits) {
 
-    /** The scenarios that finished at one size; the others have no figures. */
+    /** The outcomes of the scenarios at one size; those that did not finish have no figures. */
     record Size(int members, List<Outcome> outcomes) {}
 
     /**
-     * How one scenario went at one size.
+     * The outcome of one scenario at one size.
      *
-     * @param problem why it has no figures, or null
+     * @param problem why there are no figures, or null
      */
     record Outcome(
             MembershipScenario scenario,
@@ -33,10 +33,10 @@
     record Figure(String name, String unit, double value) {}
 
     /**
-     * A figure against the number of members.
+     * A line for a figure over the number of members.
      *
      * @param atTarget the line's value at the target size
-     * @param extrapolated whether the target size lies outside the measured ones
+     * @param extrapolated whether the target size lies outside the range of measured sizes
      */
     record Fit(
             String figure,
--- a/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
@@ -11,13 +11,14 @@
 import passhatch.lab.scale.MembershipTrial.Traffic;
 
 /**
- * Plays the scenarios at one size.
+ * Runs scenarios at one fleet size.
  *
- * @param bytesPerSecond that a process sends at most
- * @param measureLoss share of datagrams lost in the scenario with loss
- * @param simulatedSeconds simulated, in scenarios that measure over a time
- * @param partitionSeconds simulated, for which a region is cut off
- * @param wallSeconds real time that a scenario may take
+ * @param bytesPerSecond send limit of each process
+ * @param loss fraction of datagrams lost in the scenario {@code LOSS}
+ * @param simulatedSeconds simulated time of each measurement in {@code REST}, {@code CHURN} and
+ *     {@code LOSS}
+ * @param partitionSeconds simulated time for which a region is partitioned
+ * @param wallSeconds limit of real time for each scenario
  */
 record MembershipScaleRun(
         long seed,
@@ -28,13 +29,15 @@
         int partitionSeconds,
         long wallSeconds) {
 
-    /** Machines that fail and processes that restart, in the whole fleet in a day. */
+    /** Machines that fail in the whole fleet. */
     private static final int FAILURES_PER_DAY = 35;
 
+    /** Processes that restart in the whole fleet. */
     private static final int RESTARTS_PER_DAY = 1_800;
+
     private static final double SECONDS_PER_DAY = 86_400;
 
-    /** Churn comes so many times as fast as in the real fleet, to be seen in a short run. */
+    /** How many times faster churn is than in the real fleet, to be visible in a short run. */
     private static final int CHURN_FACTOR = 20;
 
     private static final int ZONES = 25;
@@ -42,13 +45,13 @@
     private static final int RESTARTED_DIVISOR = 10;
     private static final long RESTART_DOWNTIME_US = 2 * SECOND_US;
 
-    /** What other processes thought, counted by observer and member. */
+    /** Unexpected suspicions and failures, counted separately for each observer. */
     private static final class FalseAlarms {
         private long suspicions;
         private long falseFailures;
     }
 
-    /** Plays a scenario; where it takes too long, the outcome says so and has no figures. */
+    /** Runs a scenario; if it takes too long, the outcome has a problem instead of figures. */
     Outcome run(MembershipScenario scenario) {
         long startNs = System.nanoTime();
         List<Figure> figures = List.of();
@@ -219,8 +222,12 @@
     }
 
     /**
-     * Counts from now on what is thought of members, but across a cut that parts the first ones
-     * from the others, and but of the first ones that are killed.
+     * Counts from now on the members that an observer wrongly suspects or declares failed. Changes
+     * of members that are killed, and those seen across the partition, are expected and not
+     * counted.
+     *
+     * @param partitionedCount the first members, up to this number, are partitioned from the others
+     * @param killedCount the first members, up to this number, are killed
      */
     private static FalseAlarms countFalseAlarms(
             FleetSim sim, int partitionedCount, int killedCount) {
--- a/src/main/java/passhatch/lab/scale/MembershipScaleText.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleText.java
@@ -7,18 +7,18 @@
 import passhatch.lab.scale.MembershipScaleResult.Outcome;
 import passhatch.lab.scale.MembershipScaleResult.Size;
 
-/** The result as lines of text. */
+/** Prints the result as lines of text. */
 final class MembershipScaleText {
 
     private MembershipScaleText() {}
 
-    /** The figures of one size. */
+    /** Prints the figures of one size. */
     static void print(PrintWriter out, Size size) {
         size.outcomes().forEach(outcome -> print(out, size.members(), outcome));
         out.flush();
     }
 
-    /** The lines through all sizes. */
+    /** Prints the lines fitted over all sizes. */
     static void printFits(PrintWriter out, List<Fit> fits) {
         for (Fit fit : fits) {
             out.printf(
--- a/src/main/java/passhatch/lab/scale/MembershipScenario.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScenario.java
@@ -1,23 +1,23 @@
 package passhatch.lab.scale;
 
-/** What happens to the simulated fleet while it is measured. */
+/** What happens in the simulated fleet while it is measured. */
 enum MembershipScenario {
-    /** Memory of one member's state, as an agent holds it. */
+    /** Nothing happens; the memory of one membership is measured, as an agent holds it. */
     MEMORY,
-    /** Nothing happens and nothing is lost. */
+    /** No process fails or restarts, and no datagram is lost. */
     REST,
-    /** Processes restart and machines fail, more often than in the real fleet by a known factor. */
+    /** Processes restart and machines fail, by a fixed factor more often than in the real fleet. */
     CHURN,
-    /** Datagrams are lost, and nobody fails. */
+    /** Datagrams are lost, and no process fails. */
     LOSS,
     /** One process is killed. */
     DEATH,
-    /** One process restarts and learns of all others. */
+    /** One process restarts and learns of all other members. */
     REJOIN,
-    /** One in 25 is killed at once. */
+    /** One process in 25 is killed, all at the same time. */
     ZONE,
-    /** One in ten is killed at once and started again. */
+    /** One process in ten is killed, all at the same time, and started again. */
     TENTH,
-    /** One in seven is cut off from the others for a while. */
+    /** One process in seven is partitioned from the others for a limited time. */
     REGION
 }
--- a/src/main/java/passhatch/lab/scale/MembershipTrial.java
+++ b/src/main/java/passhatch/lab/scale/MembershipTrial.java
@@ -6,8 +6,8 @@
 import passhatch.lab.fleet.FleetSim;
 
 /**
- * One fleet of hollow members that agree from the beginning, played in short steps until a limit of
- * real time.
+ * One simulated fleet whose members agree from the beginning. It runs in short steps, up to a limit
+ * of real time.
  */
 final class MembershipTrial {
 
@@ -16,7 +16,7 @@
     private static final long STEP_US = SECOND_US / 4;
     private static final long WARM_UP_US = 5 * SECOND_US;
 
-    /** What members sent, and the processor time it took, in a part of the simulated time. */
+    /** What an average member sent and the processor time that it used, per simulated second. */
     record Traffic(
             double bytesPerSecond, double datagramsPerSecond, double processorMicrosPerSecond) {}
 
@@ -24,7 +24,7 @@
     private final int members;
     private final long deadlineNs;
 
-    /** Starts the fleet and plays on until its first probes are over. */
+    /** Starts the fleet and runs it until its first probes are completed. */
     MembershipTrial(long seed, int members, long bytesPerSecond, long maxWallSeconds)
             throws TimeoutException {
         this.members = members;
@@ -42,7 +42,7 @@
         return members;
     }
 
-    /** Plays so much more simulated time. */
+    /** Runs the fleet for a duration in simulated microseconds. */
     void advance(long durationUs) throws TimeoutException {
         long endUs = sim.nowUs() + durationUs;
         while (sim.nowUs() < endUs) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Plays on until something holds; simulated seconds it took. */
+    /** Runs the fleet until a condition holds, and returns the simulated seconds that it took. */
     double advanceUntil(BooleanSupplier condition) throws TimeoutException {
         long startUs = sim.nowUs();
         while (!condition.getAsBoolean()) {
@@ -61,7 +61,7 @@
         return (double) (sim.nowUs() - startUs) / SECOND_US;
     }
 
-    /** Plays so much simulated time, and measures what an average member does in it. */
+    /** Runs the fleet for simulated seconds, and measures the traffic of an average member. */
     Traffic measureTraffic(int seconds) throws TimeoutException {
         long bytesBefore = sim.bytes();
         long datagramsBefore = sim.datagrams();
@@ -74,7 +74,7 @@
                 (processorNs() - processorNsBefore) / 1e3 / memberSeconds);
     }
 
-    /** Whether all that run see just so many as present. */
+    /** Returns whether each running process sees exactly this number of members as present. */
     boolean allViewsHave(int present) {
         for (int i = 0; i < members; i++) {
             if (sim.runs(i) && sim.present(i) != present) {
--- a/src/main/java/passhatch/lab/scale/Plot.java
+++ b/src/main/java/passhatch/lab/scale/Plot.java
@@ -8,7 +8,7 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 
-/** Plots with a logarithmic x axis, as sizes and rates are steps of a factor. */
+/** A plot with a logarithmic x axis, because sizes and rates grow by factors. */
 final class Plot {
 
     private static final int WIDTH_PX = 900;
@@ -29,14 +29,14 @@
         chart.getStyler().setXAxisLogarithmic(true);
     }
 
-    /** Adds a line; one without points is left out. */
+    /** Adds a line, unless it has no points. */
     void add(String name, List<? extends Number> x, List<? extends Number> y) {
         if (!x.isEmpty()) {
             chart.addSeries(name, x, y);
         }
     }
 
-    /** Writes a PNG file; nothing where no line has any points. */
+    /** Writes a PNG file, unless there are no lines. */
     void write(Path file) throws IOException {
         if (!chart.getSeriesMap().isEmpty()) {
             BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
--- a/src/main/java/passhatch/lab/scale/ProcessUsage.java
+++ b/src/main/java/passhatch/lab/scale/ProcessUsage.java
@@ -6,27 +6,28 @@
 import java.util.List;
 
 /**
- * What a process uses at a moment, as the kernel's files under {@code /proc} tell it.
+ * Resources that a process uses at one time, read from {@code /proc}.
  *
- * @param residentKb its resident memory
- * @param proportionalKb the same with shared pages divided among their users; null where the kernel
- *     does not tell
- * @param processorSeconds user and system time since its start
+ * @param residentKb resident memory
+ * @param proportionalKb proportional set size: resident memory with shared pages divided among
+ *     their users; null if the kernel does not report it
+ * @param processorSeconds user and system time since the start of the process
  */
 record ProcessUsage(long residentKb, Long proportionalKb, int threads, double processorSeconds) {
 
-    /** The kernel's unit of times in {@code stat}, the same on all Linux systems of today. */
+    /** Unit of the times in {@code stat}; the same on all current Linux systems. */
     private static final double TICKS_PER_SECOND = 100;
 
-    /** Places of utime and stime, counted from the field after the command's name. */
+    /** Index of utime, counted from the field after the command's name. */
     private static final int USER_TIME_INDEX = 11;
 
+    /** Index of stime, counted in the same way. */
     private static final int SYSTEM_TIME_INDEX = 12;
 
     /**
-     * Reads it.
+     * Reads the usage of a process.
      *
-     * @throws IOException where the process has ended
+     * @throws IOException if the process has ended
      */
     static ProcessUsage of(long pid) throws IOException {
         Path folder = Path.of("/proc", String.valueOf(pid));
@@ -51,7 +52,7 @@
         }
     }
 
-    /** The number after a label; null where there is no such line. */
+    /** Returns the number after a label at the start of a line; null if there is no such line. */
     private static Long numberAfter(List<String> lines, String label) {
         return lines.stream()
                 .filter(line -> line.startsWith(label))
@@ -60,7 +61,10 @@
                 .orElse(null);
     }
 
-    /** The command's name stands in parentheses and may hold spaces. */
+    /**
+     * Parses user and system time from {@code stat}. The command's name is in parentheses there and
+     * may contain spaces.
+     */
     static double processorSeconds(String stat) {
         String[] fields = stat.substring(stat.lastIndexOf(')') + 1).strip().split("\\s+");
         return (Long.parseLong(fields[USER_TIME_INDEX]) + Long.parseLong(fields[SYSTEM_TIME_INDEX]))
--- a/src/main/java/passhatch/lab/scale/ProxyChain.java
+++ b/src/main/java/passhatch/lab/scale/ProxyChain.java
@@ -18,17 +18,17 @@
 import passhatch.lab.standin.ServiceTime;
 
 /**
- * Proxies in a row before stand-in backends: the list of each proxy has one entry, the next proxy,
- * and that of the last one has the backends. A call may enter at any of them.
+ * A chain of proxies in front of stand-in backends. The list of each proxy has one entry, the next
+ * proxy; that of the last one has the backends. A request may enter at any proxy.
  *
- * <p>There are no services between the proxies. What a path adds is its time less that of a direct
- * call, so services would only add to both what they take themselves.
+ * <p>There are no services between the proxies. The latency that a path adds is its latency minus
+ * that of a direct request, so services would only add the same time to both.
  */
 final class ProxyChain implements Closeable {
 
     private static final int STAND_IN_THREADS = 2;
 
-    /** Backends answer at once, as what is measured lies before them. */
+    /** Backends respond immediately, because only the path to them is measured. */
     private static final BackendServer.Capacity BACKEND_SHAPE =
             new BackendServer.Capacity(
                     1 << 16,
@@ -48,14 +48,14 @@
     private final EventLoop discoveryLoop = group.next();
     private final List<BackendServer> backends = new ArrayList<>();
 
-    /** From the last proxy to the first, as they are started. */
+    /** In the order in which they are started, from the last proxy of the chain to the first. */
     private final List<ProxyChild> proxies = new ArrayList<>();
 
     private final DiscoveryServer lastDiscovery = new DiscoveryServer(discoveryLoop);
     private final ProxyTestbed testbed;
     private int listedCount;
 
-    /** Starts as many proxies and backends; the list of the last has all backends. */
+    /** Starts the proxies and backends; the list of the last proxy has all backends. */
     ProxyChain(ProxyTestbed testbed, int depth, int backendCount, long seed)
             throws IOException, InterruptedException {
         this.testbed = testbed;
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Has the last proxy's list hold only so many backends. */
+    /** Sets how many of the backends are in the list of the last proxy. */
     void setListedCount(int count) {
         List<DiscoveryServer.Endpoint> changed = new ArrayList<>();
         for (int i = Math.min(count, listedCount); i < Math.max(count, listedCount); i++) {
@@ -113,12 +113,12 @@
         }
     }
 
-    /** Where a call enters that shall pass so many proxies; with 0, a backend. */
+    /** Returns where a request enters that passes this number of proxies; a backend for 0. */
     InetSocketAddress entryAddress(int proxyCount) {
         return proxyCount == 0 ? backends.get(0).address() : proxies.get(proxyCount - 1).listen();
     }
 
-    /** The processes that such a call passes. */
+    /** Returns the proxies that such a request passes. */
     List<ProxyChild> proxiesOnPath(int proxyCount) {
         return proxies.subList(0, proxyCount);
     }
--- a/src/main/java/passhatch/lab/scale/ProxyCommand.java
+++ b/src/main/java/passhatch/lab/scale/ProxyCommand.java
@@ -15,14 +15,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code scale proxy}. */
+/** The command {@code scale proxy}: measures the resources that a proxy without requests uses. */
 @Command(
         name = "proxy",
         mixinStandardHelpOptions = true,
         description = {
             "Measures memory, threads, processor share and discovery traffic of a proxy without"
-                    + " calls, by the length of its list and the rate of changes.",
-            "Exit code 1 where a proxy fell over or did not get ready."
+                    + " requests, by the length of its list and the rate of changes.",
+            "Exit code 1 if a proxy ended early or did not become ready."
         })
 final class ProxyCommand implements Callable<Integer> {
 
@@ -56,7 +56,7 @@
     @Option(
             names = "--memory-mb",
             defaultValue = "128",
-            description = "Memory that the proxy is told to keep to; default: ${DEFAULT-VALUE}.")
+            description = "Memory limit of the proxy; default: ${DEFAULT-VALUE}.")
     private int memoryMb;
 
     @Override
@@ -146,7 +146,10 @@
                 quantity, over, at, LinearFit.of(xs, points.stream().mapToDouble(y).toArray()));
     }
 
-    /** The whole fleet in one list, at rest, and with its changes by the day. */
+    /**
+     * Compares the fitted lines with the limits: for a list of the whole fleet without changes, and
+     * for each measured length at the fleet's daily rate of changes.
+     */
     private static List<Verdict> verdicts(List<ProxyResult.Fit> fits) {
         List<Verdict> verdicts = new ArrayList<>();
         double changesPerSecond = Limits.CHANGES_PER_DAY / SECONDS_PER_DAY;
--- a/src/main/java/passhatch/lab/scale/ProxyMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/ProxyMeasurement.java
@@ -17,8 +17,8 @@
 import passhatch.lab.standin.DiscoveryServer;
 
 /**
- * Measures one proxy after the other, a new process for each length of the list. No calls are
- * given, so the addresses in the list need no listener.
+ * Measures proxies one after another, with a new process for each length of the list. No requests
+ * are sent, so the addresses in the list need no listener.
  */
 final class ProxyMeasurement {
 
@@ -37,12 +37,15 @@
         this.memoryMb = memoryMb;
     }
 
-    /** What went wrong so far. */
+    /** Returns the failures so far. */
     List<String> failures() {
         return failures;
     }
 
-    /** Measures one length at all rates of changes; a proxy that falls over ends its part. */
+    /**
+     * Measures one length of the list at all rates of changes. If the proxy fails, the remaining
+     * rates are skipped.
+     */
     List<ProxyResult.Point> measure(
             int entries, List<Integer> rates, ScaleOptions.Progress progress)
             throws InterruptedException {
--- a/src/main/java/passhatch/lab/scale/ProxyResult.java
+++ b/src/main/java/passhatch/lab/scale/ProxyResult.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * What a proxy without calls uses, by the length of its list and the rate of changes.
+ * Resources that a proxy without requests uses, by the length of its list and the rate of changes.
  *
- * @param failures what went wrong, by size: a proxy that ended, or did not get ready
+ * @param failures the failures, each with its length of the list: a proxy ended or did not become
+ *     ready
  */
 record ProxyResult(
         long seed,
@@ -18,14 +19,15 @@
         List<Verdict> verdicts) {
 
     /**
-     * One step.
+     * One step: a length of the list at a rate of changes.
      *
-     * @param entries in the list
-     * @param changesPerSecond that were asked for
-     * @param changes that were made
-     * @param firstListBytes that discovery sent until the proxy had settled after its start
-     * @param processorShare of one core
-     * @param discoveryBytesPerSecond that discovery sent to it, all answers and watches
+     * @param entries length of the list
+     * @param changesPerSecond requested rate of changes
+     * @param changes number of changes that were made
+     * @param firstListBytes bytes that discovery sent until the proxy had settled after its start
+     * @param processorShare fraction of one core
+     * @param discoveryBytesPerSecond bytes a second that discovery sent to the proxy, over all
+     *     responses and watches
      */
     record Point(
             int entries,
@@ -37,10 +39,10 @@
             double discoveryBytesPerSecond) {}
 
     /**
-     * A line through points.
+     * A line fitted to points.
      *
-     * @param over what its x is: entries or changes a second
-     * @param at the value that the points have in common: changes a second or entries
+     * @param over the quantity on the x axis: entries or changes a second
+     * @param at the value of the other quantity, which all points have in common
      */
     record Fit(String quantity, String over, int at, LinearFit line) {}
 }
--- a/src/main/java/passhatch/lab/scale/ProxyTestbed.java
+++ b/src/main/java/passhatch/lab/scale/ProxyTestbed.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import passhatch.lab.drill.ProxyChild;
 
-/** Proxies that were started for a measurement, each a process; all of them end with it. */
+/** Starts proxies for a measurement, each as a process, and ends them all when it is closed. */
 final class ProxyTestbed implements Closeable {
 
     private static final long READY_TIMEOUT_MS = 20_000;
@@ -23,7 +23,7 @@
     private final List<String> jvmOptions;
     private final List<ProxyChild> proxies = new ArrayList<>();
 
-    /** Ends the processes also where this JVM is told to end. */
+    /** Ends the processes if this JVM shuts down during the measurement. */
     private final Thread shutdownHook = new Thread(this::killAll, "end-of-measurement");
 
     ProxyTestbed(Path jar, Path folder, long seed, int memoryMb, List<String> jvmOptions) {
@@ -36,9 +36,10 @@
     }
 
     /**
-     * Starts one that is alone, without peers to exchange with, and waits until it is ready.
+     * Starts a proxy without peers and waits until it is ready.
      *
-     * @throws IOException where it does not get ready; the message has the end of its log
+     * @throws IOException if it does not become ready within 20 s; the message has the end of its
+     *     log
      */
     ProxyChild start(String name, InetSocketAddress discovery)
             throws IOException, InterruptedException {
@@ -73,7 +74,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException jvmShutsDown) {
-            // The JVM is on its way out: the hook runs, and finds nothing left to end.
+            // The JVM is shutting down: the hook runs, and no process is left to end.
         }
     }
 
--- a/src/main/java/passhatch/lab/scale/ScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/ScaleCommand.java
@@ -4,16 +4,16 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command {@code scale}: measures what grows with the size of the fleet. */
+/** The command {@code scale}: measures resource use and latency as the fleet grows. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
-        description = "Measures what grows with the size of the fleet; see docs/capacity.")
+        description = "Measures resource use and latency as the fleet grows; see docs/capacity.")
 public final class ScaleCommand extends CommandGroup {
 
     private ScaleCommand() {}
 
-    /** The command with its own commands. */
+    /** Returns the command with its subcommands. */
     public static CommandLine line() {
         return new CommandLine(new ScaleCommand())
                 .addSubcommand(new LatencyCommand())
--- a/src/main/java/passhatch/lab/scale/ScaleOptions.java
+++ b/src/main/java/passhatch/lab/scale/ScaleOptions.java
@@ -14,7 +14,7 @@
 import passhatch.lab.ProgramJar;
 import picocli.CommandLine.Option;
 
-/** What all measurements take, and where they leave their files. */
+/** Options that the measurements of processes share, and the folder for their files. */
 final class ScaleOptions {
 
     private static final ObjectMapper JSON =
@@ -22,7 +22,7 @@
     private static final int MAX_SECONDS = 120;
     private static final int MAX_VALUES = 20;
 
-    /** The archive of classes that the build leaves; a deployed start uses it where it is there. */
+    /** Class data archive that the build creates; deployed processes use it if it exists. */
     private static final String CLASS_ARCHIVE = "passhatch.jsa";
 
     @Option(names = "--seed", defaultValue = "1", description = "Default: ${DEFAULT-VALUE}.")
@@ -31,22 +31,22 @@
     @Option(
             names = "--out",
             paramLabel = "DIR",
-            description = "Where all files go (default: target/scale/ and the command's name).")
+            description = "Folder for all files (default: target/scale/ and the command's name).")
     private Path out;
 
     @Option(
             names = "--jar",
             paramLabel = "JAR",
-            description = "The program (default: beside this tool).")
+            description = "Jar of the program (default: the one beside this tool).")
     private Path jar;
 
     @Option(
             names = "--seconds",
             defaultValue = "8",
-            description = "Length of each step, 1 to 120; default: ${DEFAULT-VALUE}.")
+            description = "Duration of each step, 1 to 120; default: ${DEFAULT-VALUE}.")
     private int seconds;
 
-    @Option(names = "--quiet", description = "No line of progress.")
+    @Option(names = "--quiet", description = "Shows no progress bar.")
     private boolean quiet;
 
     long seed() {
@@ -57,7 +57,7 @@
         return ProgramJar.find(jar);
     }
 
-    /** Options for the program's JVMs beside those that limit their memory. */
+    /** Returns options for the program's JVMs, besides those that limit their memory. */
     List<String> jvmOptions() {
         Path archive = programJar().resolveSibling(CLASS_ARCHIVE);
         return Files.isRegularFile(archive)
@@ -72,7 +72,7 @@
         return seconds;
     }
 
-    /** The folder for a command's files, made where it is not there. */
+    /** Returns the folder for a command's files, and creates it if it does not exist. */
     Path folder(String command) {
         Path folder = out != null ? out : Path.of("target", "scale", command);
         try {
@@ -84,7 +84,7 @@
         return folder.toAbsolutePath();
     }
 
-    /** Checks a list of sizes or rates. */
+    /** Checks the length and the values of a list of sizes or rates, and returns a copy of it. */
     static List<Integer> requireWithin(String option, List<Integer> values, int min, int max) {
         if (values.isEmpty() || values.size() > MAX_VALUES) {
             throw new InvalidInputException(option + ": expected 1 to " + MAX_VALUES + " values");
@@ -98,7 +98,7 @@
         return new ArrayList<>(values);
     }
 
-    /** The line of progress on the error output. */
+    /** Returns the progress bar on standard error; one that shows nothing with {@code --quiet}. */
     Progress progress(String task, int steps) {
         return quiet ? new Progress(null) : new Progress(progressBar(task, steps));
     }
@@ -116,7 +116,11 @@
         JSON.writeValue(file.toFile(), result);
     }
 
-    /** Counts the steps that are done; silent where no line is wanted. */
+    /**
+     * Counts completed steps.
+     *
+     * @param bar shows them; null to show nothing
+     */
     record Progress(ProgressBar bar) implements AutoCloseable {
         void step(String message) {
             if (bar != null) {
--- a/src/main/java/passhatch/lab/scale/Verdict.java
+++ b/src/main/java/passhatch/lab/scale/Verdict.java
@@ -1,10 +1,10 @@
 package passhatch.lab.scale;
 
 /**
- * A figure beside its limit.
+ * A measured or extrapolated figure compared with its limit.
  *
- * @param extrapolated whether it lies outside the range that was measured
- * @param part the figure as a part of the limit: 1 is just met
+ * @param extrapolated whether the figure lies outside the measured range
+ * @param part the figure divided by the limit; 1 just meets it
  */
 record Verdict(
         String quantity,
@@ -21,7 +21,7 @@
                 quantity, unit, value, limit, extrapolated, value <= limit, value / limit);
     }
 
-    /** One line for people. */
+    /** Returns the comparison as one line of text. */
     String text() {
         return String.format(
                 java.util.Locale.ROOT,
--- a/src/main/java/passhatch/lab/scale/package-info.java
+++ b/src/main/java/passhatch/lab/scale/package-info.java
@@ -1,2 +1,5 @@
-/** Measures what the program's processes cost as lists, fleets and call paths grow. */
+/**
+ * Measures the memory, processor time, traffic and latency of the program's processes as lists,
+ * fleets and request paths grow.
+ */
 package passhatch.lab.scale;
--- a/src/test/java/passhatch/lab/scale/LinearFitTest.java
+++ b/src/test/java/passhatch/lab/scale/LinearFitTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The line through measured points. */
+/** Tests the line fitted to measured points. */
 class LinearFitTest {
 
     private static final double TOLERANCE = 1e-9;
--- a/src/test/java/passhatch/lab/scale/MembershipScaleCommandTest.java
+++ b/src/test/java/passhatch/lab/scale/MembershipScaleCommandTest.java
@@ -14,7 +14,7 @@
 import passhatch.cli.Commands;
 import picocli.CommandLine;
 
-/** The command at a small size, and with wrong input. */
+/** Tests the command with small fleets and with invalid options. */
 class MembershipScaleCommandTest {
 
     private final StringWriter errors = new StringWriter();
@@ -63,7 +63,7 @@
                 assertTrue(outcome.get("problem").isNull(), outcome::toString);
                 for (JsonNode figure : outcome.get("figures")) {
                     String name = figure.get("name").asText();
-                    // After a cut, views of one side may hear late of what the other side refuted.
+                    // After a partition, one side may learn late what the other side has refuted.
                     if (name.contains("false failures") && !name.startsWith("region")) {
                         assertEquals(0, figure.get("value").asDouble(), figure::toString);
                     }
--- a/src/test/java/passhatch/lab/scale/ScaleCommandTest.java
+++ b/src/test/java/passhatch/lab/scale/ScaleCommandTest.java
@@ -15,7 +15,7 @@
 import passhatch.cli.Commands;
 import picocli.CommandLine;
 
-/** What the commands refuse, and how steps become figures. */
+/** Tests which options the commands reject, and how steps become figures. */
 class ScaleCommandTest {
 
     @TempDir private Path folder;
--- a/src/test/java/passhatch/lab/scale/ScaleIT.java
+++ b/src/test/java/passhatch/lab/scale/ScaleIT.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import passhatch.cli.Commands;
 
-/** Small measurements with the packaged program. No times are asserted: the machine may be busy. */
+/** Small measurements with the packaged program. Asserts no times, as the machine may be busy. */
 class ScaleIT {
 
     private static final String JAR = Path.of("target/passhatch.jar").toAbsolutePath().toString();
@@ -62,7 +62,7 @@
     @Test
     void measuresPathsOfSeveralLengths() throws Exception {
         assertEquals(
-                0, latency("10000000"), "nothing is too late for this bound, so it is measured");
+                0, latency("10000000"), "no request exceeds this bound, so all steps are measured");
         JsonNode steps = result().get("steps");
         assertEquals(3, steps.size());
         for (JsonNode step : steps) {
