--- a/src/main/java/passhatch/lab/drill/AgentChild.java
+++ b/src/main/java/passhatch/lab/drill/AgentProcess.java
@@ -13,41 +13,41 @@
 import java.util.stream.Collectors;
 
 /** One agent as a process of its own, with its configuration, its store and its log. */
-public final class AgentChild {
+public final class AgentProcess {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String HEAP = "-Xmx48m";
+    private static final String HEAP_OPTION = "-Xmx48m";
 
     private final String name;
     private final Path folder;
     private final InetSocketAddress listen;
     private final InetSocketAddress control;
-    private final Child child;
+    private final ChildProcess process;
 
     /** An agent that is not started yet; its folder is made, its ports are chosen. */
-    public AgentChild(Path jar, Path folder, String name) throws IOException {
+    public AgentProcess(Path jar, Path folder, String name) throws IOException {
         this.name = name;
         this.folder = Files.createDirectories(folder);
-        this.control = Local.freePort();
-        this.listen = Local.freeUdpPort();
-        this.child =
-                new Child(
+        this.control = LocalNetwork.freeTcpAddress();
+        this.listen = LocalNetwork.freeUdpAddress();
+        this.process =
+                new ChildProcess(
                         folder.getFileName().toString(),
                         List.of(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-XX:TieredStopAtLevel=1",
                                 "-XX:+UseSerialGC",
-                                HEAP,
+                                HEAP_OPTION,
                                 "-jar",
                                 jar.toString(),
                                 "agent",
                                 "--config",
-                                config().toString()),
+                                configFile().toString()),
                         Map.of(),
                         folder.resolve("log"));
     }
 
-    private Path config() {
+    private Path configFile() {
         return folder.resolve("fleet.toml");
     }
 
@@ -66,18 +66,19 @@
     }
 
     /** Its process. */
-    public Child child() {
-        return child;
+    public ChildProcess process() {
+        return process;
     }
 
     /**
      * Writes its configuration with the addresses of all members, which is its own, and further
      * parts.
      */
-    public void configure(List<InetSocketAddress> members, InetSocketAddress own, String more)
+    public void configure(
+            List<InetSocketAddress> members, InetSocketAddress ownAddress, String extraConfig)
             throws IOException {
         Files.writeString(
-                config(),
+                configFile(),
                 """
                 [agent]
                 control = "%s"
@@ -91,39 +92,40 @@
                 %s
                 """
                         .formatted(
-                                Local.text(control),
+                                LocalNetwork.format(control),
                                 store(),
                                 name,
-                                Local.text(listen),
-                                Local.text(own),
+                                LocalNetwork.format(listen),
+                                LocalNetwork.format(ownAddress),
                                 members.stream()
-                                        .map(m -> '"' + Local.text(m) + '"')
+                                        .map(m -> '"' + LocalNetwork.format(m) + '"')
                                         .collect(Collectors.joining(", ")),
-                                more));
+                                extraConfig));
     }
 
     /** What it thinks of all members, by name; empty where it does not answer. */
-    Map<String, String> view() {
-        Map<String, String> view = new TreeMap<>();
-        answer().ifPresent(
+    Map<String, String> memberStatuses() {
+        Map<String, String> statuses = new TreeMap<>();
+        queryJson()
+                .ifPresent(
                         a ->
                                 a.get("members")
                                         .forEach(
                                                 m ->
-                                                        view.put(
+                                                        statuses.put(
                                                                 m.get("name").textValue(),
                                                                 m.get("status").textValue())));
-        return view;
+        return statuses;
     }
 
     /** Its whole answer to {@code members}; empty where there is none. */
-    Optional<JsonNode> answer() {
-        return answer("members");
+    Optional<JsonNode> queryJson() {
+        return queryJson("members");
     }
 
     /** Its answer to a call that is answered with JSON; empty where there is none. */
-    Optional<JsonNode> answer(String call) {
-        String text = Local.ask(control, call);
+    Optional<JsonNode> queryJson(String call) {
+        String text = LocalNetwork.ask(control, call);
         try {
             return text.startsWith("{") ? Optional.of(JSON.readTree(text)) : Optional.empty();
         } catch (IOException cut) {
@@ -133,7 +135,7 @@
 
     /** What its control address answers to a call; nothing where it does not answer. */
     public String ask(String call) {
-        return Local.ask(control, call);
+        return LocalNetwork.ask(control, call);
     }
 
     String log() throws IOException {
--- /dev/null
+++ b/src/main/java/passhatch/lab/drill/AgentTestbed.java
@@ -0,0 +1,85 @@
+package passhatch.lab.drill;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.IntFunction;
+import passhatch.lab.Seeds;
+import passhatch.lab.standin.UdpRelay;
+
+/** Agents as real processes, with the relay between them on which datagrams meet their faults. */
+final class AgentTestbed implements Closeable {
+
+    private static final long SHUTDOWN_TIMEOUT_MS = 5_000;
+
+    private final List<AgentProcess> agents = new ArrayList<>();
+    private final List<String> names;
+    private final UdpRelay relay;
+
+    /** Agents of these names, not started yet; two may have the same. */
+    AgentTestbed(Path jar, Path folder, List<String> names, long seed) throws IOException {
+        this(jar, folder, names, seed, "");
+    }
+
+    /** The same with further parts of their configuration. */
+    AgentTestbed(Path jar, Path folder, List<String> names, long seed, String extraConfig)
+            throws IOException {
+        this(jar, folder, names, seed, number -> extraConfig);
+    }
+
+    /** The same with further parts that each agent has for itself, by its number. */
+    AgentTestbed(
+            Path jar, Path folder, List<String> names, long seed, IntFunction<String> extraConfig)
+            throws IOException {
+        this.names = names;
+        this.relay = new UdpRelay(names.size(), new Seeds(seed).stream("relay"));
+        for (int i = 0; i < names.size(); i++) {
+            agents.add(new AgentProcess(jar, folder.resolve("agent-" + i), names.get(i)));
+            relay.setListenAddress(i, agents.get(i).listen());
+        }
+        for (int i = 0; i < names.size(); i++) {
+            agents.get(i)
+                    .configure(relay.peersOf(i), relay.peersOf(i).get(i), extraConfig.apply(i));
+        }
+    }
+
+    AgentProcess agent(int index) {
+        return agents.get(index);
+    }
+
+    UdpRelay relay() {
+        return relay;
+    }
+
+    /** Takes a member's address out of the configuration of one agent. */
+    void configureWithoutMember(int index, int removed) throws IOException {
+        List<InetSocketAddress> peers = new ArrayList<>(relay.peersOf(index));
+        InetSocketAddress own = peers.get(index);
+        peers.remove(removed);
+        agents.get(index).configure(peers, own, "");
+    }
+
+    /** Whether each of these agents has just this view. */
+    boolean allReport(List<Integer> observers, Map<String, String> expected) {
+        return observers.stream().allMatch(o -> agents.get(o).memberStatuses().equals(expected));
+    }
+
+    /** All names with one status, and some with another. */
+    Map<String, String> expectedStatuses(String status, List<Integer> others, String otherStatus) {
+        Map<String, String> statuses = new TreeMap<>();
+        names.forEach(n -> statuses.put(n, status));
+        others.forEach(o -> statuses.put(names.get(o), otherStatus));
+        return statuses;
+    }
+
+    @Override
+    public void close() throws IOException {
+        agents.parallelStream().forEach(a -> a.process().terminate(SHUTDOWN_TIMEOUT_MS));
+        relay.close();
+    }
+}
--- a/src/main/java/passhatch/lab/drill/ChangesField.java
+++ b/src/main/java/passhatch/lab/drill/ChangesTestbed.java
@@ -21,7 +21,7 @@
  * membership and another for the distribution of changes. Each subscriber wants one of two
  * services, and follows one of the relays rather than the other.
  */
-final class ChangesField implements Closeable {
+final class ChangesTestbed implements Closeable {
 
     static final int REPLICAS = 3;
     static final int RELAYS = 2;
@@ -30,36 +30,36 @@
     /** The services that subscribers want in turn. */
     static final List<String> SERVICES = List.of("claims", "rates");
 
-    private static final long POLL_MS = 20;
-    private static final long CURRENT_MS = 2_000;
+    private static final long POLL_INTERVAL_MS = 20;
+    private static final long MAX_CURRENT_AGE_MS = 2_000;
 
     private final int size;
-    private final AgentField field;
+    private final AgentTestbed agents;
     private final Path folder;
-    private final UdpRelay relay;
-    private final List<InetSocketAddress> listen = new ArrayList<>();
+    private final UdpRelay changesRelay;
+    private final List<InetSocketAddress> listenAddresses = new ArrayList<>();
 
     /** Agents that are not started yet. */
-    ChangesField(Path jar, Path folder, int subscribers, long seed) throws IOException {
+    ChangesTestbed(Path jar, Path folder, int subscribers, long seed) throws IOException {
         this.folder = folder;
         size = REPLICAS + RELAYS + subscribers;
-        relay = new UdpRelay(size, new Seeds(seed).stream("changes"));
+        changesRelay = new UdpRelay(size, new Seeds(seed).stream("changes"));
         for (int i = 0; i < size; i++) {
-            listen.add(Local.freeUdpPort());
-            relay.setListenAddress(i, listen.get(i));
+            listenAddresses.add(LocalNetwork.freeUdpAddress());
+            changesRelay.setListenAddress(i, listenAddresses.get(i));
         }
         List<String> names = IntStream.range(0, size).mapToObj(i -> "m" + i).toList();
-        field = new AgentField(jar, folder, names, seed, this::configuration);
+        agents = new AgentTestbed(jar, folder, names, seed, this::configuration);
     }
 
-    private String configuration(int number) {
+    private String configuration(int index) {
         String changes =
                 """
                 [changes]
                 listen = "%s"
                 """
-                        .formatted(Local.text(listen.get(number)));
-        if (isReplica(number)) {
+                        .formatted(LocalNetwork.format(listenAddresses.get(index)));
+        if (isReplica(index)) {
             return """
             [duties]
             voters = ["m0", "m1", "m2"]
@@ -67,15 +67,15 @@
             %srole = "replica"
             replicas = [%s]
             """
-                    .formatted(LEASE_MS, changes, addresses(number, List.of(0, 1, 2)));
+                    .formatted(LEASE_MS, changes, addresses(index, List.of(0, 1, 2)));
         }
-        if (isRelay(number)) {
-            int first = number % REPLICAS;
+        if (isRelay(index)) {
+            int first = index % REPLICAS;
             List<Integer> sources = List.of(first, (first + 1) % REPLICAS, (first + 2) % REPLICAS);
             return "%srole = \"relay\"\nsources = [%s]\n"
-                    .formatted(changes, addresses(number, sources));
+                    .formatted(changes, addresses(index, sources));
         }
-        int first = number % RELAYS;
+        int first = index % RELAYS;
         List<Integer> sources = List.of(REPLICAS + first, REPLICAS + (first + 1) % RELAYS);
         return """
         %srole = "subscriber"
@@ -83,34 +83,41 @@
         publish = "%s"
         sources = [%s]
         """
-                .formatted(changes, service(number), published(number), addresses(number, sources));
+                .formatted(changes, serviceOf(index), valuesFile(index), addresses(index, sources));
     }
 
     /** Addresses of others as one agent reaches them; its own as it is. */
-    private String addresses(int of, List<Integer> numbers) {
-        return numbers.stream()
-                .map(n -> '"' + Local.text(n == of ? listen.get(n) : peer(of, n)) + '"')
+    private String addresses(int observer, List<Integer> indices) {
+        return indices.stream()
+                .map(
+                        n ->
+                                '"'
+                                        + LocalNetwork.format(
+                                                n == observer
+                                                        ? listenAddresses.get(n)
+                                                        : peer(observer, n))
+                                        + '"')
                 .collect(Collectors.joining(", "));
     }
 
-    private InetSocketAddress peer(int of, int to) {
+    private InetSocketAddress peer(int observer, int target) {
         try {
-            return relay.peersOf(of).get(to);
+            return changesRelay.peersOf(observer).get(target);
         } catch (IOException closed) {
             throw new IllegalStateException(closed);
         }
     }
 
-    static boolean isReplica(int number) {
-        return number < REPLICAS;
+    static boolean isReplica(int index) {
+        return index < REPLICAS;
     }
 
-    static boolean isRelay(int number) {
-        return number >= REPLICAS && number < REPLICAS + RELAYS;
+    static boolean isRelay(int index) {
+        return index >= REPLICAS && index < REPLICAS + RELAYS;
     }
 
     /** The service that a subscriber wants. */
-    static String service(int subscriber) {
+    static String serviceOf(int subscriber) {
         return SERVICES.get(subscriber % SERVICES.size());
     }
 
@@ -123,48 +130,49 @@
     }
 
     /** The file in which a subscriber publishes the values in force. */
-    Path published(int number) {
-        return folder.resolve("values-" + number + ".json");
+    Path valuesFile(int index) {
+        return folder.resolve("values-" + index + ".json");
     }
 
-    AgentChild agent(int number) {
-        return field.agent(number);
+    AgentProcess agent(int index) {
+        return agents.agent(index);
     }
 
     /** The way of datagrams on changes. */
     UdpRelay changesRelay() {
-        return relay;
+        return changesRelay;
     }
 
     /** The way of datagrams on membership and duties. */
     UdpRelay fleetRelay() {
-        return field.relay();
+        return agents.relay();
     }
 
     /** Starts all agents and founds duties and log. */
-    void start(long patienceMs) throws IOException, InterruptedException {
+    void start(long timeoutMs) throws IOException, InterruptedException {
         for (int i = 0; i < size; i++) {
-            agent(i).child().start();
+            agent(i).process().start();
         }
         for (int i = 0; i < REPLICAS; i++) {
-            AgentChild replica = agent(i);
+            AgentProcess replica = agent(i);
             await(
-                    () -> isFounded(replica),
-                    patienceMs,
-                    () -> "not founded: " + replica.child().logEnd());
+                    () -> tryInitialize(replica),
+                    timeoutMs,
+                    () -> "not founded: " + replica.process().logTail());
         }
-        await(() -> leader() >= 0, patienceMs, "nobody leads");
-        await(() -> all().stream().allMatch(this::isCurrent), patienceMs, "not all are current");
+        await(() -> leader() >= 0, timeoutMs, "nobody leads");
+        await(() -> all().stream().allMatch(this::isCurrent), timeoutMs, "not all are current");
     }
 
     /** Whether an agent knows that its state was the newest one a moment ago. */
-    private boolean isCurrent(int number) {
-        long ageMs = agent(number).answer("changes").map(a -> a.get("age_ms").asLong()).orElse(-1L);
-        return ageMs >= 0 && ageMs <= CURRENT_MS;
+    private boolean isCurrent(int index) {
+        long ageMs =
+                agent(index).queryJson("changes").map(a -> a.get("age_ms").asLong()).orElse(-1L);
+        return ageMs >= 0 && ageMs <= MAX_CURRENT_AGE_MS;
     }
 
     /** Founds both; an answer that came too late is made up for by the next call. */
-    private static boolean isFounded(AgentChild replica) {
+    private static boolean tryInitialize(AgentProcess replica) {
         replica.ask("found");
         replica.ask("changes-found");
         return replica.ask("duties").contains("\"votes\":true")
@@ -173,23 +181,26 @@
 
     /** The replica that leads; -1 where none does. */
     int leader() {
-        return IntStream.range(0, REPLICAS).filter(this::leads).findFirst().orElse(-1);
+        return IntStream.range(0, REPLICAS).filter(this::isLeading).findFirst().orElse(-1);
     }
 
-    private boolean leads(int number) {
-        return agent(number).answer("changes").map(a -> a.get("leading").asBoolean()).orElse(false);
+    private boolean isLeading(int index) {
+        return agent(index)
+                .queryJson("changes")
+                .map(a -> a.get("leading").asBoolean())
+                .orElse(false);
     }
 
     /** The version in force at an agent; -1 where it does not answer. */
-    long version(int number) {
-        return agent(number).answer("changes").map(a -> a.get("version").asLong()).orElse(-1L);
+    long version(int index) {
+        return agent(index).queryJson("changes").map(a -> a.get("version").asLong()).orElse(-1L);
     }
 
     /** The values in force at an agent, with their versions, as VALUE@VERSION by key. */
-    Map<String, String> values(int number) {
+    Map<String, String> values(int index) {
         Map<String, String> values = new TreeMap<>();
-        agent(number)
-                .answer("change-get")
+        agent(index)
+                .queryJson("change-get")
                 .ifPresent(
                         answer ->
                                 answer.properties()
@@ -197,42 +208,43 @@
                                                 field ->
                                                         values.put(
                                                                 field.getKey(),
-                                                                text(field.getValue()))));
+                                                                withVersion(field.getValue()))));
         return values;
     }
 
-    private static String text(JsonNode value) {
+    private static String withVersion(JsonNode value) {
         return value.get("value").textValue() + "@" + value.get("version").asLong();
     }
 
     /** Whether an agent has this value in force. */
-    boolean has(int number, String key, String value) {
-        return agent(number)
-                .answer("change-get " + key)
+    boolean hasValue(int index, String key, String value) {
+        return agent(index)
+                .queryJson("change-get " + key)
                 .map(answer -> answer.path(key).path("value").asText().equals(value))
                 .orElse(false);
     }
 
     /** Waits until a condition holds. */
-    static void await(BooleanSupplier holds, long mostMs, String otherwise)
+    static void await(BooleanSupplier condition, long timeoutMs, String failureMessage)
             throws InterruptedException {
-        await(holds, mostMs, () -> otherwise);
+        await(condition, timeoutMs, () -> failureMessage);
     }
 
-    private static void await(BooleanSupplier holds, long mostMs, Supplier<String> otherwise)
+    private static void await(
+            BooleanSupplier condition, long timeoutMs, Supplier<String> failureMessage)
             throws InterruptedException {
-        long end = System.nanoTime() + mostMs * 1_000_000;
-        while (!holds.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError(otherwise.get() + " in " + mostMs + " ms");
+        long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadlineNs) {
+                throw new AssertionError(failureMessage.get() + " in " + timeoutMs + " ms");
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
     @Override
     public void close() throws IOException {
-        field.close();
-        relay.close();
+        agents.close();
+        changesRelay.close();
     }
 }
--- a/src/main/java/passhatch/lab/drill/ChangesWriter.java
+++ b/src/main/java/passhatch/lab/drill/ChangesWriter.java
@@ -18,25 +18,25 @@
 
     private static final List<Setting> SETTINGS =
             List.of(Setting.DEADLINE_MS, Setting.MAX_CONNECTIONS, Setting.CALLS_PER_SECOND);
-    private static final int MOST_VALUE = 60_000;
-    private static final long POLL_MS = 10;
-    private static final long COMMITTED_WITHIN_MS = 3_000;
-    private static final long IN_FORCE_WITHIN_MS = 30_000;
+    private static final int MAX_VALUE = 60_000;
+    private static final long POLL_INTERVAL_MS = 10;
+    private static final long COMMIT_TIMEOUT_MS = 3_000;
+    private static final long IN_FORCE_TIMEOUT_MS = 30_000;
     private static final String ACCEPTED = "accepted ";
 
     /** A change that is committed. */
     record Committed(long version, String value) {}
 
-    private final ChangesField field;
+    private final ChangesTestbed testbed;
     private final Set<Integer> disturbed = ConcurrentHashMap.newKeySet();
     private final Map<String, Committed> committed = new TreeMap<>();
     private final List<Long> inForceMs = new ArrayList<>();
-    private int changes;
-    private int unknown;
-    private volatile boolean over;
+    private int submitted;
+    private int unknownOutcomes;
+    private volatile boolean stopped;
 
-    ChangesWriter(ChangesField field) {
-        this.field = field;
+    ChangesWriter(ChangesTestbed testbed) {
+        this.testbed = testbed;
     }
 
     /** Subscribers whose times do not count, as they are killed, held or cut off. */
@@ -55,70 +55,70 @@
     }
 
     /** Changes whose outcome is not known. */
-    int unknown() {
-        return unknown;
+    int unknownOutcomes() {
+        return unknownOutcomes;
     }
 
-    void end() {
-        over = true;
+    void stop() {
+        stopped = true;
     }
 
     @Override
     public void run() {
         try {
-            while (!over) {
-                int leader = field.leader();
+            while (!stopped) {
+                int leader = testbed.leader();
                 if (leader >= 0) {
-                    change(leader);
+                    submitChange(leader);
                 }
-                Thread.sleep(POLL_MS);
+                Thread.sleep(POLL_INTERVAL_MS);
             }
-        } catch (InterruptedException stop) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void change(int leader) throws InterruptedException {
-        String service = ChangesField.SERVICES.get(changes % ChangesField.SERVICES.size());
-        String key = "service/" + service + "/" + SETTINGS.get(changes % SETTINGS.size()).label();
-        String value = Integer.toString(changes % MOST_VALUE + 1);
-        changes++;
-        long beganNs = System.nanoTime();
-        String answer = field.agent(leader).ask("change-put " + key + " " + value).strip();
+    private void submitChange(int leader) throws InterruptedException {
+        String service = ChangesTestbed.SERVICES.get(submitted % ChangesTestbed.SERVICES.size());
+        String key = "service/" + service + "/" + SETTINGS.get(submitted % SETTINGS.size()).label();
+        String value = Integer.toString(submitted % MAX_VALUE + 1);
+        submitted++;
+        long startNs = System.nanoTime();
+        String answer = testbed.agent(leader).ask("change-put " + key + " " + value).strip();
         if (!answer.startsWith(ACCEPTED)) {
             return;
         }
         String[] words = answer.split(" ");
-        if (isCommitted(leader, words[1] + " " + words[2])) {
+        if (awaitCommitted(leader, words[1] + " " + words[2])) {
             long version = Long.parseLong(words[1]);
             committed.put(key, new Committed(version, value));
             awaitInForce(service, version);
-            inForceMs.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNs));
+            inForceMs.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs));
         } else {
-            unknown++;
+            unknownOutcomes++;
         }
     }
 
-    private boolean isCommitted(int leader, String change) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(COMMITTED_WITHIN_MS);
-        while (System.nanoTime() < end) {
-            String answer = field.agent(leader).ask("change-status " + change).strip();
+    private boolean awaitCommitted(int leader, String change) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(COMMIT_TIMEOUT_MS);
+        while (System.nanoTime() < deadlineNs) {
+            String answer = testbed.agent(leader).ask("change-status " + change).strip();
             if (!answer.equals("pending")) {
                 return answer.equals("committed");
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
         return false;
     }
 
     private void awaitInForce(String service, long version) throws InterruptedException {
-        for (int subscriber : field.subscribers()) {
-            if (ChangesField.service(subscriber).equals(service)) {
-                ChangesField.await(
+        for (int subscriber : testbed.subscribers()) {
+            if (ChangesTestbed.serviceOf(subscriber).equals(service)) {
+                ChangesTestbed.await(
                         () ->
                                 disturbed.contains(subscriber)
-                                        || field.version(subscriber) >= version,
-                        IN_FORCE_WITHIN_MS,
+                                        || testbed.version(subscriber) >= version,
+                        IN_FORCE_TIMEOUT_MS,
                         "version " + version + " is not in force at m" + subscriber);
             }
         }
--- a/src/main/java/passhatch/lab/drill/Child.java
+++ b/src/main/java/passhatch/lab/drill/ChildProcess.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.TimeUnit;
 
 /** A process of the program that a drill has started. Ended by its own handle, never by a name. */
-public final class Child {
+public final class ChildProcess {
 
-    private static final int LOG_END_LINES = 12;
+    private static final int LOG_TAIL_LINES = 12;
 
     private final String name;
     private final List<String> command;
@@ -20,7 +20,7 @@
     private Process process;
 
     /** A process that is not started yet; both of its outputs go to the end of the log. */
-    Child(String name, List<String> command, Map<String, String> environment, Path log) {
+    ChildProcess(String name, List<String> command, Map<String, String> environment, Path log) {
         this.name = name;
         this.command = command;
         this.environment = environment;
@@ -29,7 +29,7 @@
 
     /** Starts it, or starts it again once it has ended. */
     public synchronized void start() throws IOException {
-        if (alive()) {
+        if (isAlive()) {
             throw new IOException(name + " runs already");
         }
         ProcessBuilder builder = new ProcessBuilder(command);
@@ -40,7 +40,7 @@
     }
 
     /** Whether it runs. */
-    public synchronized boolean alive() {
+    public synchronized boolean isAlive() {
         return process != null && process.isAlive();
     }
 
@@ -51,7 +51,7 @@
 
     /** Sends a signal by its name without SIG; false where the process has ended. */
     synchronized boolean signal(String signal) throws IOException, InterruptedException {
-        if (!alive()) {
+        if (!isAlive()) {
             return false;
         }
         return switch (signal) {
@@ -75,43 +75,43 @@
     }
 
     /** Waits for its end. */
-    boolean awaitEnd(long ms) throws InterruptedException {
+    boolean awaitExit(long timeoutMs) throws InterruptedException {
         Process current;
         synchronized (this) {
             current = process;
         }
-        return current == null || current.waitFor(ms, TimeUnit.MILLISECONDS);
+        return current == null || current.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     /** SIGTERM, and SIGKILL after the patience; also where it is held by SIGSTOP. */
-    public void end(long patienceMs) {
+    public void terminate(long timeoutMs) {
         try {
             signal("CONT");
-            if (signal("TERM") && !awaitEnd(patienceMs)) {
+            if (signal("TERM") && !awaitExit(timeoutMs)) {
                 signal("KILL");
             }
-            awaitEnd(patienceMs);
+            awaitExit(timeoutMs);
         } catch (IOException failed) {
             process.destroyForcibly();
-        } catch (InterruptedException stop) {
+        } catch (InterruptedException interrupted) {
             process.destroyForcibly();
             Thread.currentThread().interrupt();
         }
     }
 
     /** Ends it at once, whatever it is at. */
-    public synchronized void endNow() {
-        if (alive()) {
+    public synchronized void kill() {
+        if (isAlive()) {
             process.destroyForcibly();
         }
     }
 
     /** The last lines of its log. */
-    public String logEnd() {
+    public String logTail() {
         try {
             List<String> lines = Files.readAllLines(log, StandardCharsets.ISO_8859_1);
             return String.join(
-                    "\n", lines.subList(Math.max(0, lines.size() - LOG_END_LINES), lines.size()));
+                    "\n", lines.subList(Math.max(0, lines.size() - LOG_TAIL_LINES), lines.size()));
         } catch (IOException unreadable) {
             return "(no log: " + unreadable + ")";
         }
--- a/src/main/java/passhatch/lab/drill/Comparison.java
+++ b/src/main/java/passhatch/lab/drill/Comparison.java
@@ -16,7 +16,7 @@
  */
 final class Comparison {
 
-    private static final double LEVEL = 0.95;
+    private static final double CONFIDENCE_LEVEL = 0.95;
 
     /**
      * One measure.
@@ -58,15 +58,17 @@
                     results.stream().mapToDouble(r -> r.latencyMs().get(name)).toArray());
         }
         for (int i = 0; i < results.get(0).recoveries().size(); i++) {
-            int at = i;
+            int index = i;
             if (results.stream()
                     .allMatch(
                             r ->
-                                    r.recoveries().size() > at
-                                            && r.recoveries().get(at).ms() != null)) {
+                                    r.recoveries().size() > index
+                                            && r.recoveries().get(index).ms() != null)) {
                 all.put(
                         "recovery ms, " + results.get(0).recoveries().get(i).fault(),
-                        results.stream().mapToDouble(r -> r.recoveries().get(at).ms()).toArray());
+                        results.stream()
+                                .mapToDouble(r -> r.recoveries().get(index).ms())
+                                .toArray());
             }
         }
         return all;
@@ -78,21 +80,28 @@
         if (a.length < 2 || b.length < 2) {
             return new Row(name, meanA, meanB, meanB - meanA, Double.NaN, Double.NaN);
         }
-        double errorA = variance(a) / a.length;
-        double errorB = variance(b) / b.length;
-        double error = errorA + errorB;
-        if (error == 0) {
+        double squaredErrorA = variance(a) / a.length;
+        double squaredErrorB = variance(b) / b.length;
+        double squaredError = squaredErrorA + squaredErrorB;
+        if (squaredError == 0) {
             return new Row(name, meanA, meanB, meanB - meanA, meanB - meanA, meanB - meanA);
         }
-        double freedom =
-                error
-                        * error
-                        / (errorA * errorA / (a.length - 1) + errorB * errorB / (b.length - 1));
-        double half =
-                TDistribution.of(freedom).inverseCumulativeProbability((1 + LEVEL) / 2)
-                        * Math.sqrt(error);
+        double degreesOfFreedom =
+                squaredError
+                        * squaredError
+                        / (squaredErrorA * squaredErrorA / (a.length - 1)
+                                + squaredErrorB * squaredErrorB / (b.length - 1));
+        double halfWidth =
+                TDistribution.of(degreesOfFreedom)
+                                .inverseCumulativeProbability((1 + CONFIDENCE_LEVEL) / 2)
+                        * Math.sqrt(squaredError);
         return new Row(
-                name, meanA, meanB, meanB - meanA, meanB - meanA - half, meanB - meanA + half);
+                name,
+                meanA,
+                meanB,
+                meanB - meanA,
+                meanB - meanA - halfWidth,
+                meanB - meanA + halfWidth);
     }
 
     private static double mean(double[] values) {
--- a/src/main/java/passhatch/lab/drill/Drill.java
+++ b/src/main/java/passhatch/lab/drill/Drill.java
@@ -26,33 +26,33 @@
     private static final Logger LOG = LoggerFactory.getLogger(Drill.class);
     private static final ObjectMapper JSON =
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-    private static final long PROGRESS_MS = 200;
+    private static final long PROGRESS_INTERVAL_MS = 200;
 
     /** Between the last start and the first request. */
-    private static final long LEAD_MS = 100;
+    private static final long LOAD_START_DELAY_MS = 100;
 
     private final Scenario scenario;
     private final Path jar;
     private final Path folder;
-    private final List<String> options;
+    private final List<String> jvmOptions;
 
     /**
      * A run that leaves all of its files in a folder.
      *
-     * @param options more options for the JVMs of the program
+     * @param jvmOptions more options for the JVMs of the program
      */
-    Drill(Scenario scenario, Path jar, Path folder, List<String> options) {
+    Drill(Scenario scenario, Path jar, Path folder, List<String> jvmOptions) {
         this.scenario = scenario;
         this.jar = jar;
         this.folder = folder;
-        this.options = options;
+        this.jvmOptions = jvmOptions;
     }
 
     /**
      * Hears of the time given load so far, in milliseconds, and of the requests that ended and were
      * served.
      */
-    interface Progress extends BiConsumer<Long, long[]> {}
+    interface ProgressListener extends BiConsumer<Long, long[]> {}
 
     /**
      * Runs it.
@@ -60,7 +60,7 @@
      * @throws IOException where a process does not get ready, or a file cannot be written; whatever
      *     was started has ended by then
      */
-    Result run(Progress progress) throws IOException, InterruptedException {
+    Result run(ProgressListener progress) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         Seeds seeds = new Seeds(scenario.seed());
         ScheduledExecutorService timer =
@@ -71,9 +71,9 @@
                             return thread;
                         });
         try (EventFile events = new EventFile(folder.resolve("events.jsonl"));
-                Field field = new Field(scenario, seeds, jar, folder, options)) {
+                Testbed testbed = new Testbed(scenario, seeds, jar, folder, jvmOptions)) {
             try {
-                return run(progress, seeds, timer, events, field);
+                return run(progress, seeds, timer, events, testbed);
             } finally {
                 timer.shutdownNow();
             }
@@ -81,22 +81,23 @@
     }
 
     private Result run(
-            Progress progress,
+            ProgressListener progress,
             Seeds seeds,
             ScheduledExecutorService timer,
             EventFile events,
-            Field field)
+            Testbed testbed)
             throws IOException, InterruptedException {
-        long startNs = System.nanoTime();
-        field.startProxies(scenario.proxies().readyWithin().toMillis());
+        long processStartNs = System.nanoTime();
+        testbed.startProxies(scenario.proxies().readyTimeout().toMillis());
         events.add(
                 "all-ready",
                 "after_ms",
-                TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs));
-        ProxyPool front = new ProxyPool(field.proxies.stream().map(ProxyChild::listen).toList());
-        for (ProxyChild proxy : field.proxies) {
-            front.setAdmitted(proxy.number(), true);
-            events.add("started", "target", proxy.name(), "pid", proxy.child().pid());
+                TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - processStartNs));
+        ProxyPool front =
+                new ProxyPool(testbed.proxies.stream().map(ProxyProcess::listen).toList());
+        for (ProxyProcess proxy : testbed.proxies) {
+            front.setAdmitted(proxy.index(), true);
+            events.add("started", "target", proxy.name(), "pid", proxy.process().pid());
         }
         List<FaultPlan.Step> steps = FaultPlan.of(scenario);
         LOG.info(
@@ -104,47 +105,51 @@
                 scenario.load().rate(),
                 scenario.duration(),
                 steps.size());
-        try (LoadGenerator load = new LoadGenerator(plan(), front, seeds)) {
-            long beginNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LEAD_MS);
-            events.zero(beginNs);
-            new FaultRunner(scenario, field, front, events, timer).schedule(steps, beginNs);
-            load.start(beginNs);
-            var reports =
+        try (LoadGenerator load = new LoadGenerator(loadPlan(), front, seeds)) {
+            long loadStartNs =
+                    System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LOAD_START_DELAY_MS);
+            events.setLoadStart(loadStartNs);
+            new FaultRunner(scenario, testbed, front, events, timer).schedule(steps, loadStartNs);
+            load.start(loadStartNs);
+            var progressTask =
                     timer.scheduleAtFixedRate(
                             () ->
                                     progress.accept(
                                             TimeUnit.NANOSECONDS.toMillis(
-                                                    System.nanoTime() - beginNs),
+                                                    System.nanoTime() - loadStartNs),
                                             load.completedAndServed()),
                             0,
-                            PROGRESS_MS,
+                            PROGRESS_INTERVAL_MS,
                             TimeUnit.MILLISECONDS);
             LoadStats tally = load.await();
-            reports.cancel(false);
+            progressTask.cancel(false);
             events.add("load-ended", "offered", tally.offered());
-            for (ProxyChild proxy : field.proxies) {
+            for (ProxyProcess proxy : testbed.proxies) {
                 events.add("figures", "target", proxy.name(), "vars", proxy.ask("vars"));
             }
-            Result result = Judge.judge(scenario, tally, field.ledger, steps, readyTimes(events));
+            Result result =
+                    ResultEvaluator.evaluate(
+                            scenario, tally, testbed.ledger, steps, readyTimes(events));
             JSON.writeValue(folder.resolve("result.json").toFile(), result);
-            ReportPage.write(folder.resolve("report.html"), scenario, result, tally, events.all());
+            ReportPage.write(
+                    folder.resolve("report.html"), scenario, result, tally, events.events());
             return result;
         }
     }
 
     private static Map<String, Double> readyTimes(EventFile events) {
         Map<String, Double> times = new LinkedHashMap<>();
-        for (EventFile.Event event : events.all()) {
-            if (event.what().equals("ready")) {
+        for (EventFile.Event event : events.events()) {
+            if (event.type().equals("ready")) {
                 times.put(
-                        event.more().get("target") + " at " + event.atMs() + " ms",
-                        ((Number) event.more().get("after_ms")).doubleValue());
+                        event.details().get("target") + " at " + event.atMs() + " ms",
+                        ((Number) event.details().get("after_ms")).doubleValue());
             }
         }
         return times;
     }
 
-    private LoadPlan plan() {
+    private LoadPlan loadPlan() {
         Scenario.LoadShape load = scenario.load();
         return new LoadPlan(
                 load.rate(),
--- a/src/main/java/passhatch/lab/drill/DrillCommand.java
+++ b/src/main/java/passhatch/lab/drill/DrillCommand.java
@@ -42,7 +42,7 @@
                 .addSubcommand(new Run())
                 .addSubcommand(new Check())
                 .addSubcommand(new Compare())
-                .addSubcommand(new Gauge());
+                .addSubcommand(new GaugeCommand());
     }
 
     /** Runs a scenario, as often as is wanted. */
--- a/src/main/java/passhatch/lab/drill/EventFile.java
+++ b/src/main/java/passhatch/lab/drill/EventFile.java
@@ -19,33 +19,33 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** Something that happened; the time in milliseconds is negative before the load. */
-    record Event(long atMs, String what, Map<String, Object> more) {}
+    record Event(long atMs, String type, Map<String, Object> details) {}
 
     private final BufferedWriter out;
-    private final List<Event> all = new ArrayList<>();
-    private long zeroNs = System.nanoTime();
+    private final List<Event> events = new ArrayList<>();
+    private long loadStartNs = System.nanoTime();
 
     EventFile(Path file) throws IOException {
         out = Files.newBufferedWriter(file);
     }
 
     /** The load begins at this time of {@link System#nanoTime}. */
-    synchronized void zero(long ns) {
-        zeroNs = ns;
+    synchronized void setLoadStart(long ns) {
+        loadStartNs = ns;
     }
 
     /** Writes one down; the keys and values come in turn. */
-    synchronized void add(String what, Object... more) {
-        long atMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - zeroNs);
+    synchronized void add(String type, Object... keysAndValues) {
+        long atMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - loadStartNs);
         Map<String, Object> details = new LinkedHashMap<>();
-        for (int i = 0; i + 1 < more.length; i += 2) {
-            details.put((String) more[i], more[i + 1]);
+        for (int i = 0; i + 1 < keysAndValues.length; i += 2) {
+            details.put((String) keysAndValues[i], keysAndValues[i + 1]);
         }
-        all.add(new Event(atMs, what, details));
+        events.add(new Event(atMs, type, details));
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("time", Instant.now().toString());
         line.put("at_ms", atMs);
-        line.put("event", what);
+        line.put("event", type);
         line.putAll(details);
         try {
             out.write(JSON.writeValueAsString(line));
@@ -56,8 +56,8 @@
         }
     }
 
-    synchronized List<Event> all() {
-        return List.copyOf(all);
+    synchronized List<Event> events() {
+        return List.copyOf(events);
     }
 
     @Override
--- a/src/main/java/passhatch/lab/drill/FaultPlan.java
+++ b/src/main/java/passhatch/lab/drill/FaultPlan.java
@@ -15,14 +15,14 @@
     /**
      * One thing to do.
      *
-     * @param target number of the proxy or backend from 0, or -1 where there is only one
-     * @param of the fault in the file that it belongs to
+     * @param targetIndex number of the proxy or backend from 0, or -1 where there is only one
+     * @param fault the fault in the file that it belongs to
      */
-    record Step(Duration at, FaultKind kind, int target, Scenario.Fault of) {
+    record Step(Duration at, FaultType type, int targetIndex, Scenario.Fault fault) {
         String targetName() {
-            return switch (kind.on()) {
-                case PROXY -> "proxy-" + (target + 1);
-                case BACKEND -> "backend-" + (target + 1);
+            return switch (type.targetType()) {
+                case PROXY -> "proxy-" + (targetIndex + 1);
+                case BACKEND -> "backend-" + (targetIndex + 1);
                 case DISCOVERY -> "discovery";
                 case PEERS -> "peers";
             };
@@ -34,13 +34,13 @@
     static List<Step> of(Scenario scenario) {
         List<Step> steps = new ArrayList<>();
         for (Scenario.Fault fault : scenario.faults()) {
-            for (int target : targets(scenario, fault)) {
-                steps.add(new Step(fault.at(), fault.kind(), target, fault));
-                if (fault.lasts() != null) {
+            for (int target : targetIndices(scenario, fault)) {
+                steps.add(new Step(fault.at(), fault.type(), target, fault));
+                if (fault.duration() != null) {
                     steps.add(
                             new Step(
-                                    fault.at().plus(fault.lasts()),
-                                    fault.kind().undo(),
+                                    fault.at().plus(fault.duration()),
+                                    fault.type().undoneBy(),
                                     target,
                                     fault));
                 }
@@ -51,10 +51,10 @@
         return steps;
     }
 
-    private static int[] targets(Scenario scenario, Scenario.Fault fault) {
-        return switch (fault.kind().on()) {
-            case PROXY -> numbers(fault.target(), "proxies", scenario.proxies().count());
-            case BACKEND -> numbers(fault.target(), "backends", scenario.backends().count());
+    private static int[] targetIndices(Scenario scenario, Scenario.Fault fault) {
+        return switch (fault.type().targetType()) {
+            case PROXY -> indices(fault.target(), "proxies", scenario.proxies().count());
+            case BACKEND -> indices(fault.target(), "backends", scenario.backends().count());
             default -> new int[] {-1};
         };
     }
@@ -63,7 +63,7 @@
      * Numbers from 0 of what names like proxy-1 mean; the word for all of them may stand among
      * them.
      */
-    static int[] numbers(List<String> names, String all, int count) {
+    static int[] indices(List<String> names, String all, int count) {
         return names.stream()
                 .flatMapToInt(
                         name ->
--- a/src/main/java/passhatch/lab/drill/FaultRunner.java
+++ b/src/main/java/passhatch/lab/drill/FaultRunner.java
@@ -17,106 +17,107 @@
 final class FaultRunner {
 
     private final Scenario scenario;
-    private final Field field;
+    private final Testbed testbed;
     private final ProxyPool front;
     private final EventFile events;
     private final ScheduledExecutorService timer;
-    private NetworkConditions weather = NetworkConditions.UNIMPAIRED;
+    private NetworkConditions networkConditions = NetworkConditions.UNIMPAIRED;
 
     /** The timer has one thread: steps are done one after another, in their order. */
     FaultRunner(
             Scenario scenario,
-            Field field,
+            Testbed testbed,
             ProxyPool front,
             EventFile events,
             ScheduledExecutorService timer) {
         this.scenario = scenario;
-        this.field = field;
+        this.testbed = testbed;
         this.front = front;
         this.events = events;
         this.timer = timer;
     }
 
     /** Has all steps done, each at its time after the load's begin. */
-    void schedule(List<FaultPlan.Step> steps, long beginNs) {
+    void schedule(List<FaultPlan.Step> steps, long startNs) {
         for (FaultPlan.Step step : steps) {
             timer.schedule(
                     () -> run(step),
-                    beginNs + step.at().toNanos() - System.nanoTime(),
+                    startNs + step.at().toNanos() - System.nanoTime(),
                     TimeUnit.NANOSECONDS);
         }
     }
 
     void run(FaultPlan.Step step) {
         try {
-            switch (step.kind().on()) {
-                case PROXY -> proxy(step.kind(), field.proxies.get(step.target()));
-                case BACKEND -> backend(step, field.backends.get(step.target()));
-                case DISCOVERY -> discovery(step);
-                case PEERS -> peers(step);
+            switch (step.type().targetType()) {
+                case PROXY -> applyToProxy(step.type(), testbed.proxies.get(step.targetIndex()));
+                case BACKEND -> applyToBackend(step, testbed.backends.get(step.targetIndex()));
+                case DISCOVERY -> applyToDiscovery(step);
+                case PEERS -> applyToPeers(step);
             }
-            events.add("fault", "do", step.kind().word(), "target", step.targetName());
+            events.add("fault", "do", step.type().label(), "target", step.targetName());
         } catch (IOException | RuntimeException failed) {
             events.add(
                     "fault-failed",
                     "do",
-                    step.kind().word(),
+                    step.type().label(),
                     "target",
                     step.targetName(),
                     "why",
                     String.valueOf(failed.getMessage()));
-        } catch (InterruptedException stop) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
     // ---- processes of the program
 
-    private void proxy(FaultKind kind, ProxyChild proxy) throws IOException, InterruptedException {
-        int number = proxy.number();
-        switch (kind) {
+    private void applyToProxy(FaultType type, ProxyProcess proxy)
+            throws IOException, InterruptedException {
+        int index = proxy.index();
+        switch (type) {
             case KILL -> {
-                front.setFaulty(number, true);
-                proxy.remember(field.discovery.snapshot());
+                front.setFaulty(index, true);
+                proxy.setKnownServers(testbed.discovery.snapshot());
                 signal(proxy, "KILL");
-                noticed(number);
+                scheduleFailureDetection(index);
             }
             case TERM -> {
                 signal(proxy, "TERM");
-                noticed(number);
+                scheduleFailureDetection(index);
             }
             case STOP -> {
-                front.setFaulty(number, true);
+                front.setFaulty(index, true);
                 signal(proxy, "STOP");
-                noticed(number);
+                scheduleFailureDetection(index);
             }
             case CONT -> {
                 signal(proxy, "CONT");
-                front.setFaulty(number, false);
-                front.setAdmitted(number, true);
+                front.setFaulty(index, false);
+                front.setAdmitted(index, true);
             }
             default -> start(proxy);
         }
     }
 
-    private static void signal(ProxyChild proxy, String name)
+    private static void signal(ProxyProcess proxy, String name)
             throws IOException, InterruptedException {
-        if (!proxy.child().signal(name)) {
+        if (!proxy.process().signal(name)) {
             throw new IOException(proxy.name() + " does not run");
         }
     }
 
     /** The front stops sending to it some time later. */
-    private void noticed(int number) {
+    private void scheduleFailureDetection(int index) {
         timer.schedule(
-                () -> front.setAdmitted(number, false),
+                () -> front.setAdmitted(index, false),
                 scenario.load().detect().toNanos(),
                 TimeUnit.NANOSECONDS);
     }
 
     /** Starts it beside the steps that follow, and has it admitted once it is ready. */
-    private void start(ProxyChild proxy) throws IOException {
-        if (proxy.child().alive()) {
+    private void start(ProxyProcess proxy) throws IOException {
+        if (proxy.process().isAlive()) {
             // It has been told to end and has not yet: it is waited for.
             timer.schedule(
                     () -> {
@@ -137,13 +138,14 @@
                     TimeUnit.MILLISECONDS);
             return;
         }
-        proxy.child().start();
+        proxy.process().start();
         long startedNs = System.nanoTime();
-        Thread waits =
+        Thread waiter =
                 new Thread(
                         () -> {
                             try {
-                                if (proxy.awaitReady(scenario.proxies().readyWithin().toMillis())) {
+                                if (proxy.awaitReady(
+                                        scenario.proxies().readyTimeout().toMillis())) {
                                     events.add(
                                             "ready",
                                             "target",
@@ -151,143 +153,143 @@
                                             "after_ms",
                                             TimeUnit.NANOSECONDS.toMillis(
                                                     System.nanoTime() - startedNs));
-                                    front.setFaulty(proxy.number(), false);
-                                    front.setAdmitted(proxy.number(), true);
+                                    front.setFaulty(proxy.index(), false);
+                                    front.setAdmitted(proxy.index(), true);
                                 } else {
                                     events.add(
                                             "not-ready",
                                             "target",
                                             proxy.name(),
                                             "log",
-                                            proxy.child().logEnd());
+                                            proxy.process().logTail());
                                 }
-                            } catch (InterruptedException stop) {
+                            } catch (InterruptedException interrupted) {
                                 Thread.currentThread().interrupt();
                             }
                         },
                         "await-" + proxy.name());
-        waits.setDaemon(true);
-        waits.start();
+        waiter.setDaemon(true);
+        waiter.start();
     }
 
     // ---- what surrounds them
 
-    private void backend(FaultPlan.Step step, BackendServer backend) throws IOException {
-        double share = step.of().share();
-        switch (step.kind()) {
-            case SLOW -> backend.setHealth(BackendServer.Health.SLOW, step.of().factor());
+    private void applyToBackend(FaultPlan.Step step, BackendServer backend) throws IOException {
+        double share = step.fault().share();
+        switch (step.type()) {
+            case SLOW -> backend.setHealth(BackendServer.Health.SLOW, step.fault().factor());
             case HANG -> backend.setHealth(BackendServer.Health.HUNG, 1);
             case FAIL -> backend.setHealth(BackendServer.Health.FAILING, share);
             case RESET -> backend.setHealth(BackendServer.Health.RESETTING, share);
             case WELL -> backend.setHealth(BackendServer.Health.HEALTHY, 0);
             case CRASH -> {
                 backend.crash();
-                list(backend, "DELETED", 0);
+                publishStatus(backend, "DELETED", 0);
             }
             case DRAIN -> {
                 backend.drain(0);
-                list(backend, "DRAINING", 0);
+                publishStatus(backend, "DRAINING", 0);
             }
             default -> {
                 backend.crash();
                 backend.restart();
-                list(backend, "SERVING", System.currentTimeMillis());
+                publishStatus(backend, "SERVING", System.currentTimeMillis());
             }
         }
     }
 
-    private void list(BackendServer backend, String status, long sinceMs) {
-        field.discovery.update(
+    private void publishStatus(BackendServer backend, String status, long sinceMs) {
+        testbed.discovery.update(
                 List.of(
                         new DiscoveryServer.Endpoint(
                                 backend.name(), backend.address(), status, sinceMs)));
     }
 
-    private void discovery(FaultPlan.Step step) throws IOException {
-        switch (step.kind()) {
-            case DOWN -> field.discovery.down();
-            case UP -> field.discovery.up();
-            case BREAK -> field.discovery.closeWatches();
-            case OVERLOAD -> field.discovery.setOverloaded(true);
-            case RELIEVE -> field.discovery.setOverloaded(false);
-            case ANSWER_LATE -> field.discovery.setResponseDelay(step.of().by().toMillis());
-            case ANSWER_AT_ONCE -> field.discovery.setResponseDelay(0);
-            case STALL -> field.discovery.setStalled(true);
-            case RESUME -> field.discovery.setStalled(false);
-            case TELL_LATE -> field.discovery.setNotificationDelay(step.of().by().toMillis());
-            default -> field.discovery.setNotificationDelay(0);
+    private void applyToDiscovery(FaultPlan.Step step) throws IOException {
+        switch (step.type()) {
+            case DOWN -> testbed.discovery.down();
+            case UP -> testbed.discovery.up();
+            case BREAK -> testbed.discovery.closeWatches();
+            case OVERLOAD -> testbed.discovery.setOverloaded(true);
+            case RELIEVE -> testbed.discovery.setOverloaded(false);
+            case ANSWER_LATE -> testbed.discovery.setResponseDelay(step.fault().by().toMillis());
+            case ANSWER_AT_ONCE -> testbed.discovery.setResponseDelay(0);
+            case STALL -> testbed.discovery.setStalled(true);
+            case RESUME -> testbed.discovery.setStalled(false);
+            case TELL_LATE -> testbed.discovery.setNotificationDelay(step.fault().by().toMillis());
+            default -> testbed.discovery.setNotificationDelay(0);
         }
     }
 
     /** Kinds of bad weather add up; a heal ends all of them. */
-    private void peers(FaultPlan.Step step) {
-        double share = step.of().share();
-        long us = TimeUnit.MICROSECONDS.convert(step.of().by());
-        NetworkConditions w = weather;
-        switch (step.kind()) {
+    private void applyToPeers(FaultPlan.Step step) {
+        double share = step.fault().share();
+        long delayUs = TimeUnit.MICROSECONDS.convert(step.fault().by());
+        NetworkConditions current = networkConditions;
+        switch (step.type()) {
             case LOSE ->
-                    weather =
+                    networkConditions =
                             new NetworkConditions(
                                     share,
-                                    w.duplicateRate(),
-                                    w.truncateRate(),
-                                    w.reorderRate(),
-                                    w.delayUs(),
-                                    w.jitterUs());
+                                    current.duplicateRate(),
+                                    current.truncateRate(),
+                                    current.reorderRate(),
+                                    current.delayUs(),
+                                    current.jitterUs());
             case DOUBLE ->
-                    weather =
+                    networkConditions =
                             new NetworkConditions(
-                                    w.lossRate(),
+                                    current.lossRate(),
                                     share,
-                                    w.truncateRate(),
-                                    w.reorderRate(),
-                                    w.delayUs(),
-                                    w.jitterUs());
+                                    current.truncateRate(),
+                                    current.reorderRate(),
+                                    current.delayUs(),
+                                    current.jitterUs());
             case CUT ->
-                    weather =
+                    networkConditions =
                             new NetworkConditions(
-                                    w.lossRate(),
-                                    w.duplicateRate(),
+                                    current.lossRate(),
+                                    current.duplicateRate(),
                                     share,
-                                    w.reorderRate(),
-                                    w.delayUs(),
-                                    w.jitterUs());
+                                    current.reorderRate(),
+                                    current.delayUs(),
+                                    current.jitterUs());
             case REORDER ->
-                    weather =
+                    networkConditions =
                             new NetworkConditions(
-                                    w.lossRate(),
-                                    w.duplicateRate(),
-                                    w.truncateRate(),
+                                    current.lossRate(),
+                                    current.duplicateRate(),
+                                    current.truncateRate(),
                                     share,
-                                    w.delayUs(),
-                                    w.jitterUs());
+                                    current.delayUs(),
+                                    current.jitterUs());
             case DELAY ->
-                    weather =
+                    networkConditions =
                             new NetworkConditions(
-                                    w.lossRate(),
-                                    w.duplicateRate(),
-                                    w.truncateRate(),
-                                    w.reorderRate(),
-                                    us,
-                                    us / 2);
-            case ONE_WAY, PARTITION -> field.relay.setConnectivity(connected(step));
+                                    current.lossRate(),
+                                    current.duplicateRate(),
+                                    current.truncateRate(),
+                                    current.reorderRate(),
+                                    delayUs,
+                                    delayUs / 2);
+            case ONE_WAY, PARTITION -> testbed.relay.setConnectivity(connectivity(step));
             default -> {
-                weather = NetworkConditions.UNIMPAIRED;
-                field.relay.setConnectivity((a, b) -> true);
+                networkConditions = NetworkConditions.UNIMPAIRED;
+                testbed.relay.setConnectivity((a, b) -> true);
             }
         }
-        field.relay.setConditions(weather);
+        testbed.relay.setConditions(networkConditions);
     }
 
-    private BiPredicate<Integer, Integer> connected(FaultPlan.Step step) {
+    private BiPredicate<Integer, Integer> connectivity(FaultPlan.Step step) {
         int count = scenario.proxies().count();
         int[] groupOf = new int[count];
-        for (int g = 0; g < step.of().groups().size(); g++) {
+        for (int g = 0; g < step.fault().groups().size(); g++) {
             int group = g + 1;
-            Arrays.stream(FaultPlan.numbers(step.of().groups().get(g), "proxies", count))
+            Arrays.stream(FaultPlan.indices(step.fault().groups().get(g), "proxies", count))
                     .forEach(n -> groupOf[n] = group);
         }
-        return step.kind() == FaultKind.ONE_WAY
+        return step.type() == FaultType.ONE_WAY
                 ? (from, to) -> groupOf[from] != 1
                 : (from, to) -> groupOf[from] == groupOf[to];
     }
--- a/src/main/java/passhatch/lab/drill/FaultKind.java
+++ b/src/main/java/passhatch/lab/drill/FaultType.java
@@ -4,92 +4,92 @@
 import java.util.Locale;
 
 /** What can be done to the fleet and what surrounds it, by the name that scenario files use. */
-enum FaultKind {
+enum FaultType {
     /** SIGKILL to a process of the program. */
-    KILL(On.PROXY),
+    KILL(TargetType.PROXY),
     /** SIGTERM to it. */
-    TERM(On.PROXY),
+    TERM(TargetType.PROXY),
     /** SIGSTOP to it. */
-    STOP(On.PROXY),
+    STOP(TargetType.PROXY),
     /** SIGCONT to it. */
-    CONT(On.PROXY),
+    CONT(TargetType.PROXY),
     /** Starts it again, at its addresses. */
-    START(On.PROXY),
+    START(TargetType.PROXY),
     /** A backend's times grow by a factor. */
-    SLOW(On.BACKEND),
+    SLOW(TargetType.BACKEND),
     /** It takes work and answers nothing. */
-    HANG(On.BACKEND),
+    HANG(TargetType.BACKEND),
     /** A share of its answers is 500. */
-    FAIL(On.BACKEND),
+    FAIL(TargetType.BACKEND),
     /** A share of its requests ends in a reset. */
-    RESET(On.BACKEND),
+    RESET(TargetType.BACKEND),
     /** Its machine's process dies, and discovery says so. */
-    CRASH(On.BACKEND),
+    CRASH(TargetType.BACKEND),
     /** It starts again, cold, and discovery lists it. */
-    RETURN(On.BACKEND),
+    RETURN(TargetType.BACKEND),
     /** Discovery says that it drains, and it does. */
-    DRAIN(On.BACKEND),
+    DRAIN(TargetType.BACKEND),
     /** It is well again. */
-    WELL(On.BACKEND),
+    WELL(TargetType.BACKEND),
     /** Discovery is down. */
-    DOWN(On.DISCOVERY),
+    DOWN(TargetType.DISCOVERY),
     /** It is there again. */
-    UP(On.DISCOVERY),
+    UP(TargetType.DISCOVERY),
     /** Its watches break off once. */
-    BREAK(On.DISCOVERY),
+    BREAK(TargetType.DISCOVERY),
     /** It says nothing. */
-    STALL(On.DISCOVERY),
+    STALL(TargetType.DISCOVERY),
     /** It speaks again. */
-    RESUME(On.DISCOVERY),
+    RESUME(TargetType.DISCOVERY),
     /** Its calls wait and are turned away; open watches go on. */
-    OVERLOAD(On.DISCOVERY),
+    OVERLOAD(TargetType.DISCOVERY),
     /** Its calls are answered again. */
-    RELIEVE(On.DISCOVERY),
+    RELIEVE(TargetType.DISCOVERY),
     /** It answers calls late. */
-    ANSWER_LATE(On.DISCOVERY),
+    ANSWER_LATE(TargetType.DISCOVERY),
     /** It answers them at once again. */
-    ANSWER_AT_ONCE(On.DISCOVERY),
+    ANSWER_AT_ONCE(TargetType.DISCOVERY),
     /** It tells changes late. */
-    TELL_LATE(On.DISCOVERY),
+    TELL_LATE(TargetType.DISCOVERY),
     /** It tells them at once again. */
-    TELL_AT_ONCE(On.DISCOVERY),
+    TELL_AT_ONCE(TargetType.DISCOVERY),
     /** A share of datagrams is lost. */
-    LOSE(On.PEERS),
+    LOSE(TargetType.PEERS),
     /** All datagrams come late. */
-    DELAY(On.PEERS),
+    DELAY(TargetType.PEERS),
     /** A share comes twice. */
-    DOUBLE(On.PEERS),
+    DOUBLE(TargetType.PEERS),
     /** A share is overtaken. */
-    REORDER(On.PEERS),
+    REORDER(TargetType.PEERS),
     /** Of a share only the first half comes. */
-    CUT(On.PEERS),
+    CUT(TargetType.PEERS),
     /** Processes of the first group are heard by no other and hear all. */
-    ONE_WAY(On.PEERS),
+    ONE_WAY(TargetType.PEERS),
     /** Only processes of one group reach each other. */
-    PARTITION(On.PEERS),
+    PARTITION(TargetType.PEERS),
     /** All datagrams arrive again, at once. */
-    HEAL(On.PEERS);
+    HEAL(TargetType.PEERS);
 
     /** What a fault is done to. */
-    enum On {
+    enum TargetType {
         PROXY,
         BACKEND,
         DISCOVERY,
         PEERS
     }
 
-    private final On on;
+    private final TargetType targetType;
 
-    FaultKind(On on) {
-        this.on = on;
+    FaultType(TargetType targetType) {
+        this.targetType = targetType;
     }
 
-    On on() {
-        return on;
+    TargetType targetType() {
+        return targetType;
     }
 
     /** What undoes it, after the time that a file gives it; null where nothing does. */
-    FaultKind undo() {
+    FaultType undoneBy() {
         return switch (this) {
             case KILL, TERM -> START;
             case STOP -> CONT;
@@ -106,7 +106,7 @@
     }
 
     /** Whether it only undoes another: recovery is measured after those that harm. */
-    boolean undoes() {
+    boolean undoesFault() {
         return switch (this) {
             case CONT,
                     START,
@@ -124,7 +124,7 @@
     }
 
     @JsonValue
-    String word() {
+    String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/passhatch/lab/drill/Gauge.java
+++ b/src/main/java/passhatch/lab/drill/GaugeCommand.java
@@ -27,10 +27,10 @@
         mixinStandardHelpOptions = true,
         description =
                 "Measures the load tool against stand-in backends alone, with no proxy between.")
-final class Gauge implements Callable<Integer> {
+final class GaugeCommand implements Callable<Integer> {
 
-    private static final long WORK_US = 200;
-    private static final double WARM_UP = 2_000;
+    private static final long SERVICE_TIME_US = 200;
+    private static final double WARM_UP_RATE = 2_000;
     private static final int CONNECTIONS = 256;
 
     @Spec private CommandSpec spec;
@@ -52,7 +52,7 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        var group =
+        var eventLoops =
                 new MultiThreadIoEventLoopGroup(
                         threads,
                         new DefaultThreadFactory("stand-in", true),
@@ -65,7 +65,7 @@
                         CONNECTIONS,
                         1 << 16,
                         1 << 12,
-                        new ServiceTime(ServiceTime.Distribution.CONSTANT, WORK_US, 0),
+                        new ServiceTime(ServiceTime.Distribution.CONSTANT, SERVICE_TIME_US, 0),
                         1,
                         0);
         List<BackendServer> backends =
@@ -75,7 +75,7 @@
                                         new BackendServer(
                                                 "backend-" + i,
                                                 shape,
-                                                group.next(),
+                                                eventLoops.next(),
                                                 ledger,
                                                 seeds.stream("b" + i)))
                         .toList();
@@ -86,8 +86,8 @@
         backends.forEach(b -> front.setAdmitted(backends.indexOf(b), true));
         try {
             // A JVM that has just started is slow: what it gives then is not what it can give.
-            give(WARM_UP, 3, front, seeds);
-            LoadStats tally = give(rate, seconds, front, seeds);
+            runLoad(WARM_UP_RATE, 3, front, seeds);
+            LoadStats tally = runLoad(rate, seconds, front, seeds);
             spec.commandLine()
                     .getOut()
                     .printf(
@@ -104,17 +104,18 @@
             return tally.count(Outcome.SERVED) == tally.offered() ? 0 : 1;
         } finally {
             backends.forEach(BackendServer::close);
-            group.shutdownGracefully();
+            eventLoops.shutdownGracefully();
         }
     }
 
-    private LoadStats give(double perSecond, int forSeconds, ProxyPool front, Seeds seeds)
+    private LoadStats runLoad(
+            double requestsPerSecond, int durationSeconds, ProxyPool front, Seeds seeds)
             throws InterruptedException {
         LoadPlan plan =
                 new LoadPlan(
-                        perSecond,
+                        requestsPerSecond,
                         false,
-                        forSeconds * 1_000L,
+                        durationSeconds * 1_000L,
                         0,
                         CONNECTIONS,
                         threads,
--- a/src/main/java/passhatch/lab/drill/ProxyChild.java
+++ b/src/main/java/passhatch/lab/drill/ProxyProcess.java
@@ -12,17 +12,17 @@
 import java.util.concurrent.TimeUnit;
 
 /** One proxy as a process of its own, with its configuration, its addresses and its log. */
-public final class ProxyChild {
+public final class ProxyProcess {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** A port may be taken by another between its choice and its use. */
-    private static final int TRIES = 3;
+    private static final int MAX_START_ATTEMPTS = 3;
 
-    private static final long POLL_MS = 10;
+    private static final long POLL_INTERVAL_MS = 10;
 
     /** What all proxies of a drill have in common. */
-    public record Shared(
+    public record SharedConfig(
             Path jar,
             Path folder,
             Scenario scenario,
@@ -33,7 +33,7 @@
          * For proxies that run without a scenario: one balancer with retries, and the classes of
          * requests that a scenario has by default.
          */
-        public static Shared alone(
+        public static SharedConfig standalone(
                 Path jar,
                 Path folder,
                 long seed,
@@ -48,44 +48,47 @@
                     expect = {lost = 0}
                     """
                             .formatted(seed, memoryMb);
-            return new Shared(
+            return new SharedConfig(
                     jar, folder, ScenarioReader.read("alone", scenario), discovery, options);
         }
     }
 
-    private final int number;
-    private final Shared shared;
+    private final int index;
+    private final SharedConfig shared;
     private final List<InetSocketAddress> peers;
     private final InetSocketAddress peerListen;
     private final Path folder;
     private InetSocketAddress discovery;
     private InetSocketAddress listen;
     private InetSocketAddress control;
-    private Child child;
+    private ChildProcess process;
 
     /** The list in its configuration; null where it starts without one. */
-    private Map<String, Object> known;
+    private Map<String, Object> knownServers;
 
     /** A proxy that is not started yet; its folder is made. */
-    public ProxyChild(
-            int number, Shared shared, List<InetSocketAddress> peers, InetSocketAddress peerListen)
+    public ProxyProcess(
+            int index,
+            SharedConfig shared,
+            List<InetSocketAddress> peers,
+            InetSocketAddress peerListen)
             throws IOException {
-        this.number = number;
+        this.index = index;
         this.shared = shared;
         this.peers = peers;
         this.discovery = shared.discovery();
         this.peerListen = peerListen;
         this.folder = Files.createDirectories(shared.folder().resolve(name()));
-        chooseAddresses();
+        choosePorts();
     }
 
     /** Its name in logs and reports. */
     public String name() {
-        return "proxy-" + (number + 1);
+        return "proxy-" + (index + 1);
     }
 
-    int number() {
-        return number;
+    int index() {
+        return index;
     }
 
     /** Where it takes calls; final once it has started. */
@@ -94,27 +97,28 @@
     }
 
     /** Its process. */
-    public Child child() {
-        return child;
+    public ChildProcess process() {
+        return process;
     }
 
-    private void chooseAddresses() throws IOException {
-        listen = Local.freePort();
-        control = Local.freePort();
-        configure();
+    private void choosePorts() throws IOException {
+        listen = LocalNetwork.freeTcpAddress();
+        control = LocalNetwork.freeTcpAddress();
+        prepareProcess();
     }
 
     /** Its next start finds this list of discovery in its configuration. */
-    void remember(Map<String, Object> list) throws IOException {
-        known = list;
+    void setKnownServers(Map<String, Object> list) throws IOException {
+        knownServers = list;
         writeConfiguration();
     }
 
     /** Its configuration names discovery at this address from now on, and a SIGHUP says so. */
-    void moveDiscovery(InetSocketAddress address) throws IOException, InterruptedException {
+    void changeDiscoveryAddress(InetSocketAddress address)
+            throws IOException, InterruptedException {
         discovery = address;
         writeConfiguration();
-        if (!child.signal("HUP")) {
+        if (!process.signal("HUP")) {
             throw new IOException(name() + " does not run");
         }
     }
@@ -124,7 +128,7 @@
                 folder.resolve("config.json"), JSON.writeValueAsString(configuration()));
     }
 
-    private void configure() throws IOException {
+    private void prepareProcess() throws IOException {
         Path tmp = Files.createDirectories(folder.resolve("tmp"));
         Path config = writeConfiguration();
         Map<String, String> env =
@@ -132,23 +136,23 @@
                         "PROXY_NAME",
                         name(),
                         "PROXY_LISTEN",
-                        Local.text(listen),
+                        LocalNetwork.format(listen),
                         "PROXY_CONTROL",
-                        Local.text(control),
+                        LocalNetwork.format(control),
                         "PROXY_DISCOVERY",
-                        Local.text(discovery),
+                        LocalNetwork.format(discovery),
                         "PROXY_CONFIG",
                         config.toString(),
                         "TMPDIR",
                         tmp.toString());
-        child = new Child(name(), command(), env, folder.resolve("log"));
+        process = new ChildProcess(name(), command(), env, folder.resolve("log"));
     }
 
     /** As {@code deploy/serve.sh} starts it. */
     private List<String> command() {
         int heap = Math.max(24, Math.min(48, shared.scenario().proxies().memoryMb() / 3));
         List<String> command =
-                new ArrayList<>(withOpenFiles(shared.scenario().proxies().openFiles()));
+                new ArrayList<>(openFilesPrefix(shared.scenario().proxies().openFiles()));
         command.addAll(
                 List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -169,26 +173,27 @@
     }
 
     /** The JVM would raise a limit that is not the hard one as well. */
-    private static List<String> withOpenFiles(int most) {
-        return most == 0
+    private static List<String> openFilesPrefix(int maxOpenFiles) {
+        return maxOpenFiles == 0
                 ? List.of()
-                : List.of("/bin/sh", "-c", "ulimit -n " + most + " && exec \"$@\"", "sh");
+                : List.of("/bin/sh", "-c", "ulimit -n " + maxOpenFiles + " && exec \"$@\"", "sh");
     }
 
     private Map<String, Object> configuration() {
-        Scenario s = shared.scenario();
+        Scenario scenario = shared.scenario();
         Map<String, Object> settings = new HashMap<>();
-        settings.put("categories", s.classes().stream().map(ProxyChild::category).toList());
+        settings.put(
+                "categories", scenario.classes().stream().map(ProxyProcess::category).toList());
         settings.put("dcs", List.of("a"));
         settings.put("machineTypes", List.of("m"));
-        settings.put("balancers", s.proxies().count());
-        settings.put("me", number);
-        settings.put("discovery", s.proxies().asks() ? "on_request" : "pushed");
+        settings.put("balancers", scenario.proxies().count());
+        settings.put("me", index);
+        settings.put("discovery", scenario.proxies().asks() ? "on_request" : "pushed");
         settings.put(
                 "limits",
                 Map.of(
                         "maxAttempts",
-                        s.proxies().retries() ? 3 : 1,
+                        scenario.proxies().retries() ? 3 : 1,
                         "cancel",
                         true,
                         "probes",
@@ -209,9 +214,11 @@
                         "drainGraceUs",
                         750_000,
                         "coldFrom",
-                        s.backends().coldShare(),
+                        scenario.backends().coldShare(),
                         "coldUs",
-                        Math.max(1, TimeUnit.MICROSECONDS.convert(s.backends().coldFor())),
+                        Math.max(
+                                1,
+                                TimeUnit.MICROSECONDS.convert(scenario.backends().coldDuration())),
                         "tipMultiple",
                         2.5,
                         "overloadForUs",
@@ -220,44 +227,44 @@
                         10_000_000));
         Map<String, Object> config = new HashMap<>();
         config.put("name", name());
-        config.put("seed", Long.toHexString(s.seed() * 1_000_003 + number));
+        config.put("seed", Long.toHexString(scenario.seed() * 1_000_003 + index));
         config.put(
                 "limits",
                 Map.of(
                         "cores",
                         1.0,
                         "memory_mb",
-                        s.proxies().memoryMb(),
+                        scenario.proxies().memoryMb(),
                         "sockets",
-                        s.proxies().sockets()));
-        config.put("listen", Local.text(listen));
-        config.put("control", Local.text(control));
-        config.put("discovery", Local.text(discovery));
-        config.put("peer_listen", Local.text(peerListen));
-        config.put("peers", peers.stream().map(Local::text).toList());
+                        scenario.proxies().sockets()));
+        config.put("listen", LocalNetwork.format(listen));
+        config.put("control", LocalNetwork.format(control));
+        config.put("discovery", LocalNetwork.format(discovery));
+        config.put("peer_listen", LocalNetwork.format(peerListen));
+        config.put("peers", peers.stream().map(LocalNetwork::format).toList());
         config.put("settings", settings);
-        if (known != null) {
-            config.put("known", known);
+        if (knownServers != null) {
+            config.put("known", knownServers);
         }
         return config;
     }
 
-    private static Map<String, Object> category(Scenario.RequestKind kind) {
+    private static Map<String, Object> category(Scenario.RequestClass requestClass) {
         String effect =
-                switch (kind.effect()) {
+                switch (requestClass.effect()) {
                     case SAFE -> "pure";
                     case KEYED -> "token";
                     case UNSAFE -> "side_effect";
                 };
         return Map.of(
                 "name",
-                kind.name(),
+                requestClass.name(),
                 "effect",
                 effect,
                 "goalTimeUs",
-                TimeUnit.MICROSECONDS.convert(kind.aim()),
+                TimeUnit.MICROSECONDS.convert(requestClass.aim()),
                 "deadlineUs",
-                TimeUnit.MICROSECONDS.convert(kind.deadline()),
+                TimeUnit.MICROSECONDS.convert(requestClass.deadline()),
                 "worth",
                 1,
                 "dedupWindowUs",
@@ -267,45 +274,45 @@
     }
 
     /** Starts it for the first time; where its port was taken meanwhile, at others. */
-    public void firstStart() throws IOException, InterruptedException {
-        for (int i = 1; ; i++) {
-            child.start();
+    public void startWithPortRetry() throws IOException, InterruptedException {
+        for (int attempt = 1; ; attempt++) {
+            process.start();
             // A taken port shows as an end within the start; all else shows later, as it does not
             // get ready.
-            if (awaitListeningOrEnd()
-                    || i == TRIES
-                    || !child.logEnd().contains("Address already in use")) {
+            if (awaitListeningOrExit()
+                    || attempt == MAX_START_ATTEMPTS
+                    || !process.logTail().contains("Address already in use")) {
                 return;
             }
-            chooseAddresses();
+            choosePorts();
         }
     }
 
-    private boolean awaitListeningOrEnd() throws InterruptedException {
-        while (child.alive() && !child.logEnd().contains("listening on") && !ready()) {
-            Thread.sleep(POLL_MS);
+    private boolean awaitListeningOrExit() throws InterruptedException {
+        while (process.isAlive() && !process.logTail().contains("listening on") && !isReady()) {
+            Thread.sleep(POLL_INTERVAL_MS);
         }
-        return child.alive();
+        return process.isAlive();
     }
 
     /** Waits until it says that it is ready; false where it has ended or the time is over. */
-    public boolean awaitReady(long ms) throws InterruptedException {
-        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-        while (System.nanoTime() < endNs && child.alive()) {
-            if (ready()) {
+    public boolean awaitReady(long timeoutMs) throws InterruptedException {
+        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+        while (System.nanoTime() < endNs && process.isAlive()) {
+            if (isReady()) {
                 return true;
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
         return false;
     }
 
-    private boolean ready() {
+    private boolean isReady() {
         return ask("check").startsWith("done");
     }
 
     /** What its control address answers to a call; nothing where it does not answer. */
     String ask(String call) {
-        return Local.ask(control, call);
+        return LocalNetwork.ask(control, call);
     }
 }
--- a/src/main/java/passhatch/lab/drill/ReportPage.java
+++ b/src/main/java/passhatch/lab/drill/ReportPage.java
@@ -60,16 +60,16 @@
             page.append("<li>").append(escape(result.invalid()));
         }
         page.append("</ul>");
-        List<Double> marks =
+        List<Double> faultTimes =
                 events.stream()
-                        .filter(e -> e.what().equals("fault"))
+                        .filter(e -> e.type().equals("fault"))
                         .map(e -> e.atMs() / 1e3)
                         .toList();
-        page.append(svg(rates(tally, marks))).append(svg(latency(tally, marks)));
-        table(page, "Requests", result.counts());
-        table(page, "Latency from when they were due, ms", result.latencyMs());
-        table(page, "Sent later than due, ms", result.behindMs());
-        table(page, "Ready after a start, ms", result.readyMs());
+        page.append(svg(rateChart(tally, faultTimes))).append(svg(latencyChart(tally, faultTimes)));
+        appendTable(page, "Requests", result.counts());
+        appendTable(page, "Latency from when they were due, ms", result.latencyMs());
+        appendTable(page, "Sent later than due, ms", result.behindMs());
+        appendTable(page, "Ready after a start, ms", result.readyMs());
         page.append("<h2>Recovery</h2><table><tr><th>fault<th>at, ms<th>back at 95 % after, ms");
         result.recoveries()
                 .forEach(
@@ -86,13 +86,13 @@
                         page.append("<tr><td>")
                                 .append(e.atMs())
                                 .append("<td>")
-                                .append(escape(e.what()))
+                                .append(escape(e.type()))
                                 .append("<td>")
-                                .append(escape(String.valueOf(e.more()))));
+                                .append(escape(String.valueOf(e.details()))));
         Files.writeString(file, page.append("</table>"));
     }
 
-    private static void table(
+    private static void appendTable(
             StringBuilder page, String title, Map<String, ? extends Number> rows) {
         page.append("<h2>").append(title).append("</h2><table>");
         rows.forEach(
@@ -101,19 +101,25 @@
         page.append("</table>");
     }
 
-    private static XYChart rates(LoadStats tally, List<Double> marks) {
+    private static XYChart rateChart(LoadStats tally, List<Double> faultTimes) {
         XYChart chart = chart("requests a second");
         double perSecond = 1_000.0 / LoadStats.STEP_MS;
-        add(chart, "offered", tally, s -> s.offered() * perSecond, Color.LIGHT_GRAY);
-        add(chart, "served", tally, s -> s.count(Outcome.SERVED) * perSecond, new Color(0x2a7f3f));
-        add(chart, "late", tally, s -> s.count(Outcome.LATE) * perSecond, new Color(0xd9a400));
-        add(
+        addSeries(chart, "offered", tally, s -> s.offered() * perSecond, Color.LIGHT_GRAY);
+        addSeries(
+                chart,
+                "served",
+                tally,
+                s -> s.count(Outcome.SERVED) * perSecond,
+                new Color(0x2a7f3f));
+        addSeries(
+                chart, "late", tally, s -> s.count(Outcome.LATE) * perSecond, new Color(0xd9a400));
+        addSeries(
                 chart,
                 "refused or failed",
                 tally,
                 s -> (s.count(Outcome.REFUSED) + s.count(Outcome.FAILED)) * perSecond,
                 new Color(0xc04000));
-        add(
+        addSeries(
                 chart,
                 "cut, lost or spoilt",
                 tally,
@@ -121,30 +127,30 @@
                         (s.count(Outcome.CUT) + s.count(Outcome.LOST) + s.count(Outcome.SPOILT))
                                 * perSecond,
                 new Color(0x600060));
-        faults(
+        addFaultLines(
                 chart,
-                marks,
+                faultTimes,
                 tally.steps().stream().mapToDouble(s -> s.offered() * perSecond).max().orElse(1));
         return chart;
     }
 
-    private static XYChart latency(LoadStats tally, List<Double> marks) {
+    private static XYChart latencyChart(LoadStats tally, List<Double> faultTimes) {
         XYChart chart = chart("latency, ms");
-        add(
+        addSeries(
                 chart,
                 "median",
                 tally,
                 s -> s.latencyUs().getValueAtPercentile(50) / 1e3,
                 new Color(0x2a7f3f));
-        add(
+        addSeries(
                 chart,
                 "99th percentile",
                 tally,
                 s -> s.latencyUs().getValueAtPercentile(99) / 1e3,
                 new Color(0xc04000));
-        faults(
+        addFaultLines(
                 chart,
-                marks,
+                faultTimes,
                 tally.steps().stream()
                         .mapToDouble(s -> s.latencyUs().getValueAtPercentile(99) / 1e3)
                         .max()
@@ -164,7 +170,7 @@
         return chart;
     }
 
-    private static void add(
+    private static void addSeries(
             XYChart chart,
             String name,
             LoadStats tally,
@@ -182,12 +188,12 @@
     }
 
     /** An upright line at each fault. */
-    private static void faults(XYChart chart, List<Double> marks, double top) {
-        for (int i = 0; i < marks.size(); i++) {
+    private static void addFaultLines(XYChart chart, List<Double> faultTimes, double top) {
+        for (int i = 0; i < faultTimes.size(); i++) {
             XYSeries line =
                     chart.addSeries(
                             "fault " + (i + 1),
-                            List.of(marks.get(i), marks.get(i)),
+                            List.of(faultTimes.get(i), faultTimes.get(i)),
                             List.of(0.0, Math.max(top, 1e-3)));
             style(line, new Color(0x3060c0));
             line.setShowInLegend(false);
--- a/src/main/java/passhatch/lab/drill/Judge.java
+++ b/src/main/java/passhatch/lab/drill/ResultEvaluator.java
@@ -12,19 +12,19 @@
 import passhatch.lab.standin.RequestLedger;
 
 /** Works out a drill's result from what was counted, and whether all that was expected holds. */
-final class Judge {
+final class ResultEvaluator {
 
     /** Service is back when this part of the requests is served again. */
-    private static final double BACK = 0.95;
+    private static final double RECOVERED_RATIO = 0.95;
 
     /** Steps that are looked at together, so that few requests do not make a chance result. */
     private static final int WINDOW_STEPS = 1_000 / LoadStats.STEP_MS;
 
     private static final double[] QUANTILES = {50, 90, 99, 99.9, 100};
 
-    private Judge() {}
+    private ResultEvaluator() {}
 
-    static Result judge(
+    static Result evaluate(
             Scenario scenario,
             LoadStats tally,
             RequestLedger ledger,
@@ -40,31 +40,31 @@
         counts.put("duplicates", ledger.duplicates());
         counts.put("too_often", ledger.requestsOverMaxAttempts());
         counts.put("after_drain", ledger.attemptsAfterDrain());
-        double share =
+        double servedShare =
                 tally.offered() == 0 ? 0 : (double) tally.count(Outcome.SERVED) / tally.offered();
         List<Result.Recovery> recoveries = recoveries(tally, steps, scenario.duration());
         Map<String, Double> latency = quantiles(tally.latencyUs());
         Map<String, Double> behind = quantiles(tally.sendDelayUs());
-        double bound = millis(scenario.load().behind());
+        double boundMs = millis(scenario.load().behind());
         String invalid =
-                behind.get("p99") <= bound
+                behind.get("p99") <= boundMs
                         ? null
                         : String.format(
                                 Locale.ROOT,
                                 "the machine is too busy: a hundredth of the requests went out over"
                                         + " %.1f ms late; %.1f ms is the bound",
                                 behind.get("p99"),
-                                bound);
+                                boundMs);
         return new Result(
                 scenario.name(),
                 scenario.seed(),
-                share,
+                servedShare,
                 counts,
                 latency,
                 recoveries,
                 behind,
                 readyMs,
-                broken(scenario.expect(), share, counts, latency, recoveries),
+                violations(scenario.expect(), servedShare, counts, latency, recoveries),
                 invalid);
     }
 
@@ -90,12 +90,13 @@
     private static List<Result.Recovery> recoveries(
             LoadStats tally, List<FaultPlan.Step> steps, Duration end) {
         List<Result.Recovery> all = new ArrayList<>();
-        List<FaultPlan.Step> harms = steps.stream().filter(s -> !s.kind().undoes()).toList();
-        for (int i = 0; i < harms.size(); i++) {
-            FaultPlan.Step fault = harms.get(i);
+        List<FaultPlan.Step> harmfulSteps =
+                steps.stream().filter(s -> !s.type().undoesFault()).toList();
+        for (int i = 0; i < harmfulSteps.size(); i++) {
+            FaultPlan.Step fault = harmfulSteps.get(i);
             long atMs = fault.at().toMillis();
             long untilMs =
-                    harms.stream()
+                    harmfulSteps.stream()
                             .skip(i + 1)
                             .mapToLong(s -> s.at().toMillis())
                             .filter(ms -> ms > atMs)
@@ -103,7 +104,7 @@
                             .orElse(end.toMillis());
             all.add(
                     new Result.Recovery(
-                            fault.kind().word() + " " + fault.targetName(),
+                            fault.type().label() + " " + fault.targetName(),
                             atMs,
                             recovery(tally.steps(), atMs, untilMs)));
         }
@@ -126,7 +127,7 @@
                 offered += step.offered();
                 served += step.count(Outcome.SERVED);
             }
-            if (served < BACK * offered
+            if (served < RECOVERED_RATIO * offered
                     && steps.get(i).count(Outcome.SERVED) < steps.get(i).offered()) {
                 lastBad = i;
             }
@@ -137,35 +138,35 @@
         return lastBad == last - 1 ? null : (lastBad + 1) * (long) LoadStats.STEP_MS - atMs;
     }
 
-    private static List<String> broken(
-            Scenario.Expect expect,
-            double share,
+    private static List<String> violations(
+            Scenario.Expectations expect,
+            double servedShare,
             Map<String, Long> counts,
             Map<String, Double> latency,
             List<Result.Recovery> recoveries) {
-        List<String> broken = new ArrayList<>();
-        if (expect.served() != null && share < expect.served()) {
-            broken.add(
+        List<String> violations = new ArrayList<>();
+        if (expect.served() != null && servedShare < expect.served()) {
+            violations.add(
                     String.format(
                             Locale.ROOT,
                             "served: %.4f of the requests, and at least %.4f is expected",
-                            share,
+                            servedShare,
                             expect.served()));
         }
-        Map<String, Long> most = new LinkedHashMap<>();
-        most.put("late", expect.late());
-        most.put("refused", expect.refused());
-        most.put("failed", expect.failed());
-        most.put("cut", expect.cut());
-        most.put("lost", expect.lost());
-        most.put("spoilt", expect.spoilt());
-        most.put("duplicates", expect.duplicates());
-        most.put("too_often", expect.tooOften());
-        most.put("after_drain", expect.afterDrain());
-        most.forEach(
+        Map<String, Long> limits = new LinkedHashMap<>();
+        limits.put("late", expect.late());
+        limits.put("refused", expect.refused());
+        limits.put("failed", expect.failed());
+        limits.put("cut", expect.cut());
+        limits.put("lost", expect.lost());
+        limits.put("spoilt", expect.spoilt());
+        limits.put("duplicates", expect.duplicates());
+        limits.put("too_often", expect.tooOften());
+        limits.put("after_drain", expect.afterDrain());
+        limits.forEach(
                 (name, limit) -> {
                     if (limit != null && counts.get(name) > limit) {
-                        broken.add(
+                        violations.add(
                                 name
                                         + ": "
                                         + counts.get(name)
@@ -179,7 +180,7 @@
                     .filter(r -> r.ms() == null || r.ms() > expect.recovery().toMillis())
                     .forEach(
                             r ->
-                                    broken.add(
+                                    violations.add(
                                             "recovery: after '"
                                                     + r.fault()
                                                     + "' at "
@@ -191,13 +192,13 @@
                                                     + " ms is expected"));
         }
         if (expect.p99() != null && latency.get("p99") > millis(expect.p99())) {
-            broken.add(
+            violations.add(
                     "p99: "
                             + latency.get("p99")
                             + " ms, and at most "
                             + millis(expect.p99())
                             + " is expected");
         }
-        return broken;
+        return violations;
     }
 }
--- a/src/main/java/passhatch/lab/drill/Scenario.java
+++ b/src/main/java/passhatch/lab/drill/Scenario.java
@@ -21,16 +21,16 @@
         Duration duration,
         Proxies proxies,
         Backends backends,
-        List<RequestKind> classes,
+        List<RequestClass> classes,
         LoadShape load,
         List<Fault> faults,
-        Expect expect) {
+        Expectations expect) {
 
     /**
      * The processes of the program.
      *
      * @param retries whether they may send a request a second and a third time
-     * @param readyWithin of a start, until it says that it is ready
+     * @param readyTimeout of a start, until it says that it is ready
      * @param openFiles files and sockets that the system lets each hold; 0 for as many as the
      *     machine does
      * @param asks whether they have to ask discovery for changes, or have these pushed to them
@@ -40,7 +40,7 @@
             @JsonProperty("memory_mb") int memoryMb,
             int sockets,
             boolean retries,
-            @JsonProperty("ready_within") Duration readyWithin,
+            @JsonProperty("ready_within") Duration readyTimeout,
             @JsonProperty("open_files") int openFiles,
             boolean asks) {}
 
@@ -51,15 +51,15 @@
             int slots,
             int queue,
             int connections,
-            Service service,
+            ServiceTimes service,
             @JsonProperty("cold_share") double coldShare,
-            @JsonProperty("cold_for") Duration coldFor) {}
+            @JsonProperty("cold_for") Duration coldDuration) {}
 
     /** The times that a backend takes. */
-    record Service(ServiceTime.Distribution distribution, Duration mean, double sigma) {}
+    record ServiceTimes(ServiceTime.Distribution distribution, Duration mean, double sigma) {}
 
     /** A class of requests, as the settings tell it and as clients send it. */
-    record RequestKind(
+    record RequestClass(
             String name, LoadPlan.Effect effect, double share, Duration aim, Duration deadline) {}
 
     /**
@@ -88,7 +88,7 @@
      * A fault.
      *
      * @param at after the load's begin
-     * @param lasts until it is undone; null where it stays
+     * @param duration until it is undone; null where it stays
      * @param target names as proxy-1, backend-2, discovery, or proxies, backends for all of them
      * @param share of requests or datagrams that it happens to
      * @param factor on a backend's times
@@ -97,8 +97,8 @@
      */
     record Fault(
             Duration at,
-            @JsonProperty("do") FaultKind kind,
-            @JsonProperty("for") Duration lasts,
+            @JsonProperty("do") FaultType type,
+            @JsonProperty("for") Duration duration,
             List<String> target,
             double share,
             double factor,
@@ -113,7 +113,7 @@
      * @param recovery most time after any fault until the rate of served is back at 95 %
      * @param p99 of the latency
      */
-    record Expect(
+    record Expectations(
             Double served,
             Long late,
             Long refused,
--- a/src/main/java/passhatch/lab/drill/ScenarioReader.java
+++ b/src/main/java/passhatch/lab/drill/ScenarioReader.java
@@ -90,21 +90,21 @@
     private static Scenario read(TomlFile given) {
         given.require(given.tree().hasNonNull("name"), "name", "the drill's name");
         TomlFile file = given.withDefaults(DEFAULTS);
-        ObjectNode whole = file.tree();
+        ObjectNode root = file.tree();
         if (!given.tree().has("classes")) {
-            whole.set("classes", TomlFile.of(file.name(), DEFAULT_CLASSES).tree().get("classes"));
+            root.set("classes", TomlFile.of(file.name(), DEFAULT_CLASSES).tree().get("classes"));
         }
-        for (JsonNode fault : whole.withArray("faults")) {
+        for (JsonNode fault : root.withArray("faults")) {
             if (fault instanceof ObjectNode node) {
-                faultDefaults(node);
+                addFaultDefaults(node);
             }
         }
         Scenario scenario = file.as(Scenario.class);
-        new Check(file, scenario).all();
+        new Validator(file, scenario).checkAll();
         return scenario;
     }
 
-    private static void faultDefaults(ObjectNode fault) {
+    private static void addFaultDefaults(ObjectNode fault) {
         if (!fault.has("share")) {
             fault.put("share", 1.0);
         }
@@ -126,124 +126,151 @@
     }
 
     /** The bounds that a scenario's values have to keep. */
-    private record Check(TomlFile file, Scenario s) {
-        void all() {
+    private record Validator(TomlFile file, Scenario scenario) {
+        void checkAll() {
             require(
-                    s.proxies() != null && within(s.proxies().count(), 1, 64),
+                    scenario.proxies() != null && isWithin(scenario.proxies().count(), 1, 64),
                     "proxies.count",
                     "1 to 64");
-            require(within(s.proxies().memoryMb(), 48, 4096), "proxies.memory_mb", "48 to 4096");
-            require(within(s.proxies().sockets(), 128, 65536), "proxies.sockets", "128 to 65536");
             require(
-                    s.proxies().openFiles() == 0 || within(s.proxies().openFiles(), 64, 65536),
+                    isWithin(scenario.proxies().memoryMb(), 48, 4096),
+                    "proxies.memory_mb",
+                    "48 to 4096");
+            require(
+                    isWithin(scenario.proxies().sockets(), 128, 65536),
+                    "proxies.sockets",
+                    "128 to 65536");
+            require(
+                    scenario.proxies().openFiles() == 0
+                            || isWithin(scenario.proxies().openFiles(), 64, 65536),
                     "proxies.open_files",
                     "0 or 64 to 65536");
-            require(within(s.backends().count(), 1, 1000), "backends.count", "1 to 1000");
-            require(s.backends().cores() >= 1, "backends.cores", "at least 1");
-            require(s.backends().slots() >= 1, "backends.slots", "at least 1");
-            require(s.backends().queue() >= 0, "backends.queue", "0 or more");
-            require(s.backends().connections() >= 1, "backends.connections", "at least 1");
+            require(isWithin(scenario.backends().count(), 1, 1000), "backends.count", "1 to 1000");
+            require(scenario.backends().cores() >= 1, "backends.cores", "at least 1");
+            require(scenario.backends().slots() >= 1, "backends.slots", "at least 1");
+            require(scenario.backends().queue() >= 0, "backends.queue", "0 or more");
+            require(scenario.backends().connections() >= 1, "backends.connections", "at least 1");
             require(
-                    s.backends().coldShare() > 0 && s.backends().coldShare() <= 1,
+                    scenario.backends().coldShare() > 0 && scenario.backends().coldShare() <= 1,
                     "backends.cold_share",
                     "over 0 and up to 1");
             require(
-                    positive(s.backends().service().mean()),
+                    isPositive(scenario.backends().service().mean()),
                     "backends.service.mean",
                     "a time over 0");
             require(
-                    s.duration() != null && within(s.duration().toSeconds(), 1, 3600),
+                    scenario.duration() != null
+                            && isWithin(scenario.duration().toSeconds(), 1, 3600),
                     "duration",
                     "1s to 1h");
             require(
-                    s.load().rate() > 0 && s.load().rate() <= 200_000,
+                    scenario.load().rate() > 0 && scenario.load().rate() <= 200_000,
                     "load.rate",
                     "over 0 and up to 200000");
-            require(within(s.load().threads(), 1, 16), "load.threads", "1 to 16");
-            require(within(s.load().retries(), 0, 5), "load.retries", "0 to 5");
-            require(s.load().connections() >= 1, "load.connections", "at least 1");
-            require(!s.classes().isEmpty(), "classes", "at least one");
-            for (int i = 0; i < s.classes().size(); i++) {
-                Scenario.RequestKind kind = s.classes().get(i);
+            require(isWithin(scenario.load().threads(), 1, 16), "load.threads", "1 to 16");
+            require(isWithin(scenario.load().retries(), 0, 5), "load.retries", "0 to 5");
+            require(scenario.load().connections() >= 1, "load.connections", "at least 1");
+            require(!scenario.classes().isEmpty(), "classes", "at least one");
+            for (int i = 0; i < scenario.classes().size(); i++) {
+                Scenario.RequestClass requestClass = scenario.classes().get(i);
                 String key = "classes[" + (i + 1) + "].";
                 require(
-                        kind.name() != null && kind.name().matches("[a-z][a-z0-9-]*"),
+                        requestClass.name() != null
+                                && requestClass.name().matches("[a-z][a-z0-9-]*"),
                         key + "name",
                         "small letters, digits and hyphens");
-                require(kind.effect() != null, key + "effect", "safe, keyed or unsafe");
-                require(kind.share() > 0, key + "share", "over 0");
-                require(positive(kind.aim()), key + "aim", "a time over 0");
-                require(positive(kind.deadline()), key + "deadline", "a time over 0");
+                require(requestClass.effect() != null, key + "effect", "safe, keyed or unsafe");
+                require(requestClass.share() > 0, key + "share", "over 0");
+                require(isPositive(requestClass.aim()), key + "aim", "a time over 0");
+                require(isPositive(requestClass.deadline()), key + "deadline", "a time over 0");
             }
-            for (int i = 0; i < s.faults().size(); i++) {
-                fault(s.faults().get(i), "faults[" + (i + 1) + "].");
+            for (int i = 0; i < scenario.faults().size(); i++) {
+                checkFault(scenario.faults().get(i), "faults[" + (i + 1) + "].");
             }
             require(
-                    s.expect() != null
-                            && !s.expect()
+                    scenario.expect() != null
+                            && !scenario.expect()
                                     .equals(
-                                            new Scenario.Expect(
+                                            new Scenario.Expectations(
                                                     null, null, null, null, null, null, null, null,
                                                     null, null, null, null)),
                     "expect",
                     "at least one thing that must hold");
         }
 
-        private void fault(Scenario.Fault f, String key) {
-            require(f.kind() != null, key + "do", "the name of a fault");
+        private void checkFault(Scenario.Fault fault, String key) {
+            require(fault.type() != null, key + "do", "the name of a fault");
             require(
-                    f.at() != null && f.at().compareTo(s.duration()) < 0,
+                    fault.at() != null && fault.at().compareTo(scenario.duration()) < 0,
                     key + "at",
                     "a time before the end of the load");
             require(
-                    f.lasts() == null || positive(f.lasts()) && f.kind().undo() != null,
+                    fault.duration() == null
+                            || isPositive(fault.duration()) && fault.type().undoneBy() != null,
                     key + "for",
                     "a time over 0, and a fault that can be undone");
-            require(f.share() > 0 && f.share() <= 1, key + "share", "over 0 and up to 1");
-            require(f.factor() > 1, key + "factor", "over 1");
-            switch (f.kind().on()) {
+            require(fault.share() > 0 && fault.share() <= 1, key + "share", "over 0 and up to 1");
+            require(fault.factor() > 1, key + "factor", "over 1");
+            switch (fault.type().targetType()) {
                 case PROXY ->
-                        names(f.target(), "proxy", "proxies", s.proxies().count(), key + "target");
+                        checkNames(
+                                fault.target(),
+                                "proxy",
+                                "proxies",
+                                scenario.proxies().count(),
+                                key + "target");
                 case BACKEND ->
-                        names(
-                                f.target(),
+                        checkNames(
+                                fault.target(),
                                 "backend",
                                 "backends",
-                                s.backends().count(),
+                                scenario.backends().count(),
                                 key + "target");
                 default ->
-                        require(f.target().isEmpty(), key + "target", "none, as there is only one");
+                        require(
+                                fault.target().isEmpty(),
+                                key + "target",
+                                "none, as there is only one");
             }
-            boolean grouped = f.kind() == FaultKind.PARTITION || f.kind() == FaultKind.ONE_WAY;
+            boolean grouped =
+                    fault.type() == FaultType.PARTITION || fault.type() == FaultType.ONE_WAY;
             require(
-                    grouped != f.groups().isEmpty(),
+                    grouped != fault.groups().isEmpty(),
                     key + "groups",
                     grouped ? "lists of proxies" : "none for this fault");
-            f.groups()
+            fault.groups()
                     .forEach(
-                            g -> names(g, "proxy", "proxies", s.proxies().count(), key + "groups"));
+                            g ->
+                                    checkNames(
+                                            g,
+                                            "proxy",
+                                            "proxies",
+                                            scenario.proxies().count(),
+                                            key + "groups"));
         }
 
-        private void names(List<String> given, String one, String all, int count, String key) {
+        private void checkNames(
+                List<String> given, String prefix, String all, int count, String key) {
             boolean known =
-                    given.stream().allMatch(name -> name.equals(all) || isOne(name, one, count));
+                    given.stream()
+                            .allMatch(name -> name.equals(all) || isNumbered(name, prefix, count));
             require(
                     !given.isEmpty() && known,
                     key,
-                    one + "-1 to " + one + "-" + count + ", or " + all);
+                    prefix + "-1 to " + prefix + "-" + count + ", or " + all);
         }
 
-        private static boolean isOne(String name, String kind, int count) {
-            return name.matches(kind + "-[1-9]\\d{0,3}")
-                    && Integer.parseInt(name.substring(kind.length() + 1)) <= count;
+        private static boolean isNumbered(String name, String prefix, int count) {
+            return name.matches(prefix + "-[1-9]\\d{0,3}")
+                    && Integer.parseInt(name.substring(prefix.length() + 1)) <= count;
         }
 
-        private static boolean within(long value, long least, long most) {
-            return value >= least && value <= most;
+        private static boolean isWithin(long value, long min, long max) {
+            return value >= min && value <= max;
         }
 
-        private static boolean positive(Duration d) {
-            return d != null && !d.isNegative() && !d.isZero();
+        private static boolean isPositive(Duration duration) {
+            return duration != null && !duration.isNegative() && !duration.isZero();
         }
 
         private void require(boolean holds, String key, String expected) {
--- a/src/main/java/passhatch/lab/drill/Field.java
+++ b/src/main/java/passhatch/lab/drill/Testbed.java
@@ -20,33 +20,33 @@
 import passhatch.lab.standin.UdpRelay;
 
 /** All that a drill has running: the stand-ins, and the processes of the program between them. */
-final class Field implements Closeable {
+final class Testbed implements Closeable {
 
     /** Longer than the program may take to end: the longest deadline that counts and 0.7 s. */
-    private static final long END_PATIENCE_MS = 5_000;
+    private static final long SHUTDOWN_TIMEOUT_MS = 5_000;
 
     private static final int STAND_IN_THREADS = 2;
 
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoops =
             new MultiThreadIoEventLoopGroup(
                     STAND_IN_THREADS,
                     new DefaultThreadFactory("stand-in", true),
                     NioIoHandler.newFactory());
     final RequestLedger ledger = new RequestLedger();
-    final DiscoveryServer discovery = new DiscoveryServer(group.next());
+    final DiscoveryServer discovery = new DiscoveryServer(eventLoops.next());
     final List<BackendServer> backends = new ArrayList<>();
-    final List<ProxyChild> proxies = new ArrayList<>();
+    final List<ProxyProcess> proxies = new ArrayList<>();
     UdpRelay relay;
 
     /** Ends the processes also where this JVM is told to end. */
-    private final Thread lastResort = new Thread(this::endNow, "end-of-drill");
+    private final Thread shutdownHook = new Thread(this::killProcesses, "end-of-drill");
 
     private boolean closed;
 
     /** Starts the stand-ins; the processes are made and not started. */
-    Field(Scenario scenario, Seeds seeds, Path jar, Path folder, List<String> options)
+    Testbed(Scenario scenario, Seeds seeds, Path jar, Path folder, List<String> options)
             throws IOException {
-        Runtime.getRuntime().addShutdownHook(lastResort);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
             discovery.start();
             List<DiscoveryServer.Endpoint> list = new ArrayList<>();
@@ -56,7 +56,7 @@
                         new BackendServer(
                                 name,
                                 shape(scenario.backends()),
-                                group.next(),
+                                eventLoops.next(),
                                 ledger,
                                 seeds.stream(name));
                 backend.start();
@@ -65,11 +65,13 @@
             }
             discovery.update(list);
             relay = new UdpRelay(scenario.proxies().count(), seeds.stream("relay"));
-            var shared = new ProxyChild.Shared(jar, folder, scenario, discovery.address(), options);
+            var shared =
+                    new ProxyProcess.SharedConfig(
+                            jar, folder, scenario, discovery.address(), options);
             for (int i = 0; i < scenario.proxies().count(); i++) {
-                InetSocketAddress peerListen = freeDatagramPort();
+                InetSocketAddress peerListen = freeUdpAddress();
                 relay.setListenAddress(i, peerListen);
-                proxies.add(new ProxyChild(i, shared, relay.peersOf(i), peerListen));
+                proxies.add(new ProxyProcess(i, shared, relay.peersOf(i), peerListen));
             }
         } catch (IOException | RuntimeException failed) {
             close();
@@ -88,29 +90,29 @@
                         TimeUnit.MICROSECONDS.convert(b.service().mean()),
                         b.service().sigma()),
                 b.coldShare(),
-                TimeUnit.MICROSECONDS.convert(b.coldFor()));
+                TimeUnit.MICROSECONDS.convert(b.coldDuration()));
     }
 
-    private static InetSocketAddress freeDatagramPort() throws IOException {
+    private static InetSocketAddress freeUdpAddress() throws IOException {
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             return (InetSocketAddress) socket.getLocalSocketAddress();
         }
     }
 
     /** Starts all processes side by side and waits until each is ready. */
-    void startProxies(long readyWithinMs) throws IOException, InterruptedException {
-        for (ProxyChild proxy : proxies) {
-            proxy.firstStart();
+    void startProxies(long readyTimeoutMs) throws IOException, InterruptedException {
+        for (ProxyProcess proxy : proxies) {
+            proxy.startWithPortRetry();
         }
-        for (ProxyChild proxy : proxies) {
-            if (!proxy.awaitReady(readyWithinMs)) {
+        for (ProxyProcess proxy : proxies) {
+            if (!proxy.awaitReady(readyTimeoutMs)) {
                 throw new IOException(
                         proxy.name()
-                                + (proxy.child().alive() ? " did not get ready" : " ended")
+                                + (proxy.process().isAlive() ? " did not get ready" : " ended")
                                 + " within "
-                                + readyWithinMs
+                                + readyTimeoutMs
                                 + " ms of its start; the end of its log:\n"
-                                + proxy.child().logEnd());
+                                + proxy.process().logTail());
             }
         }
     }
@@ -124,29 +126,29 @@
         closed = true;
         List<Thread> ends =
                 proxies.stream()
-                        .map(p -> new Thread(() -> p.child().end(END_PATIENCE_MS)))
+                        .map(p -> new Thread(() -> p.process().terminate(SHUTDOWN_TIMEOUT_MS)))
                         .toList();
         ends.forEach(Thread::start);
         for (Thread end : ends) {
             try {
                 end.join();
             } catch (InterruptedException stop) {
-                endNow();
+                killProcesses();
                 Thread.currentThread().interrupt();
             }
         }
         if (relay != null) {
             relay.close();
         }
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         try {
-            Runtime.getRuntime().removeShutdownHook(lastResort);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException ending) {
             // The JVM is on its way out: the hook runs, and finds nothing left to end.
         }
     }
 
-    private void endNow() {
-        proxies.forEach(p -> p.child().endNow());
+    private void killProcesses() {
+        proxies.forEach(p -> p.process().kill());
     }
 }
--- a/src/main/java/passhatch/lab/scale/AgentMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/AgentMeasurement.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import passhatch.lab.Seeds;
-import passhatch.lab.drill.AgentChild;
+import passhatch.lab.drill.AgentProcess;
 
 /** Measures the first agent of a fleet most of whose members run inside this process. */
 final class AgentMeasurement {
@@ -20,7 +20,7 @@
      */
     static final int VOTERS = 3;
 
-    /** The name of the fleet that {@link AgentChild} configures. */
+    /** The name of the fleet that {@link AgentProcess} configures. */
     private static final String FLEET = "drill";
 
     private static final long ALIVE_TIMEOUT_S = 60;
@@ -38,7 +38,7 @@
 
     /** Metrics that the agent itself reports. */
     private record TrafficCounters(long sentBytes, long sentDatagrams, long receivedDatagrams) {
-        static TrafficCounters of(AgentChild agent) throws IOException {
+        static TrafficCounters of(AgentProcess agent) throws IOException {
             String vars = agent.ask("vars");
             return new TrafficCounters(
                     readMetric(vars, "fleet_sent_bytes "),
@@ -64,14 +64,14 @@
     AgentResult.Point measure(int members, boolean duties)
             throws IOException, InterruptedException {
         int processes = duties ? VOTERS : 1;
-        List<AgentChild> agents = new ArrayList<>();
-        Thread shutdownHook = new Thread(() -> agents.forEach(a -> a.child().endNow()));
+        List<AgentProcess> agents = new ArrayList<>();
+        Thread shutdownHook = new Thread(() -> agents.forEach(a -> a.process().kill()));
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         try (InProcessMembers otherMembers = new InProcessMembers(members - processes)) {
             Path fleetFolder = folder.resolve(members + (duties ? "-duties" : "-plain"));
             for (int i = 0; i < processes; i++) {
                 agents.add(
-                        new AgentChild(
+                        new AgentProcess(
                                 options.programJar(),
                                 fleetFolder.resolve("agent-" + i),
                                 "agent-" + i));
@@ -79,16 +79,17 @@
             List<InetSocketAddress> addresses = new ArrayList<>();
             agents.forEach(agent -> addresses.add(agent.listen()));
             addresses.addAll(otherMembers.addresses());
-            for (AgentChild agent : agents) {
+            for (AgentProcess agent : agents) {
                 agent.configure(addresses, agent.listen(), duties ? dutySection() : "");
-                agent.child().start();
+                agent.process().start();
             }
             otherMembers.start(FLEET, addresses, new Seeds(options.seed()));
             awaitAllAlive(agents.get(0), members);
             Thread.sleep(SETTLE_TIME_MS);
             return measureAtRest(agents.get(0), members, processes, duties);
         } finally {
-            agents.parallelStream().forEach(agent -> agent.child().end(SHUTDOWN_TIMEOUT_MS));
+            agents.parallelStream()
+                    .forEach(agent -> agent.process().terminate(SHUTDOWN_TIMEOUT_MS));
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         }
     }
@@ -101,26 +102,26 @@
         return "[duties]\nvoters = [" + voters + "]\nwanted = [\"scale\"]\n";
     }
 
-    private static void awaitAllAlive(AgentChild agent, int members)
+    private static void awaitAllAlive(AgentProcess agent, int members)
             throws IOException, InterruptedException {
         String expectedLine = "fleet_members{status=\"alive\"} " + members + "\n";
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(ALIVE_TIMEOUT_S);
         while (!agent.ask("vars").contains(expectedLine)) {
-            if (System.nanoTime() > deadlineNs || !agent.child().alive()) {
+            if (System.nanoTime() > deadlineNs || !agent.process().isAlive()) {
                 throw new IOException(
                         "the agent did not see all members alive within "
                                 + ALIVE_TIMEOUT_S
                                 + " s; the end of its log:\n"
-                                + agent.child().logEnd());
+                                + agent.process().logTail());
             }
             Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
     private AgentResult.Point measureAtRest(
-            AgentChild agent, int members, int processes, boolean duties)
+            AgentProcess agent, int members, int processes, boolean duties)
             throws IOException, InterruptedException {
-        long pid = agent.child().pid();
+        long pid = agent.process().pid();
         TrafficCounters countersBefore = TrafficCounters.of(agent);
         ProcessUsage usageBefore = ProcessUsage.of(pid);
         long startNs = System.nanoTime();
--- a/src/main/java/passhatch/lab/scale/LatencyMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/LatencyMeasurement.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import passhatch.lab.Seeds;
-import passhatch.lab.drill.ProxyChild;
+import passhatch.lab.drill.ProxyProcess;
 import passhatch.lab.load.LoadGenerator;
 import passhatch.lab.load.LoadPlan;
 import passhatch.lab.load.LoadStats;
@@ -142,8 +142,8 @@
 
     private List<Double> processorSeconds(int proxyCount) throws IOException {
         List<Double> processorSeconds = new ArrayList<>();
-        for (ProxyChild proxy : chain.proxiesOnPath(proxyCount)) {
-            processorSeconds.add(ProcessUsage.of(proxy.child().pid()).processorSeconds());
+        for (ProxyProcess proxy : chain.proxiesOnPath(proxyCount)) {
+            processorSeconds.add(ProcessUsage.of(proxy.process().pid()).processorSeconds());
         }
         return processorSeconds;
     }
--- a/src/main/java/passhatch/lab/scale/ProxyChain.java
+++ b/src/main/java/passhatch/lab/scale/ProxyChain.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import passhatch.lab.Seeds;
-import passhatch.lab.drill.ProxyChild;
+import passhatch.lab.drill.ProxyProcess;
 import passhatch.lab.standin.BackendServer;
 import passhatch.lab.standin.DiscoveryServer;
 import passhatch.lab.standin.RequestLedger;
@@ -49,7 +49,7 @@
     private final List<BackendServer> backends = new ArrayList<>();
 
     /** In the order in which they are started, from the last proxy of the chain to the first. */
-    private final List<ProxyChild> proxies = new ArrayList<>();
+    private final List<ProxyProcess> proxies = new ArrayList<>();
 
     private final DiscoveryServer lastDiscovery = new DiscoveryServer(discoveryLoop);
     private final ProxyTestbed testbed;
@@ -84,7 +84,7 @@
     private void startProxies(int depth) throws IOException, InterruptedException {
         DiscoveryServer discovery = lastDiscovery;
         for (int i = 1; i <= depth; i++) {
-            ProxyChild proxy = testbed.start("before-end-" + i, discovery.address());
+            ProxyProcess proxy = testbed.start("before-end-" + i, discovery.address());
             proxies.add(proxy);
             discovery = new DiscoveryServer(discoveryLoop);
             discovery.start();
@@ -119,7 +119,7 @@
     }
 
     /** Returns the proxies that such a request passes. */
-    List<ProxyChild> proxiesOnPath(int proxyCount) {
+    List<ProxyProcess> proxiesOnPath(int proxyCount) {
         return proxies.subList(0, proxyCount);
     }
 
--- a/src/main/java/passhatch/lab/scale/ProxyMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/ProxyMeasurement.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
 import passhatch.lab.Seeds;
-import passhatch.lab.drill.ProxyChild;
+import passhatch.lab.drill.ProxyProcess;
 import passhatch.lab.standin.DiscoveryServer;
 
 /**
@@ -64,7 +64,7 @@
             DiscoveryServer discovery = new DiscoveryServer(loop);
             discovery.start();
             discovery.update(servingEntries(entries));
-            ProxyChild proxy = testbed.start("entries-" + entries, discovery.address());
+            ProxyProcess proxy = testbed.start("entries-" + entries, discovery.address());
             Thread.sleep(SETTLE_TIME_MS);
             long firstListBytes = discovery.sentBytes();
             for (int rate : rates) {
@@ -80,13 +80,17 @@
     }
 
     private ProxyResult.Point measureStep(
-            ProxyChild proxy, DiscoveryServer discovery, int entries, int rate, long firstListBytes)
+            ProxyProcess proxy,
+            DiscoveryServer discovery,
+            int entries,
+            int rate,
+            long firstListBytes)
             throws IOException, InterruptedException {
         UniformRandomProvider random =
                 new Seeds(options.seed()).stream("changes-" + entries + "-" + rate);
         boolean[] draining = new boolean[entries];
         int changes = rate * options.seconds();
-        long pid = proxy.child().pid();
+        long pid = proxy.process().pid();
         ProcessUsage before = ProcessUsage.of(pid);
         long bytesBefore = discovery.sentBytes();
         long startNs = System.nanoTime();
@@ -97,8 +101,8 @@
             discovery.update(List.of(entry(entry, draining[entry] ? "DRAINING" : "SERVING")));
         }
         sleepUntil(startNs + TimeUnit.SECONDS.toNanos(options.seconds()));
-        if (!proxy.child().alive()) {
-            throw new IOException("ended at " + rate + " changes/s:\n" + proxy.child().logEnd());
+        if (!proxy.process().isAlive()) {
+            throw new IOException("ended at " + rate + " changes/s:\n" + proxy.process().logTail());
         }
         ProcessUsage after = ProcessUsage.of(pid);
         double seconds = (System.nanoTime() - startNs) / 1e9;
--- a/src/main/java/passhatch/lab/scale/ProxyTestbed.java
+++ b/src/main/java/passhatch/lab/scale/ProxyTestbed.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import passhatch.lab.drill.ProxyChild;
+import passhatch.lab.drill.ProxyProcess;
 
 /** Starts proxies for a measurement, each as a process, and ends them all when it is closed. */
 final class ProxyTestbed implements Closeable {
@@ -21,7 +21,7 @@
     private final long seed;
     private final int memoryMb;
     private final List<String> jvmOptions;
-    private final List<ProxyChild> proxies = new ArrayList<>();
+    private final List<ProxyProcess> proxies = new ArrayList<>();
 
     /** Ends the processes if this JVM shuts down during the measurement. */
     private final Thread shutdownHook = new Thread(this::killAll, "end-of-measurement");
@@ -41,23 +41,23 @@
      * @throws IOException if it does not become ready within 20 s; the message has the end of its
      *     log
      */
-    ProxyChild start(String name, InetSocketAddress discovery)
+    ProxyProcess start(String name, InetSocketAddress discovery)
             throws IOException, InterruptedException {
         InetSocketAddress peerListen = unusedUdpAddress();
         var shared =
-                ProxyChild.Shared.alone(
+                ProxyProcess.SharedConfig.standalone(
                         jar, folder.resolve(name), seed, memoryMb, discovery, jvmOptions);
-        ProxyChild proxy = new ProxyChild(0, shared, List.of(peerListen), peerListen);
+        ProxyProcess proxy = new ProxyProcess(0, shared, List.of(peerListen), peerListen);
         proxies.add(proxy);
-        proxy.firstStart();
+        proxy.startWithPortRetry();
         if (!proxy.awaitReady(READY_TIMEOUT_MS)) {
             throw new IOException(
                     name
-                            + (proxy.child().alive() ? " did not get ready" : " ended")
+                            + (proxy.process().isAlive() ? " did not get ready" : " ended")
                             + " within "
                             + READY_TIMEOUT_MS
                             + " ms of its start; the end of its log:\n"
-                            + proxy.child().logEnd());
+                            + proxy.process().logTail());
         }
         return proxy;
     }
@@ -70,7 +70,7 @@
 
     @Override
     public void close() {
-        proxies.parallelStream().forEach(p -> p.child().end(SHUTDOWN_TIMEOUT_MS));
+        proxies.parallelStream().forEach(p -> p.process().terminate(SHUTDOWN_TIMEOUT_MS));
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException jvmShutsDown) {
@@ -79,6 +79,6 @@
     }
 
     private void killAll() {
-        proxies.forEach(p -> p.child().endNow());
+        proxies.forEach(p -> p.process().kill());
     }
 }
--- a/src/test/java/passhatch/lab/drill/ChangesFaultsIT.java
+++ b/src/test/java/passhatch/lab/drill/ChangesFaultsIT.java
@@ -28,28 +28,29 @@
     private static final Path JAR = Path.of("target/passhatch.jar").toAbsolutePath();
     private static final int SUBSCRIBERS = 8;
     private static final int FAULTS = 40;
-    private static final long PATIENCE_MS = 60_000;
-    private static final long FAULT_MS = 3_000;
-    private static final NetworkConditions BAD =
+    private static final long TIMEOUT_MS = 60_000;
+    private static final long FAULT_DURATION_MS = 3_000;
+    private static final NetworkConditions BAD_NETWORK =
             new NetworkConditions(0.1, 0.05, 0.02, 0.05, 1_000, 5_000);
 
     @TempDir private Path folder;
-    private ChangesField field;
+    private ChangesTestbed testbed;
 
     /** Versions at subscribers, by asking them over and over; a lower one is a fault. */
-    private final class VersionWatch implements Runnable {
+    private final class VersionChecker implements Runnable {
         private final Map<Integer, Long> highest = new TreeMap<>();
-        private final List<String> faults = new ArrayList<>();
-        private volatile boolean over;
+        private final List<String> violations = new ArrayList<>();
+        private volatile boolean stopped;
 
         @Override
         public void run() {
-            while (!over) {
-                for (int subscriber : field.subscribers()) {
-                    long version = field.version(subscriber);
+            while (!stopped) {
+                for (int subscriber : testbed.subscribers()) {
+                    long version = testbed.version(subscriber);
                     long before = highest.getOrDefault(subscriber, 0L);
                     if (version >= 0 && version < before) {
-                        faults.add("m" + subscriber + " fell from " + before + " to " + version);
+                        violations.add(
+                                "m" + subscriber + " fell from " + before + " to " + version);
                     }
                     highest.put(subscriber, Math.max(before, version));
                 }
@@ -57,86 +58,88 @@
         }
     }
 
-    private int victim(int kind, UniformRandomProvider random) throws InterruptedException {
-        ChangesField.await(() -> field.leader() >= 0, PATIENCE_MS, "nobody leads");
-        int leader = Math.max(0, field.leader());
-        return switch (kind % 4) {
+    private int chooseVictim(int faultIndex, UniformRandomProvider random)
+            throws InterruptedException {
+        ChangesTestbed.await(() -> testbed.leader() >= 0, TIMEOUT_MS, "nobody leads");
+        int leader = Math.max(0, testbed.leader());
+        return switch (faultIndex % 4) {
             case 0 -> leader;
-            case 1 -> (leader + 1) % ChangesField.REPLICAS;
-            case 2 -> ChangesField.REPLICAS + random.nextInt(ChangesField.RELAYS);
-            default -> field.subscribers().get(random.nextInt(field.subscribers().size()));
+            case 1 -> (leader + 1) % ChangesTestbed.REPLICAS;
+            case 2 -> ChangesTestbed.REPLICAS + random.nextInt(ChangesTestbed.RELAYS);
+            default -> testbed.subscribers().get(random.nextInt(testbed.subscribers().size()));
         };
     }
 
-    private void disturb(int fault, int victim) throws Exception {
-        AgentChild agent = field.agent(victim);
-        switch (fault / 4 % 3) {
-            case 0 -> agent.child().signal("KILL");
-            case 1 -> agent.child().signal("STOP");
+    private void injectFault(int faultIndex, int victim) throws Exception {
+        AgentProcess agent = testbed.agent(victim);
+        switch (faultIndex / 4 % 3) {
+            case 0 -> agent.process().signal("KILL");
+            case 1 -> agent.process().signal("STOP");
             default -> {
-                field.changesRelay().setConnectivity((a, b) -> a != victim && b != victim);
-                field.fleetRelay().setConnectivity((a, b) -> a != victim && b != victim);
+                testbed.changesRelay().setConnectivity((a, b) -> a != victim && b != victim);
+                testbed.fleetRelay().setConnectivity((a, b) -> a != victim && b != victim);
             }
         }
-        Thread.sleep(FAULT_MS);
-        if (!agent.child().alive()) {
-            agent.child().start();
+        Thread.sleep(FAULT_DURATION_MS);
+        if (!agent.process().isAlive()) {
+            agent.process().start();
         }
-        agent.child().signal("CONT");
-        field.changesRelay().setConnectivity((a, b) -> true);
-        field.fleetRelay().setConnectivity((a, b) -> true);
-        ChangesField.await(
-                () -> field.version(victim) >= 0,
-                PATIENCE_MS,
-                "m" + victim + " does not answer: " + agent.child().logEnd());
+        agent.process().signal("CONT");
+        testbed.changesRelay().setConnectivity((a, b) -> true);
+        testbed.fleetRelay().setConnectivity((a, b) -> true);
+        ChangesTestbed.await(
+                () -> testbed.version(victim) >= 0,
+                TIMEOUT_MS,
+                "m" + victim + " does not answer: " + agent.process().logTail());
     }
 
     @Test
     void noCommittedChangeIsLostAndNoVersionFalls() throws Exception {
         UniformRandomProvider random = new Seeds(4).stream("faults");
         ExecutorService threads = Executors.newFixedThreadPool(2);
-        try (ChangesField opened = new ChangesField(JAR, folder, SUBSCRIBERS, 2)) {
-            field = opened;
-            field.start(PATIENCE_MS);
-            ChangesWriter writer = new ChangesWriter(field);
-            VersionWatch watch = new VersionWatch();
+        try (ChangesTestbed started = new ChangesTestbed(JAR, folder, SUBSCRIBERS, 2)) {
+            testbed = started;
+            testbed.start(TIMEOUT_MS);
+            ChangesWriter writer = new ChangesWriter(testbed);
+            VersionChecker versionChecker = new VersionChecker();
             Future<?> writing = threads.submit(writer);
-            Future<?> watching = threads.submit(watch);
+            Future<?> watching = threads.submit(versionChecker);
             for (int fault = 0; fault < FAULTS; fault++) {
-                NetworkConditions weather = fault % 2 == 0 ? NetworkConditions.UNIMPAIRED : BAD;
-                field.changesRelay().setConditions(weather);
-                int victim = victim(fault, random);
+                NetworkConditions weather =
+                        fault % 2 == 0 ? NetworkConditions.UNIMPAIRED : BAD_NETWORK;
+                testbed.changesRelay().setConditions(weather);
+                int victim = chooseVictim(fault, random);
                 writer.disturbed().add(victim);
-                disturb(fault, victim);
+                injectFault(fault, victim);
                 writer.disturbed().remove(victim);
             }
-            field.changesRelay().setConditions(NetworkConditions.UNIMPAIRED);
-            writer.end();
-            watch.over = true;
-            writing.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-            watching.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-            assertEquals(List.of(), watch.faults);
-            check(writer);
+            testbed.changesRelay().setConditions(NetworkConditions.UNIMPAIRED);
+            writer.stop();
+            versionChecker.stopped = true;
+            writing.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            watching.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            assertEquals(List.of(), versionChecker.violations);
+            checkFinalState(writer);
         } finally {
             threads.shutdownNow();
         }
     }
 
-    private void check(ChangesWriter writer) throws InterruptedException {
-        ChangesField.await(
-                () -> field.all().stream().map(field::version).distinct().count() == 1,
-                PATIENCE_MS,
+    private void checkFinalState(ChangesWriter writer) throws InterruptedException {
+        ChangesTestbed.await(
+                () -> testbed.all().stream().map(testbed::version).distinct().count() == 1,
+                TIMEOUT_MS,
                 "not all agents come to the same version");
-        Map<String, String> whole = field.values(0);
-        for (int agent : field.all()) {
-            Map<String, String> wanted = new TreeMap<>(whole);
-            if (field.subscribers().contains(agent)) {
-                String prefix = "service/" + ChangesField.service(agent) + "/";
+        Map<String, String> allValues = testbed.values(0);
+        for (int agent : testbed.all()) {
+            Map<String, String> wanted = new TreeMap<>(allValues);
+            if (testbed.subscribers().contains(agent)) {
+                String prefix = "service/" + ChangesTestbed.serviceOf(agent) + "/";
                 wanted.keySet().removeIf(key -> !key.startsWith(prefix));
             }
-            assertEquals(wanted, field.values(agent), "m" + agent);
+            assertEquals(wanted, testbed.values(agent), "m" + agent);
         }
-        writer.committed().forEach((key, change) -> checkKept(whole, key, change));
+        writer.committed().forEach((key, change) -> checkKept(allValues, key, change));
         List<Long> times = writer.inForceMs();
         Collections.sort(times);
         assertTrue(times.size() > FAULTS, "changes " + times.size());
@@ -145,7 +148,7 @@
                         + " in force after median %d ms, 99 %% %d ms, worst %d ms%n",
                 FAULTS,
                 times.size(),
-                writer.unknown(),
+                writer.unknownOutcomes(),
                 times.get(times.size() / 2),
                 times.get(times.size() * 99 / 100),
                 times.get(times.size() - 1));
@@ -153,8 +156,8 @@
 
     /** A later change whose outcome was not known may have taken its place. */
     private static void checkKept(
-            Map<String, String> whole, String key, ChangesWriter.Committed change) {
-        String value = whole.get(key);
+            Map<String, String> allValues, String key, ChangesWriter.Committed change) {
+        String value = allValues.get(key);
         assertNotNull(value, key);
         long version = Long.parseLong(value.substring(value.indexOf('@') + 1));
         boolean kept =
--- a/src/test/java/passhatch/lab/drill/ChangesIT.java
+++ b/src/test/java/passhatch/lab/drill/ChangesIT.java
@@ -23,43 +23,43 @@
 
     private static final Path JAR = Path.of("target/passhatch.jar").toAbsolutePath();
     private static final int SUBSCRIBERS = 6;
-    private static final long PATIENCE_MS = 60_000;
-    private static final long IN_FORCE_WITHIN_MS = 3_000;
+    private static final long TIMEOUT_MS = 60_000;
+    private static final long IN_FORCE_TIMEOUT_MS = 3_000;
     private static final String KEY = "service/claims/deadline_ms";
 
     @TempDir private Path folder;
-    private ChangesField field;
+    private ChangesTestbed testbed;
 
     @BeforeEach
     void start() throws Exception {
-        field = new ChangesField(JAR, folder, SUBSCRIBERS, 1);
+        testbed = new ChangesTestbed(JAR, folder, SUBSCRIBERS, 1);
         long beganNs = System.nanoTime();
-        field.start(PATIENCE_MS);
+        testbed.start(TIMEOUT_MS);
         System.out.println("changes: all are current after " + elapsedMs(beganNs) + " ms");
     }
 
     @AfterEach
     void end() throws IOException {
-        field.close();
-        for (int i : field.all()) {
-            assertFalse(field.agent(i).child().alive(), "a process was left behind");
+        testbed.close();
+        for (int i : testbed.all()) {
+            assertFalse(testbed.agent(i).process().isAlive(), "a process was left behind");
         }
     }
 
     /** What the command line says, asking the replicas in turn. */
-    private String changes(int status, String... arguments) {
+    private String runChangesCommand(int expectedExitCode, String... arguments) {
         StringWriter out = new StringWriter();
         List<String> all = new ArrayList<>(List.of("changes"));
         all.addAll(List.of(arguments));
-        for (int i = 0; i < ChangesField.REPLICAS; i++) {
-            all.add("--control=" + Local.text(field.agent(i).control()));
+        for (int i = 0; i < ChangesTestbed.REPLICAS; i++) {
+            all.add("--control=" + LocalNetwork.format(testbed.agent(i).control()));
         }
-        int ended =
+        int exitCode =
                 Commands.commandLine()
                         .setOut(new PrintWriter(out))
                         .setErr(new PrintWriter(out))
                         .execute(all.toArray(String[]::new));
-        assertEquals(status, ended, out.toString());
+        assertEquals(expectedExitCode, exitCode, out.toString());
         assertEquals(1, out.toString().lines().count(), out.toString());
         return out.toString().strip();
     }
@@ -70,7 +70,7 @@
 
     private void put(String value) throws InterruptedException {
         long beganNs = System.nanoTime();
-        assertTrue(changes(0, "put", KEY, value).startsWith("done "));
+        assertTrue(runChangesCommand(0, "put", KEY, value).startsWith("done "));
         long committedNs = System.nanoTime();
         awaitInForce(value);
         System.out.printf(
@@ -79,65 +79,66 @@
     }
 
     private void awaitInForce(String value) throws InterruptedException {
-        for (int i : field.subscribers()) {
-            if (ChangesField.service(i).equals("claims")) {
-                ChangesField.await(
-                        () -> field.has(i, KEY, value),
-                        IN_FORCE_WITHIN_MS,
+        for (int i : testbed.subscribers()) {
+            if (ChangesTestbed.serviceOf(i).equals("claims")) {
+                ChangesTestbed.await(
+                        () -> testbed.hasValue(i, KEY, value),
+                        IN_FORCE_TIMEOUT_MS,
                         value + " is not in force at m" + i);
             }
         }
     }
 
-    private void refuseBadChanges(String valueNow) {
-        int leader = field.leader();
-        Map<String, String> before = field.values(leader);
-        long version = field.version(leader);
-        changes(Commands.EXIT_USAGE, "put", KEY, "0");
-        changes(Commands.EXIT_USAGE, "put", "service/claims/unknown", "1");
-        changes(Commands.EXIT_FAILURE, "put", KEY, "700", "--if-version", "0");
+    private void checkThatInvalidChangesAreRefused(String currentValue) {
+        int leader = testbed.leader();
+        Map<String, String> before = testbed.values(leader);
+        long version = testbed.version(leader);
+        runChangesCommand(Commands.EXIT_USAGE, "put", KEY, "0");
+        runChangesCommand(Commands.EXIT_USAGE, "put", "service/claims/unknown", "1");
+        runChangesCommand(Commands.EXIT_FAILURE, "put", KEY, "700", "--if-version", "0");
         for (String call : List.of(KEY + " 0", KEY + " 700 0", "service/claims/unknown 1")) {
-            String answer = field.agent(leader).ask("change-put " + call);
+            String answer = testbed.agent(leader).ask("change-put " + call);
             assertTrue(answer.startsWith("error refused: "), answer);
         }
-        assertEquals(version, field.version(leader));
-        assertEquals(before, field.values(leader));
-        assertTrue(before.get(KEY).startsWith(valueNow + "@"), before.toString());
+        assertEquals(version, testbed.version(leader));
+        assertEquals(before, testbed.values(leader));
+        assertTrue(before.get(KEY).startsWith(currentValue + "@"), before.toString());
     }
 
     private void restartWithoutSources(int subscriber, String value) throws Exception {
-        field.changesRelay().setConnectivity((a, b) -> a != subscriber && b != subscriber);
-        AgentChild agent = field.agent(subscriber);
-        agent.child().signal("KILL");
-        assertTrue(agent.child().awaitEnd(PATIENCE_MS));
-        Files.delete(field.published(subscriber));
-        agent.child().start();
-        ChangesField.await(
-                () -> field.has(subscriber, KEY, value), PATIENCE_MS, "the value is lost");
-        ChangesField.await(
-                () -> Files.exists(field.published(subscriber)), PATIENCE_MS, "no values file");
-        String published = Files.readString(field.published(subscriber));
+        testbed.changesRelay().setConnectivity((a, b) -> a != subscriber && b != subscriber);
+        AgentProcess agent = testbed.agent(subscriber);
+        agent.process().signal("KILL");
+        assertTrue(agent.process().awaitExit(TIMEOUT_MS));
+        Files.delete(testbed.valuesFile(subscriber));
+        agent.process().start();
+        ChangesTestbed.await(
+                () -> testbed.hasValue(subscriber, KEY, value), TIMEOUT_MS, "the value is lost");
+        ChangesTestbed.await(
+                () -> Files.exists(testbed.valuesFile(subscriber)), TIMEOUT_MS, "no values file");
+        String published = Files.readString(testbed.valuesFile(subscriber));
         assertTrue(published.contains("\"" + KEY + "\":\"" + value + "\""), published);
-        field.changesRelay().setConnectivity((a, b) -> true);
+        testbed.changesRelay().setConnectivity((a, b) -> true);
     }
 
     @Test
-    void aChangeIsSoonInForceWhoeverIsKilled() throws Exception {
+    void aChangeIsInForceWithinTheTimeoutThoughTheLeaderOrASubscriberIsKilled() throws Exception {
         put("500");
-        int other = field.subscribers().get(0);
-        other += ChangesField.service(other).equals("claims") ? 1 : 0;
-        assertEquals(Map.of(), field.values(other), "a key that it does not want");
-        refuseBadChanges("500");
-
-        int leader = field.leader();
-        field.agent(leader).child().signal("KILL");
-        ChangesField.await(() -> field.leader() >= 0, PATIENCE_MS, "no other leads");
+        int other = testbed.subscribers().get(0);
+        other += ChangesTestbed.serviceOf(other).equals("claims") ? 1 : 0;
+        assertEquals(Map.of(), testbed.values(other), "a key that it does not want");
+        checkThatInvalidChangesAreRefused("500");
+
+        int leader = testbed.leader();
+        testbed.agent(leader).process().signal("KILL");
+        ChangesTestbed.await(() -> testbed.leader() >= 0, TIMEOUT_MS, "no other leads");
         put("600");
 
-        int wanting = other == field.subscribers().get(0) ? other + 1 : other - 1;
-        restartWithoutSources(wanting, "600");
+        int interested = other == testbed.subscribers().get(0) ? other + 1 : other - 1;
+        restartWithoutSources(interested, "600");
         put("700");
-        String figures = field.agent(wanting).ask("vars");
-        assertTrue(figures.contains("changes_version " + field.version(wanting) + "\n"), figures);
+        String metrics = testbed.agent(interested).ask("vars");
+        assertTrue(
+                metrics.contains("changes_version " + testbed.version(interested) + "\n"), metrics);
     }
 }
--- a/src/test/java/passhatch/lab/drill/ChildTest.java
+++ b/src/test/java/passhatch/lab/drill/ChildProcessTest.java
@@ -9,22 +9,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ChildTest {
+class ChildProcessTest {
 
-    private static final int PATIENCE_MS = 20_000;
+    private static final int TIMEOUT_MS = 20_000;
 
     @TempDir private Path folder;
 
-    private Child child(String script) throws Exception {
-        Child child =
-                new Child(
+    private ChildProcess startScript(String script) throws Exception {
+        ChildProcess child =
+                new ChildProcess(
                         "c",
                         List.of("/bin/sh", "-c", script),
                         Map.of("WORD", "hello"),
                         folder.resolve("log"));
         child.start();
-        long endNs = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-        while (!child.logEnd().contains("hello")) {
+        long endNs = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+        while (!child.logTail().contains("hello")) {
             assertTrue(System.nanoTime() < endNs, "it never began");
             Thread.sleep(5);
         }
@@ -35,24 +35,24 @@
      * Ignored signals stay ignored over exec, so the process itself is the one that does not end.
      */
     @Test
-    void oneThatIgnoresTheOrderToEndIsKilledAfterThePatience() throws Exception {
-        Child child = child("trap '' TERM; echo $WORD; exec sleep 60");
+    void aProcessThatIgnoresSigtermIsKilledAfterTheTimeout() throws Exception {
+        ChildProcess child = startScript("trap '' TERM; echo $WORD; exec sleep 60");
         assertTrue(child.signal("TERM"));
-        assertFalse(child.awaitEnd(100));
-        child.end(100);
-        assertFalse(child.alive());
+        assertFalse(child.awaitExit(100));
+        child.terminate(100);
+        assertFalse(child.isAlive());
         assertFalse(child.signal("TERM"), "there is nobody to tell");
     }
 
     @Test
-    void oneThatIsHeldEndsAsWell() throws Exception {
-        Child child = child("echo $WORD; exec sleep 60");
+    void aStoppedProcessIsTerminated() throws Exception {
+        ChildProcess child = startScript("echo $WORD; exec sleep 60");
         assertTrue(child.signal("STOP"));
-        child.end(PATIENCE_MS);
-        assertFalse(child.alive());
+        child.terminate(TIMEOUT_MS);
+        assertFalse(child.isAlive());
         child.start();
-        assertTrue(child.alive());
-        child.endNow();
-        assertTrue(child.awaitEnd(PATIENCE_MS));
+        assertTrue(child.isAlive());
+        child.kill();
+        assertTrue(child.awaitExit(TIMEOUT_MS));
     }
 }
--- a/src/test/java/passhatch/lab/drill/ComparisonTest.java
+++ b/src/test/java/passhatch/lab/drill/ComparisonTest.java
@@ -16,10 +16,10 @@
      * equal.
      */
     @Test
-    void theIntervalHoldsTheTrueDifferenceAsOftenAsItSays() {
+    void theIntervalCoversTheTrueDifferenceAtItsConfidenceLevel() {
         UniformRandomProvider random = new Seeds(5).stream("comparison");
         var normal = ZigguratSampler.NormalizedGaussian.of(random);
-        int holds = 0;
+        int covered = 0;
         int trials = 2_000;
         for (int i = 0; i < trials; i++) {
             double[] a = new double[5];
@@ -27,13 +27,13 @@
             java.util.Arrays.setAll(a, n -> 10 + normal.sample());
             java.util.Arrays.setAll(b, n -> 12 + 3 * normal.sample());
             Comparison.Row row = Comparison.row("x", a, b);
-            holds += row.low() <= 2 && row.high() >= 2 ? 1 : 0;
+            covered += row.low() <= 2 && row.high() >= 2 ? 1 : 0;
         }
-        assertEquals(0.95, (double) holds / trials, 0.02);
+        assertEquals(0.95, (double) covered / trials, 0.02);
     }
 
     @Test
-    void saysWhereThereAreNoRepeats() {
+    void thereIsNoIntervalWithoutRepeats() {
         assertTrue(Double.isNaN(Comparison.row("x", new double[] {1}, new double[] {2, 3}).low()));
         assertFalse(Comparison.row("x", new double[] {1}, new double[] {2}).differs());
     }
--- a/src/test/java/passhatch/lab/drill/DrainIT.java
+++ b/src/test/java/passhatch/lab/drill/DrainIT.java
@@ -13,38 +13,38 @@
 class DrainIT extends OneProxyDrill {
 
     /** What discovery has to tell counts as told after this, whether or not it arrived. */
-    private static final long TOLD_AFTER_MS = 6_000;
+    private static final long DEEMED_NOTIFIED_MS = 6_000;
 
     /** After a signal that discovery has moved, all that it has to tell counts as told. */
-    private static final long TOLD_AFTER_MOVE_MS = 4_000;
+    private static final long DEEMED_NOTIFIED_AFTER_ADDRESS_CHANGE_MS = 4_000;
 
     /** As long as nothing changes a watch brings an empty line this often. */
-    private static final long EMPTY_LINE_EVERY_MS = 2_000;
+    private static final long EMPTY_LINE_INTERVAL_MS = 2_000;
 
     /** A watch that has said nothing for 3 s is given up. */
-    private static final long SILENT_BEFORE_MOVE_MS = 2_700;
+    private static final long SILENCE_BEFORE_ADDRESS_CHANGE_MS = 2_700;
 
     /** How long requests are sent beyond the grace: the rule would be broken many times. */
-    private static final long BEYOND_MS = 2_500;
+    private static final long BEYOND_GRACE_MS = 2_500;
 
-    private static final long BETWEEN_REQUESTS_MS = 15;
+    private static final long REQUEST_INTERVAL_MS = 15;
 
     DrainIT() {
         super("asks = true", 2);
     }
 
     /** The first backend drains now, which the proxy is not told. */
-    private void drainUntold() {
-        BackendServer draining = field.backends.get(0);
-        draining.drain(TOLD_AFTER_MS);
-        list(draining.name(), "DRAINING");
+    private void drainFirstBackend() {
+        BackendServer draining = testbed.backends.get(0);
+        draining.drain(DEEMED_NOTIFIED_MS);
+        publishStatus(draining.name(), "DRAINING");
     }
 
-    /** As {@link #drainUntold}, of a backend that goes on accepting. */
-    private void drainAcceptingUntold(long toldAfterMs) {
-        BackendServer draining = field.backends.get(0);
-        draining.drainWhileAccepting(toldAfterMs);
-        list(draining.name(), "DRAINING");
+    /** As {@link #drainFirstBackend}, of a backend that goes on accepting. */
+    private void drainFirstBackendAccepting(long deemedNotifiedMs) {
+        BackendServer draining = testbed.backends.get(0);
+        draining.drainWhileAccepting(deemedNotifiedMs);
+        publishStatus(draining.name(), "DRAINING");
     }
 
     /** Sends requests all along, and says how many of them were served. */
@@ -52,140 +52,142 @@
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
         int served = 0;
         while (System.nanoTime() < endNs) {
-            served += ask() == 200 ? 1 : 0;
-            Thread.sleep(BETWEEN_REQUESTS_MS);
+            served += requestStatus() == 200 ? 1 : 0;
+            Thread.sleep(REQUEST_INTERVAL_MS);
         }
         return served;
     }
 
     @Test
-    void nothingGoesToADrainingServerAfterARestartWhileDiscoveryTurnsCallsAway() throws Exception {
-        assertEquals(200, ask());
-        fault("do = 'overload'");
-        fault("do = 'kill', target = 'proxy-1'");
-        await("its end", () -> !proxy.child().alive());
-        drainUntold();
-        fault("do = 'start', target = 'proxy-1'");
-        await("an answer", () -> ask() != 0);
-        serveFor(TOLD_AFTER_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
-        fault("do = 'relieve'");
-        await("service by the list of discovery", () -> ask() == 200);
-        serveFor(BEYOND_MS);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
+    void noRequestReachesADrainingServerAfterARestartWhileDiscoveryRejectsCalls() throws Exception {
+        assertEquals(200, requestStatus());
+        injectFault("do = 'overload'");
+        injectFault("do = 'kill', target = 'proxy-1'");
+        await("its end", () -> !proxy.process().isAlive());
+        drainFirstBackend();
+        injectFault("do = 'start', target = 'proxy-1'");
+        await("an answer", () -> requestStatus() != 0);
+        serveFor(DEEMED_NOTIFIED_MS + BEYOND_GRACE_MS);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
+        injectFault("do = 'relieve'");
+        await("service by the list of discovery", () -> requestStatus() == 200);
+        serveFor(BEYOND_GRACE_MS);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
     }
 
     @Test
-    void aServerThatGoesOnAcceptingIsLeftInTimeWhileDiscoveryIsSilent() throws Exception {
-        await("service at both", () -> ask() == 200);
+    void aDrainingServerThatAcceptsIsNotUsedPastTheGraceWhileDiscoveryIsSilent() throws Exception {
+        await("service at both", () -> requestStatus() == 200);
         serveFor(500);
-        fault("do = 'stall'");
-        drainAcceptingUntold(TOLD_AFTER_MS);
-        serveFor(TOLD_AFTER_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
-        fault("do = 'resume'");
-        await("service by the list of discovery", () -> ask() == 200);
-        serveFor(BEYOND_MS);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
+        injectFault("do = 'stall'");
+        drainFirstBackendAccepting(DEEMED_NOTIFIED_MS);
+        serveFor(DEEMED_NOTIFIED_MS + BEYOND_GRACE_MS);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
+        injectFault("do = 'resume'");
+        await("service by the list of discovery", () -> requestStatus() == 200);
+        serveFor(BEYOND_GRACE_MS);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
     }
 
     @Test
-    void anAnswerThatTakesLongerThanAnotherCallIsWaitedForAndTellsTheDrain() throws Exception {
-        assertEquals(200, ask());
-        fault("do = 'answer_late', by = '4s'");
-        fault("do = 'break'");
-        drainUntold();
-        serveFor(TOLD_AFTER_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
+    void aSlowDiscoveryResponseIsAwaitedAndReportsTheDrain() throws Exception {
+        assertEquals(200, requestStatus());
+        injectFault("do = 'answer_late', by = '4s'");
+        injectFault("do = 'break'");
+        drainFirstBackend();
+        serveFor(DEEMED_NOTIFIED_MS + BEYOND_GRACE_MS);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
         await("the drain", () -> proxy.ask("vars").contains("hosts_down 1"));
     }
 
     @Test
-    void aDrainThatAWatchHadNotToldWhenItEndedCountsFromTheMoveBefore() throws Exception {
-        assertEquals(200, ask());
-        long answers = field.discovery.answeredCalls();
-        moveDiscovery();
-        await("an answer there", () -> field.discovery.answeredCalls() > answers);
-        fault("do = 'tell_late', by = '1h'");
-        drainAcceptingUntold(TOLD_AFTER_MOVE_MS);
-        serveFor(EMPTY_LINE_EVERY_MS);
-        fault("do = 'overload'");
-        fault("do = 'break'");
-        serveFor(TOLD_AFTER_MOVE_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
+    void aDrainThatAnEndedWatchDidNotReportIsDeemedNotifiedFromThePrecedingAddressChange()
+            throws Exception {
+        assertEquals(200, requestStatus());
+        long answers = testbed.discovery.answeredCalls();
+        changeDiscoveryAddress();
+        await("an answer there", () -> testbed.discovery.answeredCalls() > answers);
+        injectFault("do = 'tell_late', by = '1h'");
+        drainFirstBackendAccepting(DEEMED_NOTIFIED_AFTER_ADDRESS_CHANGE_MS);
+        serveFor(EMPTY_LINE_INTERVAL_MS);
+        injectFault("do = 'overload'");
+        injectFault("do = 'break'");
+        serveFor(DEEMED_NOTIFIED_AFTER_ADDRESS_CHANGE_MS + BEYOND_GRACE_MS);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
     }
 
     @Test
-    void movesInARowDoNotPutOffWhenADrainCountsAsTold() throws Exception {
-        assertEquals(200, ask());
-        fault("do = 'tell_late', by = '1h'");
-        fault("do = 'overload'");
-        drainAcceptingUntold(TOLD_AFTER_MOVE_MS);
+    void successiveAddressChangesDoNotDelayWhenADrainIsDeemedNotified() throws Exception {
+        assertEquals(200, requestStatus());
+        injectFault("do = 'tell_late', by = '1h'");
+        injectFault("do = 'overload'");
+        drainFirstBackendAccepting(DEEMED_NOTIFIED_AFTER_ADDRESS_CHANGE_MS);
         for (int i = 0; i < 3; i++) {
-            moveDiscovery();
+            changeDiscoveryAddress();
             serveFor(1_500);
         }
-        serveFor(TOLD_AFTER_MOVE_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
+        serveFor(DEEMED_NOTIFIED_AFTER_ADDRESS_CHANGE_MS + BEYOND_GRACE_MS);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
     }
 
     @Test
-    void aMoveShortlyBeforeASilentWatchIsGivenUpDoesNotMakeTheListNewer() throws Exception {
-        assertEquals(200, ask());
-        long answers = field.discovery.answeredCalls();
-        fault("do = 'break'");
-        await("a new watch", () -> field.discovery.answeredCalls() > answers);
-        fault("do = 'stall'");
-        drainAcceptingUntold(TOLD_AFTER_MS);
-        serveFor(SILENT_BEFORE_MOVE_MS);
-        moveDiscovery();
-        serveFor(TOLD_AFTER_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
+    void anAddressChangeShortlyBeforeASilentWatchTimesOutDoesNotRefreshTheList() throws Exception {
+        assertEquals(200, requestStatus());
+        long answers = testbed.discovery.answeredCalls();
+        injectFault("do = 'break'");
+        await("a new watch", () -> testbed.discovery.answeredCalls() > answers);
+        injectFault("do = 'stall'");
+        drainFirstBackendAccepting(DEEMED_NOTIFIED_MS);
+        serveFor(SILENCE_BEFORE_ADDRESS_CHANGE_MS);
+        changeDiscoveryAddress();
+        serveFor(DEEMED_NOTIFIED_MS + BEYOND_GRACE_MS);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
     }
 
     @Test
-    void aWholeListOfAnOlderVersionDoesNotBringADrainingServerBack() throws Exception {
-        assertEquals(200, ask());
-        String older = new ObjectMapper().writeValueAsString(field.discovery.snapshot());
-        drainAcceptingUntold(0);
+    void aSnapshotOfAnOlderVersionDoesNotRestoreADrainingServer() throws Exception {
+        assertEquals(200, requestStatus());
+        String older = new ObjectMapper().writeValueAsString(testbed.discovery.snapshot());
+        drainFirstBackendAccepting(0);
         await("the drain", () -> proxy.ask("vars").contains("hosts_down 1"));
-        field.discovery.sendLine(older);
-        serveFor(BEYOND_MS);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
+        testbed.discovery.sendLine(older);
+        serveFor(BEYOND_GRACE_MS);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
     }
 
     @Test
-    void aChangeThatCameBrokenIsNotConfirmedByTheEmptyLinesAfterIt() throws Exception {
-        assertEquals(200, ask());
-        fault("do = 'tell_late', by = '1h'");
-        drainAcceptingUntold(0);
-        field.discovery.sendLine("{\"index\":2,\"snapshot\":false,\"endpoints\":[{\"name\":\"back");
-        serveFor(EMPTY_LINE_EVERY_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
+    void aMalformedChangeIsNotConfirmedByTheEmptyLinesAfterIt() throws Exception {
+        assertEquals(200, requestStatus());
+        injectFault("do = 'tell_late', by = '1h'");
+        drainFirstBackendAccepting(0);
+        testbed.discovery.sendLine(
+                "{\"index\":2,\"snapshot\":false,\"endpoints\":[{\"name\":\"back");
+        serveFor(EMPTY_LINE_INTERVAL_MS + BEYOND_GRACE_MS);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
         await("the drain", () -> proxy.ask("vars").contains("hosts_down 1"));
     }
 
     @Test
-    void aDrainThatAnEmptyLineCameAfterCountsFromWhenDiscoveryHadIt() throws Exception {
-        assertEquals(200, ask());
-        fault("do = 'tell_late', by = '1h'");
-        drainUntold();
-        missTheDrainAfterAnEmptyLine();
+    void aDrainFollowedByAnEmptyLineIsDeemedNotifiedFromItsStartAtDiscovery() throws Exception {
+        assertEquals(200, requestStatus());
+        injectFault("do = 'tell_late', by = '1h'");
+        drainFirstBackend();
+        loseTheDrainAfterAnEmptyLine();
     }
 
     @Test
-    void aDrainThatAnEmptyLineCameAfterCountsSoThoughItsServerAccepts() throws Exception {
-        assertEquals(200, ask());
-        fault("do = 'tell_late', by = '1h'");
-        drainAcceptingUntold(TOLD_AFTER_MS);
-        missTheDrainAfterAnEmptyLine();
+    void aDrainFollowedByAnEmptyLineIsDeemedNotifiedThoughItsServerAccepts() throws Exception {
+        assertEquals(200, requestStatus());
+        injectFault("do = 'tell_late', by = '1h'");
+        drainFirstBackendAccepting(DEEMED_NOTIFIED_MS);
+        loseTheDrainAfterAnEmptyLine();
     }
 
-    private void missTheDrainAfterAnEmptyLine() throws Exception {
-        serveFor(EMPTY_LINE_EVERY_MS);
-        fault("do = 'overload'");
-        fault("do = 'break'");
-        serveFor(TOLD_AFTER_MS + BEYOND_MS);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
+    private void loseTheDrainAfterAnEmptyLine() throws Exception {
+        serveFor(EMPTY_LINE_INTERVAL_MS);
+        injectFault("do = 'overload'");
+        injectFault("do = 'break'");
+        serveFor(DEEMED_NOTIFIED_MS + BEYOND_GRACE_MS);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
     }
 }
--- a/src/test/java/passhatch/lab/drill/DrillIT.java
+++ b/src/test/java/passhatch/lab/drill/DrillIT.java
@@ -26,7 +26,7 @@
                 .run((ms, ended) -> {});
     }
 
-    private static String resets(boolean retries) {
+    private static String resetScenario(boolean retries) {
         return """
         name = "resets"
         duration = "4s"
@@ -43,9 +43,9 @@
      * as many fail, and with them only those of the tenth that must not be sent twice.
      */
     @Test
-    void retriesMakeTheDifferenceThatTheyMust() throws Exception {
-        Result with = run(resets(true), "with");
-        Result without = run(resets(false), "without");
+    void retriesRaiseTheServedShareWithoutDuplicates() throws Exception {
+        Result with = run(resetScenario(true), "with");
+        Result without = run(resetScenario(false), "without");
         assertTrue(
                 with.servedShare() > without.servedShare() + 0.05,
                 with.servedShare() + " with and " + without.servedShare() + " without");
@@ -62,7 +62,7 @@
 
     /** What cannot hold must not be said to hold. */
     @Test
-    void saysWhatDoesNotHold() throws Exception {
+    void reportsUnmetExpectations() throws Exception {
         Result result =
                 run(
                         """
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void aProcessThatNeverGetsReadyIsShownWithTheEndOfItsLog() throws Exception {
+    void aProcessThatDoesNotGetReadyIsReportedWithTheEndOfItsLog() throws Exception {
         Path wrong = folder.resolve("wrong.jar");
         Files.write(wrong, new byte[] {1, 2, 3});
         Scenario scenario =
@@ -97,7 +97,7 @@
 
     @Tag("long")
     @Test
-    void allShippedDrillsHold() throws Exception {
+    void allShippedDrillsMeetTheirExpectations() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("drills"))) {
             for (Path file : files.sorted().toList()) {
                 Result result = run(Files.readString(file), file.getFileName().toString());
--- a/src/test/java/passhatch/lab/drill/DutyIT.java
+++ b/src/test/java/passhatch/lab/drill/DutyIT.java
@@ -31,9 +31,9 @@
     private static final Path JAR = Path.of("target/passhatch.jar").toAbsolutePath();
     private static final int AGENTS = 5;
     private static final long LEASE_MS = 2_000;
-    private static final long PATIENCE_MS = 60_000;
-    private static final long ASK_EVERY_MS = 10;
-    private static final String MORE =
+    private static final long TIMEOUT_MS = 60_000;
+    private static final long POLL_INTERVAL_MS = 10;
+    private static final String DUTIES_CONFIG =
             """
             [duties]
             voters = ["m0", "m1", "m2", "m3", "m4"]
@@ -43,120 +43,126 @@
                     .formatted(LEASE_MS);
 
     @TempDir private Path folder;
-    private final ActLog log = new ActLog();
-    private final AtomicBoolean over = new AtomicBoolean();
-    private final ExecutorService askers = Executors.newFixedThreadPool(AGENTS);
-    private AgentField field;
+    private final DutyHolderLog holderLog = new DutyHolderLog();
+    private final AtomicBoolean stopped = new AtomicBoolean();
+    private final ExecutorService pollers = Executors.newFixedThreadPool(AGENTS);
+    private AgentTestbed testbed;
 
     @BeforeEach
     void start() throws Exception {
-        field =
-                new AgentField(
+        testbed =
+                new AgentTestbed(
                         JAR,
                         folder,
                         IntStream.range(0, AGENTS).mapToObj(i -> "m" + i).toList(),
                         1,
-                        MORE);
+                        DUTIES_CONFIG);
         for (int i = 0; i < AGENTS; i++) {
             int agent = i;
-            field.agent(i).child().start();
-            askers.execute(() -> ask(agent));
+            testbed.agent(i).process().start();
+            pollers.execute(() -> pollHolder(agent));
         }
         for (int i = 0; i < AGENTS; i++) {
             int agent = i;
-            await(() -> field.agent(agent).ask("found").equals("done\n"), "it cannot be founded");
+            await(() -> testbed.agent(agent).ask("found").equals("done\n"), "it cannot be founded");
         }
         await(0);
     }
 
     @AfterEach
     void end() throws IOException, InterruptedException {
-        over.set(true);
-        askers.shutdown();
-        askers.awaitTermination(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        field.close();
+        stopped.set(true);
+        pollers.shutdown();
+        pollers.awaitTermination(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        testbed.close();
     }
 
     /** Asks one agent over and over whether it may act, and keeps each yes. */
-    private void ask(int agent) {
-        while (!over.get()) {
-            long began = System.nanoTime();
-            String answer = field.agent(agent).ask("act drill").strip();
+    private void pollHolder(int agent) {
+        while (!stopped.get()) {
+            long startNs = System.nanoTime();
+            String answer = testbed.agent(agent).ask("act drill").strip();
             if (answer.startsWith("done ")) {
-                log.add(
-                        new ActLog.Act(
+                holderLog.add(
+                        new DutyHolderLog.Observation(
                                 agent,
                                 Long.parseLong(answer.substring(5)),
-                                began,
+                                startNs,
                                 System.nanoTime()));
             }
             try {
-                Thread.sleep(ASK_EVERY_MS);
-            } catch (InterruptedException stop) {
+                Thread.sleep(POLL_INTERVAL_MS);
+            } catch (InterruptedException interrupted) {
                 return;
             }
         }
     }
 
     /** Waits for an act of a greater term, and gives it. */
-    private ActLog.Act await(long term) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+    private DutyHolderLog.Observation await(long term) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (System.nanoTime() < end) {
-            for (ActLog.Act act :
-                    log.all().stream().skip(Math.max(0, log.all().size() - 50)).toList()) {
+            for (DutyHolderLog.Observation act :
+                    holderLog.all().stream()
+                            .skip(Math.max(0, holderLog.all().size() - 50))
+                            .toList()) {
                 if (act.term() > term) {
                     return act;
                 }
             }
-            Thread.sleep(ASK_EVERY_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
         throw new AssertionError("nobody has the duty after term " + term);
     }
 
-    private void changes(int count) throws Exception {
+    private void checkHolderChanges(int count) throws Exception {
         UniformRandomProvider random = new Seeds(5).stream("faults");
         List<Long> failures = new ArrayList<>();
         List<Long> handOvers = new ArrayList<>();
-        ActLog.Act holder = await(0);
+        DutyHolderLog.Observation holder = await(0);
         for (int i = 0; i < count; i++) {
-            int held = holder.process();
-            AgentChild agent = field.agent(held);
-            long beganNs = System.nanoTime();
+            int holderIndex = holder.process();
+            AgentProcess agent = testbed.agent(holderIndex);
+            long startNs = System.nanoTime();
             int fault = random.nextInt(4);
             switch (fault) {
-                case 0 -> agent.child().signal("KILL");
-                case 1 -> agent.child().signal("STOP");
-                case 2 -> field.relay().setConnectivity((a, b) -> a != held && b != held);
+                case 0 -> agent.process().signal("KILL");
+                case 1 -> agent.process().signal("STOP");
+                case 2 ->
+                        testbed.relay()
+                                .setConnectivity((a, b) -> a != holderIndex && b != holderIndex);
                 default ->
-                        assertEquals("done\n", agent.ask("give-up drill m" + (held + 1) % AGENTS));
+                        assertEquals(
+                                "done\n",
+                                agent.ask("give-up drill m" + (holderIndex + 1) % AGENTS));
             }
             holder = await(holder.term());
-            (fault == 3 ? handOvers : failures).add((System.nanoTime() - beganNs) / 1_000_000);
+            (fault == 3 ? handOvers : failures).add((System.nanoTime() - startNs) / 1_000_000);
             if (fault == 0) {
-                agent.child().awaitEnd(PATIENCE_MS);
-                agent.child().start();
+                agent.process().awaitExit(TIMEOUT_MS);
+                agent.process().start();
             } else if (fault == 1) {
-                agent.child().signal("CONT");
+                agent.process().signal("CONT");
             }
-            field.relay().setConnectivity((a, b) -> true);
-            awaitAll();
+            testbed.relay().setConnectivity((a, b) -> true);
+            awaitAllAlive();
         }
-        assertEquals(List.of(), log.faults());
+        assertEquals(List.of(), holderLog.violations());
         Collections.sort(failures);
         Collections.sort(handOvers);
         System.out.println(
                 "duties: "
-                        + log.all().size()
+                        + holderLog.all().size()
                         + " acts seen; lease "
                         + LEASE_MS
                         + " ms; without a holder after failures "
-                        + times(failures)
+                        + summary(failures)
                         + ", hand-overs "
-                        + times(handOvers));
+                        + summary(handOvers));
         assertTrue(failures.get(failures.size() - 1) < 5 * LEASE_MS);
     }
 
-    private static String times(List<Long> sorted) {
+    private static String summary(List<Long> sorted) {
         return sorted.isEmpty()
                 ? "-"
                 : sorted.size()
@@ -170,56 +176,57 @@
     }
 
     private static void await(BooleanSupplier holds, String what) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (!holds.getAsBoolean()) {
             assertTrue(System.nanoTime() < end, what);
-            Thread.sleep(5 * ASK_EVERY_MS);
+            Thread.sleep(5 * POLL_INTERVAL_MS);
         }
     }
 
     /** All are present for each other again, so that the next fault meets a whole fleet. */
-    private void awaitAll() throws InterruptedException {
+    private void awaitAllAlive() throws InterruptedException {
         List<Integer> all = IntStream.range(0, AGENTS).boxed().toList();
         await(
-                () -> field.allSee(all, field.view("alive", List.of(), "")),
+                () -> testbed.allReport(all, testbed.expectedStatuses("alive", List.of(), "")),
                 "the fleet is not whole again");
     }
 
     private boolean votes(int agent) {
-        return field.agent(agent).ask("duties").contains("\"votes\":true");
+        return testbed.agent(agent).ask("duties").contains("\"votes\":true");
     }
 
     /** It does not vote until the others have told it, and a lease has passed; then terms go on. */
     @Test
-    void aVoterThatLostItsStoreRecallsFromTheOthers() throws Exception {
+    void aVoterThatLostItsStoreRecoversTermsFromTheOthers() throws Exception {
         int lost = (await(0).process() + 1) % AGENTS;
-        AgentChild agent = field.agent(lost);
-        agent.child().signal("KILL");
-        agent.child().awaitEnd(PATIENCE_MS);
+        AgentProcess agent = testbed.agent(lost);
+        agent.process().signal("KILL");
+        agent.process().awaitExit(TIMEOUT_MS);
         try (Stream<Path> files = Files.list(agent.store())) {
             for (Path file : files.toList()) {
                 Files.delete(file);
             }
         }
-        long beganNs = System.nanoTime();
-        agent.child().start();
+        long startNs = System.nanoTime();
+        agent.process().start();
         await(() -> votes(lost), "it does not vote");
         assertTrue(
-                System.nanoTime() - beganNs > TimeUnit.MILLISECONDS.toNanos(LEASE_MS),
+                System.nanoTime() - startNs > TimeUnit.MILLISECONDS.toNanos(LEASE_MS),
                 "it did not wait");
-        ActLog.Act before = log.all().get(log.all().size() - 1);
-        assertEquals("done\n", field.agent(before.process()).ask("give-up drill m" + lost));
-        assertTrue(await(before.term()).term() > before.term());
-        assertEquals(List.of(), log.faults());
+        DutyHolderLog.Observation lastObservation = holderLog.all().get(holderLog.all().size() - 1);
+        assertEquals(
+                "done\n", testbed.agent(lastObservation.process()).ask("give-up drill m" + lost));
+        assertTrue(await(lastObservation.term()).term() > lastObservation.term());
+        assertEquals(List.of(), holderLog.violations());
     }
 
     @Test
-    void neverTwoAndSoonAnother() throws Exception {
-        changes(12);
+    void thereAreNeverTwoHoldersAndANewOneFollowsInTime() throws Exception {
+        checkHolderChanges(12);
     }
 
     @Test
-    void neverTwoInThreeHundredChanges() throws Exception {
-        changes(300);
+    void thereAreNeverTwoHoldersInThreeHundredChanges() throws Exception {
+        checkHolderChanges(300);
     }
 }
--- a/src/test/java/passhatch/lab/drill/FaultsIT.java
+++ b/src/test/java/passhatch/lab/drill/FaultsIT.java
@@ -14,99 +14,99 @@
         super("retries = false", 1);
     }
 
-    private void listOneMore(String name) {
-        list(name, "SERVING");
+    private void addToList(String name) {
+        publishStatus(name, "SERVING");
     }
 
     @Test
-    void aKilledProcessIsGoneAndOneStartedAgainServes() throws Exception {
-        long pid = proxy.child().pid();
-        fault("do = 'kill', target = 'proxy-1'");
-        await("its end", () -> !proxy.child().alive());
-        assertEquals(0, ask());
-        fault("do = 'start', target = 'proxy-1'");
-        await("an answer", () -> ask() == 200);
-        assertNotEquals(pid, proxy.child().pid());
+    void aKilledProcessEndsAndServesAgainAfterARestart() throws Exception {
+        long pid = proxy.process().pid();
+        injectFault("do = 'kill', target = 'proxy-1'");
+        await("its end", () -> !proxy.process().isAlive());
+        assertEquals(0, requestStatus());
+        injectFault("do = 'start', target = 'proxy-1'");
+        await("an answer", () -> requestStatus() == 200);
+        assertNotEquals(pid, proxy.process().pid());
     }
 
     @Test
-    void aTerminatedProcessEndsByItself() throws Exception {
-        fault("do = 'term', target = 'proxy-1'");
-        await("its end", () -> !proxy.child().alive());
+    void aTerminatedProcessShutsDownInOrder() throws Exception {
+        injectFault("do = 'term', target = 'proxy-1'");
+        await("its end", () -> !proxy.process().isAlive());
         assertTrue(
-                proxy.child().logEnd().contains("ending with 0 requests unanswered"),
-                proxy.child().logEnd());
+                proxy.process().logTail().contains("ending with 0 requests unanswered"),
+                proxy.process().logTail());
     }
 
     @Test
-    void aStoppedProcessIsSilentUntilItGoesOn() throws Exception {
-        fault("do = 'stop', target = 'proxy-1'");
-        assertEquals(0, ask());
-        assertTrue(proxy.child().alive());
-        fault("do = 'cont', target = 'proxy-1'");
-        await("an answer", () -> ask() == 200);
+    void aStoppedProcessDoesNotRespondUntilItIsContinued() throws Exception {
+        injectFault("do = 'stop', target = 'proxy-1'");
+        assertEquals(0, requestStatus());
+        assertTrue(proxy.process().isAlive());
+        injectFault("do = 'cont', target = 'proxy-1'");
+        await("an answer", () -> requestStatus() == 200);
     }
 
     @Test
-    void backendsDoBadlyAndWellAgain() throws Exception {
-        assertEquals(200, ask());
-        fault("do = 'slow', target = 'backend-1', factor = 100.0");
+    void backendFaultsTakeEffectAndAreUndone() throws Exception {
+        assertEquals(200, requestStatus());
+        injectFault("do = 'slow', target = 'backend-1', factor = 100.0");
         long sentNs = System.nanoTime();
-        assertEquals(200, ask());
+        assertEquals(200, requestStatus());
         assertTrue(System.nanoTime() - sentNs >= 400_000_000, "it was not slow");
         for (String bad : List.of("fail", "reset", "hang")) {
-            fault("do = '" + bad + "', target = 'backend-1'");
-            assertNotEquals(200, ask(), bad);
-            fault("do = 'well', target = 'backend-1'");
-            await("an answer after " + bad, () -> ask() == 200);
+            injectFault("do = '" + bad + "', target = 'backend-1'");
+            assertNotEquals(200, requestStatus(), bad);
+            injectFault("do = 'well', target = 'backend-1'");
+            await("an answer after " + bad, () -> requestStatus() == 200);
         }
     }
 
     @Test
-    void backendsLeaveAndReturn() throws Exception {
-        fault("do = 'crash', target = 'backend-1'");
-        await("the news of its end", () -> listed() == 0);
-        assertNotEquals(200, ask());
-        fault("do = 'return', target = 'backend-1'");
-        await("an answer", () -> ask() == 200);
-        fault("do = 'drain', target = 'backend-1'");
-        await("that it is sent nothing more", () -> ask() != 200);
-        assertEquals(0, field.ledger.attemptsAfterDrain());
+    void crashedBackendsReturnAndDrainingOnesGetNoRequests() throws Exception {
+        injectFault("do = 'crash', target = 'backend-1'");
+        await("the news of its end", () -> listedHosts() == 0);
+        assertNotEquals(200, requestStatus());
+        injectFault("do = 'return', target = 'backend-1'");
+        await("an answer", () -> requestStatus() == 200);
+        injectFault("do = 'drain', target = 'backend-1'");
+        await("that it is sent nothing more", () -> requestStatus() != 200);
+        assertEquals(0, testbed.ledger.attemptsAfterDrain());
     }
 
     @Test
-    void discoveryFailsInEachWayAndIsHeardAgain() throws Exception {
-        fault("do = 'break'");
+    void changesArriveAgainAfterEachDiscoveryFault() throws Exception {
+        injectFault("do = 'break'");
         await(
                 "the news of the break",
-                () -> proxy.child().logEnd().contains("the watch from index 1 ended"));
-        listOneMore("b");
-        await("the change after it", () -> listed() == 2);
-        fault("do = 'down'");
-        listOneMore("c");
-        await("a refused call", () -> proxy.child().logEnd().contains("Connection refused"));
-        assertEquals(2, listed());
-        fault("do = 'up'");
-        await("the change told late", () -> listed() == 3);
-        fault("do = 'stall'");
-        listOneMore("d");
-        await("the end of its patience", () -> proxy.child().logEnd().contains("index 3 ended"));
-        assertEquals(3, listed());
-        fault("do = 'resume'");
-        await("the change after the stall", () -> listed() == 4);
-        fault("do = 'overload'");
-        fault("do = 'break'");
-        await("a call turned away", () -> proxy.child().logEnd().contains("answered 503"));
-        fault("do = 'relieve'");
-        listOneMore("g");
-        await("the change after the overload", () -> listed() == 5);
-        fault("do = 'tell_late', by = '700ms'");
-        long toldNs = System.nanoTime();
-        listOneMore("e");
-        await("the late change", () -> listed() == 6);
-        assertTrue(System.nanoTime() - toldNs >= 700_000_000L, "it came early");
-        fault("do = 'tell_at_once'");
-        listOneMore("f");
-        await("a change at once", () -> listed() == 7);
+                () -> proxy.process().logTail().contains("the watch from index 1 ended"));
+        addToList("b");
+        await("the change after it", () -> listedHosts() == 2);
+        injectFault("do = 'down'");
+        addToList("c");
+        await("a refused call", () -> proxy.process().logTail().contains("Connection refused"));
+        assertEquals(2, listedHosts());
+        injectFault("do = 'up'");
+        await("the change told late", () -> listedHosts() == 3);
+        injectFault("do = 'stall'");
+        addToList("d");
+        await("the end of its patience", () -> proxy.process().logTail().contains("index 3 ended"));
+        assertEquals(3, listedHosts());
+        injectFault("do = 'resume'");
+        await("the change after the stall", () -> listedHosts() == 4);
+        injectFault("do = 'overload'");
+        injectFault("do = 'break'");
+        await("a call turned away", () -> proxy.process().logTail().contains("answered 503"));
+        injectFault("do = 'relieve'");
+        addToList("g");
+        await("the change after the overload", () -> listedHosts() == 5);
+        injectFault("do = 'tell_late', by = '700ms'");
+        long changedNs = System.nanoTime();
+        addToList("e");
+        await("the late change", () -> listedHosts() == 6);
+        assertTrue(System.nanoTime() - changedNs >= 700_000_000L, "it came early");
+        injectFault("do = 'tell_at_once'");
+        addToList("f");
+        await("a change at once", () -> listedHosts() == 7);
     }
 }
