--- a/src/test/java/passhatch/lab/drill/MembershipIT.java
+++ b/src/test/java/passhatch/lab/drill/MembershipIT.java
@@ -36,30 +36,30 @@
 
     private static final Path JAR = Path.of("target/passhatch.jar").toAbsolutePath();
     private static final int AGENTS = 10;
-    private static final long START_S = 30;
-    private static final long SOON_S = 30;
-    private static final long POLL_MS = 50;
+    private static final long START_TIMEOUT_S = 30;
+    private static final long CONVERGENCE_TIMEOUT_S = 30;
+    private static final long POLL_INTERVAL_MS = 50;
 
     @TempDir private Path folder;
-    private AgentField field;
+    private AgentTestbed testbed;
 
     /** All at the same moment. */
     @BeforeEach
     void start() throws Exception {
-        field =
-                new AgentField(
+        testbed =
+                new AgentTestbed(
                         JAR, folder, IntStream.range(0, AGENTS).mapToObj(i -> "m" + i).toList(), 1);
         for (int i = 0; i < AGENTS; i++) {
-            field.agent(i).child().start();
+            testbed.agent(i).process().start();
         }
-        awaitAllAlive(START_S);
+        awaitAllAlive(START_TIMEOUT_S);
     }
 
     @AfterEach
     void end() throws IOException {
-        field.close();
+        testbed.close();
         for (int i = 0; i < AGENTS; i++) {
-            assertFalse(field.agent(i).child().alive(), "a process was left behind");
+            assertFalse(testbed.agent(i).process().isAlive(), "a process was left behind");
         }
     }
 
@@ -67,56 +67,63 @@
         return IntStream.range(0, AGENTS).boxed().toList();
     }
 
-    private static List<Integer> allBut(Integer... gone) {
-        List<Integer> rest = new ArrayList<>(all());
-        rest.removeAll(List.of(gone));
-        return rest;
+    private static List<Integer> allBut(Integer... excluded) {
+        List<Integer> remaining = new ArrayList<>(all());
+        remaining.removeAll(List.of(excluded));
+        return remaining;
     }
 
-    private void await(BooleanSupplier holds, long mostS) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(mostS);
-        while (!holds.getAsBoolean()) {
-            if (System.nanoTime() > end) {
+    private void await(BooleanSupplier condition, long timeoutS) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutS);
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadlineNs) {
                 Map<Integer, Object> views = new TreeMap<>();
                 for (int i : all()) {
-                    Map<String, String> view = field.agent(i).view();
-                    views.put(i, view.isEmpty() ? field.agent(i).child().logEnd() : view);
+                    Map<String, String> view = testbed.agent(i).memberStatuses();
+                    views.put(i, view.isEmpty() ? testbed.agent(i).process().logTail() : view);
                 }
-                throw new AssertionError("not in " + mostS + " s: " + views);
+                throw new AssertionError("not in " + timeoutS + " s: " + views);
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    private void awaitAllAlive(long mostS) throws InterruptedException {
-        await(() -> field.allSee(all(), field.view("alive", List.of(), "")), mostS);
+    private void awaitAllAlive(long timeoutS) throws InterruptedException {
+        await(
+                () -> testbed.allReport(all(), testbed.expectedStatuses("alive", List.of(), "")),
+                timeoutS);
     }
 
-    private JsonNode ask(int agent) {
-        return field.agent(agent).answer().orElseThrow();
+    private JsonNode membersJson(int agent) {
+        return testbed.agent(agent).queryJson().orElseThrow();
     }
 
     private long epoch(int agent) {
-        return Long.parseLong(ask(agent).get("incarnation").textValue().split("\\.")[0]);
+        return Long.parseLong(membersJson(agent).get("incarnation").textValue().split("\\.")[0]);
     }
 
     /** A process's lines on members that have failed. */
-    private long failuresTold(int agent) throws IOException {
-        return field.agent(agent).log().lines().filter(l -> l.contains("is failed, was")).count();
+    private long loggedFailures(int agent) throws IOException {
+        return testbed.agent(agent).log().lines().filter(l -> l.contains("is failed, was")).count();
     }
 
     @Test
     void partitionsInTwoAndInThreeHeal() throws Exception {
         for (int parts : new int[] {2, 3}) {
-            field.relay().setConnectivity((a, b) -> a % parts == b % parts);
+            testbed.relay().setConnectivity((a, b) -> a % parts == b % parts);
             for (int side = 0; side < parts; side++) {
                 int s = side;
                 List<Integer> inside = all().stream().filter(i -> i % parts == s).toList();
                 List<Integer> outside = all().stream().filter(i -> i % parts != s).toList();
-                await(() -> field.allSee(inside, field.view("alive", outside, "failed")), SOON_S);
+                await(
+                        () ->
+                                testbed.allReport(
+                                        inside,
+                                        testbed.expectedStatuses("alive", outside, "failed")),
+                        CONVERGENCE_TIMEOUT_S);
             }
-            field.relay().setConnectivity((a, b) -> true);
-            awaitAllAlive(SOON_S);
+            testbed.relay().setConnectivity((a, b) -> true);
+            awaitAllAlive(CONVERGENCE_TIMEOUT_S);
         }
     }
 
@@ -124,18 +131,22 @@
      * One way between two, and a third of all datagrams lost, doubled, cut or late: nobody fails.
      */
     @Test
-    void badNetworksAccuseNobody() throws Exception {
-        field.relay().setConnectivity((a, b) -> !(a == 1 && b == 2));
-        field.relay().setConditions(new NetworkConditions(0.2, 0.2, 0.05, 0.05, 1_000, 2_000));
-        long before = ask(2).get("received").longValue();
-        await(() -> ask(2).get("received").longValue() > before + 300, 2 * SOON_S);
-        assertTrue(ask(2).get("dropped").get("checksum").longValue() > 0, "cut datagrams are told");
+    void noMemberFailsOnABadNetwork() throws Exception {
+        testbed.relay().setConnectivity((a, b) -> !(a == 1 && b == 2));
+        testbed.relay().setConditions(new NetworkConditions(0.2, 0.2, 0.05, 0.05, 1_000, 2_000));
+        long before = membersJson(2).get("received").longValue();
+        await(
+                () -> membersJson(2).get("received").longValue() > before + 300,
+                2 * CONVERGENCE_TIMEOUT_S);
+        assertTrue(
+                membersJson(2).get("dropped").get("checksum").longValue() > 0,
+                "cut datagrams are told");
         for (int i = 0; i < AGENTS; i++) {
-            assertEquals(0, failuresTold(i));
+            assertEquals(0, loggedFailures(i));
         }
-        field.relay().setConditions(NetworkConditions.UNIMPAIRED);
-        awaitAllAlive(SOON_S);
-        assertEquals(0, field.relay().oversized());
+        testbed.relay().setConditions(NetworkConditions.UNIMPAIRED);
+        awaitAllAlive(CONVERGENCE_TIMEOUT_S);
+        assertEquals(0, testbed.relay().oversized());
     }
 
     /**
@@ -143,36 +154,49 @@
      * failed.
      */
     @Test
-    void thoseThatAreGoneFailAndNobodyElse() throws Exception {
+    void onlyUnreachableMembersFail() throws Exception {
         long before = epoch(3);
-        field.agent(3).child().signal("KILL");
-        field.agent(3).child().awaitEnd(SOON_S * 1_000);
-        field.agent(3).child().start();
-        await(() -> field.agent(3).view().size() == AGENTS && epoch(3) == before + 1, SOON_S);
+        testbed.agent(3).process().signal("KILL");
+        testbed.agent(3).process().awaitExit(CONVERGENCE_TIMEOUT_S * 1_000);
+        testbed.agent(3).process().start();
+        await(
+                () -> testbed.agent(3).memberStatuses().size() == AGENTS && epoch(3) == before + 1,
+                CONVERGENCE_TIMEOUT_S);
 
-        field.agent(4).child().signal("STOP");
-        await(() -> field.allSee(allBut(4), field.view("alive", List.of(4), "failed")), SOON_S);
-        long heldFailures = failuresTold(4);
-        field.agent(4).child().signal("CONT");
-        awaitAllAlive(SOON_S);
+        testbed.agent(4).process().signal("STOP");
+        await(
+                () ->
+                        testbed.allReport(
+                                allBut(4), testbed.expectedStatuses("alive", List.of(4), "failed")),
+                CONVERGENCE_TIMEOUT_S);
+        long failuresWhileStopped = loggedFailures(4);
+        testbed.agent(4).process().signal("CONT");
+        awaitAllAlive(CONVERGENCE_TIMEOUT_S);
         assertEquals(
-                heldFailures,
-                failuresTold(4),
+                failuresWhileStopped,
+                loggedFailures(4),
                 "what it missed while it was held is nobody's fault");
 
-        field.agent(5).child().signal("KILL");
-        field.agent(6).child().signal("KILL");
+        testbed.agent(5).process().signal("KILL");
+        testbed.agent(6).process().signal("KILL");
         await(
-                () -> field.allSee(allBut(5, 6), field.view("alive", List.of(5, 6), "failed")),
-                SOON_S);
-        field.agent(5).child().awaitEnd(SOON_S * 1_000);
-        field.agent(6).child().awaitEnd(SOON_S * 1_000);
-        field.agent(5).child().start();
-        field.agent(6).child().start();
-        awaitAllAlive(SOON_S);
+                () ->
+                        testbed.allReport(
+                                allBut(5, 6),
+                                testbed.expectedStatuses("alive", List.of(5, 6), "failed")),
+                CONVERGENCE_TIMEOUT_S);
+        testbed.agent(5).process().awaitExit(CONVERGENCE_TIMEOUT_S * 1_000);
+        testbed.agent(6).process().awaitExit(CONVERGENCE_TIMEOUT_S * 1_000);
+        testbed.agent(5).process().start();
+        testbed.agent(6).process().start();
+        awaitAllAlive(CONVERGENCE_TIMEOUT_S);
 
-        field.agent(7).child().signal("TERM");
-        await(() -> field.allSee(allBut(7), field.view("alive", List.of(7), "left")), SOON_S);
+        testbed.agent(7).process().signal("TERM");
+        await(
+                () ->
+                        testbed.allReport(
+                                allBut(7), testbed.expectedStatuses("alive", List.of(7), "left")),
+                CONVERGENCE_TIMEOUT_S);
     }
 
     /**
@@ -180,16 +204,16 @@
      * one.
      */
     @Test
-    void aMachineThatIsSetBackTakesItsPlaceAgain() throws Exception {
-        Path store = field.agent(2).store();
+    void aMemberRestoredFromAnOldImageRejoins() throws Exception {
+        Path store = testbed.agent(2).store();
         Path image = folder.resolve("image");
         copy(store, image);
         for (int i = 0; i < 2; i++) {
             kill(2);
-            field.agent(2).child().start();
-            await(() -> field.agent(2).view().size() == AGENTS, SOON_S);
+            testbed.agent(2).process().start();
+            await(() -> testbed.agent(2).memberStatuses().size() == AGENTS, CONVERGENCE_TIMEOUT_S);
         }
-        awaitAllAlive(SOON_S);
+        awaitAllAlive(CONVERGENCE_TIMEOUT_S);
         long before = epoch(2);
         kill(2);
         try (Stream<Path> files = Files.list(store)) {
@@ -198,23 +222,27 @@
             }
         }
         copy(image, store);
-        field.agent(2).child().start();
-        await(() -> field.agent(2).answer().isPresent() && epoch(2) > before, 2 * SOON_S);
-        awaitAllAlive(SOON_S);
+        testbed.agent(2).process().start();
+        await(
+                () -> testbed.agent(2).queryJson().isPresent() && epoch(2) > before,
+                2 * CONVERGENCE_TIMEOUT_S);
+        awaitAllAlive(CONVERGENCE_TIMEOUT_S);
         assertTrue(
-                field.agent(2).log().contains("gives way")
-                        || field.agent(2).log().contains("was still known"),
+                testbed.agent(2).log().contains("gives way")
+                        || testbed.agent(2).log().contains("was still known"),
                 "it says what it found");
         // And the epoch that it took is on disk: the next start does not use it again.
         long taken = epoch(2);
         kill(2);
-        field.agent(2).child().start();
-        await(() -> field.agent(2).answer().isPresent() && epoch(2) > taken, SOON_S);
+        testbed.agent(2).process().start();
+        await(
+                () -> testbed.agent(2).queryJson().isPresent() && epoch(2) > taken,
+                CONVERGENCE_TIMEOUT_S);
     }
 
     private void kill(int agent) throws Exception {
-        field.agent(agent).child().signal("KILL");
-        field.agent(agent).child().awaitEnd(SOON_S * 1_000);
+        testbed.agent(agent).process().signal("KILL");
+        testbed.agent(agent).process().awaitExit(CONVERGENCE_TIMEOUT_S * 1_000);
     }
 
     private static void copy(Path from, Path to) throws IOException {
@@ -229,52 +257,60 @@
 
     /** A second process claims a name: the one with the lesser epoch takes no part and says so. */
     @Test
-    void theOlderOfTwoProcessesOfOneNameGivesWay() throws Exception {
-        try (AgentField other =
-                new AgentField(JAR, folder.resolve("twins"), List.of("x", "y", "y"), 2)) {
-            other.agent(0).child().start();
-            other.agent(2).child().start();
-            await(() -> other.agent(2).view().size() == 2, START_S);
-            other.agent(2).child().signal("KILL");
-            other.agent(2).child().awaitEnd(SOON_S * 1_000);
-            other.agent(2).child().start();
-            await(() -> other.agent(2).ask("check").startsWith("done"), START_S);
-            other.agent(1).child().start();
-            await(() -> other.agent(1).ask("check").startsWith("error"), START_S);
+    void theOlderOfTwoProcessesWithOneNameIsSuperseded() throws Exception {
+        try (AgentTestbed other =
+                new AgentTestbed(JAR, folder.resolve("twins"), List.of("x", "y", "y"), 2)) {
+            other.agent(0).process().start();
+            other.agent(2).process().start();
+            await(() -> other.agent(2).memberStatuses().size() == 2, START_TIMEOUT_S);
+            other.agent(2).process().signal("KILL");
+            other.agent(2).process().awaitExit(CONVERGENCE_TIMEOUT_S * 1_000);
+            other.agent(2).process().start();
+            await(() -> other.agent(2).ask("check").startsWith("done"), START_TIMEOUT_S);
+            other.agent(1).process().start();
+            await(() -> other.agent(1).ask("check").startsWith("error"), START_TIMEOUT_S);
             assertTrue(other.agent(1).log().contains("gives way"));
             assertTrue(other.agent(2).ask("check").startsWith("done"));
-            other.agent(2).child().signal("KILL");
-            await(() -> other.agent(1).ask("check").startsWith("done"), SOON_S);
-            await(() -> "alive".equals(other.agent(0).view().get("y")), SOON_S);
+            other.agent(2).process().signal("KILL");
+            await(() -> other.agent(1).ask("check").startsWith("done"), CONVERGENCE_TIMEOUT_S);
+            await(
+                    () -> "alive".equals(other.agent(0).memberStatuses().get("y")),
+                    CONVERGENCE_TIMEOUT_S);
         }
     }
 
     /** Strays and another list of members, in a process that goes on all the while. */
     @Test
-    void straysAreCountedAndAnotherListIsTakenAtAHangUp() throws Exception {
-        InetSocketAddress target = field.agent(1).listen();
-        try (DatagramChannel stranger = DatagramChannel.open()) {
+    void unknownDatagramsAreCountedAndTheMemberListIsReloadedOnSighup() throws Exception {
+        InetSocketAddress target = testbed.agent(1).listen();
+        try (DatagramChannel unknownSender = DatagramChannel.open()) {
             for (int i = 0; i < 5; i++) {
-                stranger.send(ByteBuffer.wrap(new byte[] {1, 2, 3, 4, 5, 6}), target);
+                unknownSender.send(ByteBuffer.wrap(new byte[] {1, 2, 3, 4, 5, 6}), target);
             }
         }
-        await(() -> ask(1).get("dropped").path("stranger").longValue() == 5, SOON_S);
+        await(
+                () -> membersJson(1).get("dropped").path("stranger").longValue() == 5,
+                CONVERGENCE_TIMEOUT_S);
         kill(9);
-        await(() -> field.allSee(allBut(9), field.view("alive", List.of(9), "failed")), SOON_S);
-        field.configureWithout(1, 9);
-        field.agent(1).child().signal("HUP");
-        await(() -> !field.agent(1).view().containsKey("m9"), SOON_S);
+        await(
+                () ->
+                        testbed.allReport(
+                                allBut(9), testbed.expectedStatuses("alive", List.of(9), "failed")),
+                CONVERGENCE_TIMEOUT_S);
+        testbed.configureWithoutMember(1, 9);
+        testbed.agent(1).process().signal("HUP");
+        await(() -> !testbed.agent(1).memberStatuses().containsKey("m9"), CONVERGENCE_TIMEOUT_S);
         Files.writeString(folder.resolve("agent-1").resolve("fleet.toml"), "[fleet]\nnme = 1\n");
-        field.agent(1).child().signal("HUP");
+        testbed.agent(1).process().signal("HUP");
         await(
                 () -> {
                     try {
-                        return field.agent(1).log().contains("nothing is changed: ");
+                        return testbed.agent(1).log().contains("nothing is changed: ");
                     } catch (IOException unreadable) {
                         return false;
                     }
                 },
-                SOON_S);
-        assertTrue(field.agent(1).ask("check").startsWith("done"));
+                CONVERGENCE_TIMEOUT_S);
+        assertTrue(testbed.agent(1).ask("check").startsWith("done"));
     }
 }
--- a/src/test/java/passhatch/lab/drill/OneProxyDrill.java
+++ b/src/test/java/passhatch/lab/drill/OneProxyDrill.java
@@ -27,24 +27,24 @@
 abstract class OneProxyDrill {
 
     private static final Path JAR = Path.of("target/passhatch.jar").toAbsolutePath();
-    private static final long PATIENCE_MS = 20_000;
+    private static final long TIMEOUT_MS = 20_000;
 
     @TempDir private Path folder;
-    private final String description;
+    private final String scenarioText;
     private final HttpClient http = HttpClient.newHttpClient();
-    private final AtomicInteger ids = new AtomicInteger();
+    private final AtomicInteger lastRequestId = new AtomicInteger();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
     private EventFile events;
     private FaultRunner faults;
-    Field field;
-    ProxyChild proxy;
+    Testbed testbed;
+    ProxyProcess proxy;
 
     /**
      * @param proxies further keys of the scenario's proxies, as a file holds them
      * @param backends how many there are
      */
     OneProxyDrill(String proxies, int backends) {
-        this.description =
+        this.scenarioText =
                 """
                 name = "one-proxy"
                 duration = "1h"
@@ -58,65 +58,71 @@
 
     @BeforeEach
     void start() throws Exception {
-        Scenario scenario = ScenarioReader.read("faults", description);
-        field = new Field(scenario, new Seeds(1), JAR, folder, List.of());
-        field.startProxies(PATIENCE_MS);
-        proxy = field.proxies.get(0);
+        Scenario scenario = ScenarioReader.read("faults", scenarioText);
+        testbed = new Testbed(scenario, new Seeds(1), JAR, folder, List.of());
+        testbed.startProxies(TIMEOUT_MS);
+        proxy = testbed.proxies.get(0);
         events = new EventFile(folder.resolve("events.jsonl"));
         faults =
                 new FaultRunner(
-                        scenario, field, new ProxyPool(List.of(proxy.listen())), events, timer);
+                        scenario, testbed, new ProxyPool(List.of(proxy.listen())), events, timer);
     }
 
     @AfterEach
     void end() throws IOException {
         timer.shutdownNow();
-        field.close();
+        testbed.close();
         events.close();
-        assertFalse(proxy.child().alive(), "a process was left behind");
+        assertFalse(proxy.process().isAlive(), "a process was left behind");
     }
 
-    void fault(String text) {
-        String whole =
-                description.replace("expect =", "faults = [{at = '0s', " + text + "}]\nexpect =");
-        FaultPlan.of(ScenarioReader.read("faults", whole)).forEach(faults::run);
+    void injectFault(String text) {
+        String scenarioWithFault =
+                scenarioText.replace("expect =", "faults = [{at = '0s', " + text + "}]\nexpect =");
+        FaultPlan.of(ScenarioReader.read("faults", scenarioWithFault)).forEach(faults::run);
         assertTrue(
-                events.all().stream().noneMatch(e -> e.what().equals("fault-failed")),
-                () -> "" + events.all());
+                events.events().stream().noneMatch(e -> e.type().equals("fault-failed")),
+                () -> "" + events.events());
     }
 
     /** Status of a request, or 0 where no answer came; the deadline is the class's. */
-    int ask() {
+    int requestStatus() {
         HttpRequest request =
-                HttpRequest.newBuilder(URI.create("http://" + Local.text(proxy.listen()) + "/look"))
-                        .header("X-Request-Id", "r" + ids.incrementAndGet())
+                HttpRequest.newBuilder(
+                                URI.create(
+                                        "http://" + LocalNetwork.format(proxy.listen()) + "/look"))
+                        .header("X-Request-Id", "r" + lastRequestId.incrementAndGet())
                         .timeout(Duration.ofSeconds(3))
                         .build();
         try {
             return http.send(request, HttpResponse.BodyHandlers.ofString()).statusCode();
         } catch (IOException none) {
             return 0;
-        } catch (InterruptedException stop) {
-            throw new IllegalStateException(stop);
+        } catch (InterruptedException interrupted) {
+            throw new IllegalStateException(interrupted);
         }
     }
 
-    void await(String what, BooleanSupplier holds) throws InterruptedException {
-        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
-        while (!holds.getAsBoolean()) {
+    void await(String awaited, BooleanSupplier condition) throws InterruptedException {
+        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+        while (!condition.getAsBoolean()) {
             assertTrue(
                     System.nanoTime() < endNs,
-                    () -> "never came: " + what + "; the proxy's log:\n" + proxy.child().logEnd());
+                    () ->
+                            "never came: "
+                                    + awaited
+                                    + "; the proxy's log:\n"
+                                    + proxy.process().logTail());
             Thread.sleep(10);
         }
     }
 
     /** Discovery moves, and the proxy is told by SIGHUP. */
-    void moveDiscovery() throws IOException, InterruptedException {
-        proxy.moveDiscovery(field.discovery.changeAddress());
+    void changeDiscoveryAddress() throws IOException, InterruptedException {
+        proxy.changeDiscoveryAddress(testbed.discovery.changeAddress());
     }
 
-    int listed() {
+    int listedHosts() {
         return proxy.ask("vars")
                 .lines()
                 .filter(l -> l.contains("hosts_listed"))
@@ -126,10 +132,10 @@
     }
 
     /** Discovery lists a name at the first backend's address. */
-    void list(String name, String status) {
-        field.discovery.update(
+    void publishStatus(String name, String status) {
+        testbed.discovery.update(
                 List.of(
                         new DiscoveryServer.Endpoint(
-                                name, field.backends.get(0).address(), status, 0)));
+                                name, testbed.backends.get(0).address(), status, 0)));
     }
 }
--- a/src/test/java/passhatch/lab/drill/ScenarioReaderTest.java
+++ b/src/test/java/passhatch/lab/drill/ScenarioReaderTest.java
@@ -17,7 +17,7 @@
 
 class ScenarioReaderTest {
 
-    private static final String GOOD = "name = 'a'\n[expect]\nserved = 0.9\n";
+    private static final String VALID = "name = 'a'\n[expect]\nserved = 0.9\n";
 
     /** A bad file is told by its name, the key or line at fault, and what was expected there. */
     /** A line of a scenario that is wrong, and the start of what is said of it. */
@@ -43,20 +43,20 @@
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', textBlock = INVALID_LINES)
-    void tellsWhatIsWrong(String line, String expected) {
-        InvalidInputException bad =
+    void reportsTheInvalidKeyAndWhatWasExpected(String line, String expected) {
+        InvalidInputException invalid =
                 assertThrows(
                         InvalidInputException.class,
                         () ->
                                 ScenarioReader.read(
-                                        "f", GOOD.replace("[expect]", line + "\n[expect]")));
-        assertTrue(bad.getMessage().startsWith("f"), bad.getMessage());
-        assertTrue(bad.getMessage().contains(expected), bad.getMessage());
-        assertEquals(1, bad.getMessage().lines().count(), bad.getMessage());
+                                        "f", VALID.replace("[expect]", line + "\n[expect]")));
+        assertTrue(invalid.getMessage().startsWith("f"), invalid.getMessage());
+        assertTrue(invalid.getMessage().contains(expected), invalid.getMessage());
+        assertEquals(1, invalid.getMessage().lines().count(), invalid.getMessage());
     }
 
     @Test
-    void wantsANameAndSomethingToExpect() {
+    void requiresANameAndAnExpectation() {
         assertTrue(
                 assertThrows(InvalidInputException.class, () -> ScenarioReader.read("f", ""))
                         .getMessage()
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void allThatAreShippedAreGood() throws IOException {
+    void shippedScenariosAreValid() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("drills"))) {
             List<Path> all = files.filter(f -> f.toString().endsWith(".toml")).toList();
             assertTrue(all.size() >= 6, all.toString());
@@ -83,9 +83,9 @@
      * order of time.
      */
     @Test
-    void stepsAreInOrderAndUndone() {
+    void stepsAreOrderedByTimeAndUndone() {
         String text =
-                GOOD.replace(
+                VALID.replace(
                         "[expect]",
                         "faults = [{at = '5s', do = 'stop', target = 'proxies', for = '2s'},{at ="
                                 + " '6s', do = 'kill', target = ['proxy-2'], for = '1s'}]\n"
@@ -100,7 +100,7 @@
                         "cont proxy-1",
                         "cont proxy-2",
                         "start proxy-2"),
-                steps.stream().map(s -> s.kind().word() + " " + s.targetName()).toList());
+                steps.stream().map(s -> s.type().label() + " " + s.targetName()).toList());
         assertEquals(Duration.ofSeconds(7), steps.get(3).at());
     }
 }
