--- a/src/main/java/passhatch/lab/drill/AgentProcess.java
+++ b/src/main/java/passhatch/lab/drill/AgentProcess.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** One agent as a process of its own, with its configuration, its store and its log. */
+/** An agent that runs as a child process, with its configuration, store and log. */
 public final class AgentProcess {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -24,7 +24,7 @@
     private final InetSocketAddress control;
     private final ChildProcess process;
 
-    /** An agent that is not started yet; its folder is made, its ports are chosen. */
+    /** Creates the agent's folder and chooses its ports; the agent is not started yet. */
     public AgentProcess(Path jar, Path folder, String name) throws IOException {
         this.name = name;
         this.folder = Files.createDirectories(folder);
@@ -51,12 +51,12 @@
         return folder.resolve("fleet.toml");
     }
 
-    /** Where it keeps what has to survive. */
+    /** Returns the folder of the agent's persistent store. */
     Path store() {
         return folder.resolve("store");
     }
 
-    /** Where it receives datagrams. */
+    /** Returns the address at which the agent receives datagrams. */
     public InetSocketAddress listen() {
         return listen;
     }
@@ -65,14 +65,17 @@
         return control;
     }
 
-    /** Its process. */
+    /** Returns the child process. */
     public ChildProcess process() {
         return process;
     }
 
     /**
-     * Writes its configuration with the addresses of all members, which is its own, and further
-     * parts.
+     * Writes the agent's configuration.
+     *
+     * @param members addresses of all members
+     * @param ownAddress the agent's own address among them
+     * @param extraConfig further sections of the file
      */
     public void configure(
             List<InetSocketAddress> members, InetSocketAddress ownAddress, String extraConfig)
@@ -103,7 +106,7 @@
                                 extraConfig));
     }
 
-    /** What it thinks of all members, by name; empty where it does not answer. */
+    /** Returns the status of each member as this agent sees it; empty if there is no answer. */
     Map<String, String> memberStatuses() {
         Map<String, String> statuses = new TreeMap<>();
         queryJson()
@@ -118,12 +121,12 @@
         return statuses;
     }
 
-    /** Its whole answer to {@code members}; empty where there is none. */
+    /** Returns the agent's JSON answer to {@code members}; empty if there is none. */
     Optional<JsonNode> queryJson() {
         return queryJson("members");
     }
 
-    /** Its answer to a call that is answered with JSON; empty where there is none. */
+    /** Returns the agent's JSON answer to a control call; empty if there is none. */
     Optional<JsonNode> queryJson(String call) {
         String text = LocalNetwork.ask(control, call);
         try {
@@ -133,7 +136,7 @@
         }
     }
 
-    /** What its control address answers to a call; nothing where it does not answer. */
+    /** Sends a control call to the agent and returns its answer; empty if there is none. */
     public String ask(String call) {
         return LocalNetwork.ask(control, call);
     }
--- a/src/main/java/passhatch/lab/drill/AgentTestbed.java
+++ b/src/main/java/passhatch/lab/drill/AgentTestbed.java
@@ -12,7 +12,7 @@
 import passhatch.lab.Seeds;
 import passhatch.lab.standin.UdpRelay;
 
-/** Agents as real processes, with the relay between them on which datagrams meet their faults. */
+/** Agents that run as real processes, and the relay that injects faults into their datagrams. */
 final class AgentTestbed implements Closeable {
 
     private static final long SHUTDOWN_TIMEOUT_MS = 5_000;
@@ -21,18 +21,18 @@
     private final List<String> names;
     private final UdpRelay relay;
 
-    /** Agents of these names, not started yet; two may have the same. */
+    /** Creates agents with these names without starting them; two may have the same name. */
     AgentTestbed(Path jar, Path folder, List<String> names, long seed) throws IOException {
         this(jar, folder, names, seed, "");
     }
 
-    /** The same with further parts of their configuration. */
+    /** Creates agents that all have the same further sections in their configuration. */
     AgentTestbed(Path jar, Path folder, List<String> names, long seed, String extraConfig)
             throws IOException {
         this(jar, folder, names, seed, number -> extraConfig);
     }
 
-    /** The same with further parts that each agent has for itself, by its number. */
+    /** Creates agents, each with its own further sections of the configuration, by index. */
     AgentTestbed(
             Path jar, Path folder, List<String> names, long seed, IntFunction<String> extraConfig)
             throws IOException {
@@ -56,7 +56,7 @@
         return relay;
     }
 
-    /** Takes a member's address out of the configuration of one agent. */
+    /** Removes a member's address from the configuration of one agent. */
     void configureWithoutMember(int index, int removed) throws IOException {
         List<InetSocketAddress> peers = new ArrayList<>(relay.peersOf(index));
         InetSocketAddress own = peers.get(index);
@@ -64,12 +64,12 @@
         agents.get(index).configure(peers, own, "");
     }
 
-    /** Whether each of these agents has just this view. */
+    /** Returns whether each of these agents reports exactly the expected statuses. */
     boolean allReport(List<Integer> observers, Map<String, String> expected) {
         return observers.stream().allMatch(o -> agents.get(o).memberStatuses().equals(expected));
     }
 
-    /** All names with one status, and some with another. */
+    /** Returns one status for all names, except for some members that have another status. */
     Map<String, String> expectedStatuses(String status, List<Integer> others, String otherStatus) {
         Map<String, String> statuses = new TreeMap<>();
         names.forEach(n -> statuses.put(n, status));
--- a/src/main/java/passhatch/lab/drill/ChangesTestbed.java
+++ b/src/main/java/passhatch/lab/drill/ChangesTestbed.java
@@ -17,9 +17,9 @@
 import passhatch.lab.standin.UdpRelay;
 
 /**
- * Three replicas, two relays and some subscribers as real agents, with one relay for their
- * membership and another for the distribution of changes. Each subscriber wants one of two
- * services, and follows one of the relays rather than the other.
+ * Three replicas, two relays and some subscribers that run as real agents. One datagram relay
+ * carries their membership and duties, another the distribution of changes. Each subscriber
+ * subscribes to one of two services and prefers one of the two relays as its source.
  */
 final class ChangesTestbed implements Closeable {
 
@@ -27,7 +27,7 @@
     static final int RELAYS = 2;
     static final long LEASE_MS = 1_000;
 
-    /** The services that subscribers want in turn. */
+    /** The services; subscribers are assigned to them in turn. */
     static final List<String> SERVICES = List.of("claims", "rates");
 
     private static final long POLL_INTERVAL_MS = 20;
@@ -39,7 +39,7 @@
     private final UdpRelay changesRelay;
     private final List<InetSocketAddress> listenAddresses = new ArrayList<>();
 
-    /** Agents that are not started yet. */
+    /** Creates the agents without starting them. */
     ChangesTestbed(Path jar, Path folder, int subscribers, long seed) throws IOException {
         this.folder = folder;
         size = REPLICAS + RELAYS + subscribers;
@@ -86,7 +86,10 @@
                 .formatted(changes, serviceOf(index), valuesFile(index), addresses(index, sources));
     }
 
-    /** Addresses of others as one agent reaches them; its own as it is. */
+    /**
+     * Returns the addresses at which one agent reaches others through the relay; its own address is
+     * the real one.
+     */
     private String addresses(int observer, List<Integer> indices) {
         return indices.stream()
                 .map(
@@ -103,8 +106,8 @@
     private InetSocketAddress peer(int observer, int target) {
         try {
             return changesRelay.peersOf(observer).get(target);
-        } catch (IOException closed) {
-            throw new IllegalStateException(closed);
+        } catch (IOException failed) {
+            throw new IllegalStateException(failed);
         }
     }
 
@@ -116,7 +119,7 @@
         return index >= REPLICAS && index < REPLICAS + RELAYS;
     }
 
-    /** The service that a subscriber wants. */
+    /** Returns the service that a subscriber subscribes to. */
     static String serviceOf(int subscriber) {
         return SERVICES.get(subscriber % SERVICES.size());
     }
@@ -129,7 +132,7 @@
         return IntStream.range(0, size).boxed().toList();
     }
 
-    /** The file in which a subscriber publishes the values in force. */
+    /** Returns the file to which a subscriber publishes the values in force. */
     Path valuesFile(int index) {
         return folder.resolve("values-" + index + ".json");
     }
@@ -138,17 +141,17 @@
         return agents.agent(index);
     }
 
-    /** The way of datagrams on changes. */
+    /** Returns the relay for the datagrams of the distribution of changes. */
     UdpRelay changesRelay() {
         return changesRelay;
     }
 
-    /** The way of datagrams on membership and duties. */
+    /** Returns the relay for the datagrams of membership and duties. */
     UdpRelay fleetRelay() {
         return agents.relay();
     }
 
-    /** Starts all agents and founds duties and log. */
+    /** Starts all agents and initializes the duties and the log of changes. */
     void start(long timeoutMs) throws IOException, InterruptedException {
         for (int i = 0; i < size; i++) {
             agent(i).process().start();
@@ -158,20 +161,23 @@
             await(
                     () -> tryInitialize(replica),
                     timeoutMs,
-                    () -> "not founded: " + replica.process().logTail());
+                    () -> "not initialized: " + replica.process().logTail());
         }
-        await(() -> leader() >= 0, timeoutMs, "nobody leads");
+        await(() -> leader() >= 0, timeoutMs, "no replica leads");
         await(() -> all().stream().allMatch(this::isCurrent), timeoutMs, "not all are current");
     }
 
-    /** Whether an agent knows that its state was the newest one a moment ago. */
+    /** Returns whether an agent knows that its state was the newest one a short time ago. */
     private boolean isCurrent(int index) {
         long ageMs =
                 agent(index).queryJson("changes").map(a -> a.get("age_ms").asLong()).orElse(-1L);
         return ageMs >= 0 && ageMs <= MAX_CURRENT_AGE_MS;
     }
 
-    /** Founds both; an answer that came too late is made up for by the next call. */
+    /**
+     * Initializes the duties and the log at a replica and returns whether it reports both as
+     * initialized. If an answer came too late, the next call repeats the attempt.
+     */
     private static boolean tryInitialize(AgentProcess replica) {
         replica.ask("found");
         replica.ask("changes-found");
@@ -179,7 +185,7 @@
                 && replica.ask("changes").contains("\"founded\":true");
     }
 
-    /** The replica that leads; -1 where none does. */
+    /** Returns the index of the leading replica, or -1 if none leads. */
     int leader() {
         return IntStream.range(0, REPLICAS).filter(this::isLeading).findFirst().orElse(-1);
     }
@@ -191,12 +197,12 @@
                 .orElse(false);
     }
 
-    /** The version in force at an agent; -1 where it does not answer. */
+    /** Returns the version in force at an agent, or -1 if it does not answer. */
     long version(int index) {
         return agent(index).queryJson("changes").map(a -> a.get("version").asLong()).orElse(-1L);
     }
 
-    /** The values in force at an agent, with their versions, as VALUE@VERSION by key. */
+    /** Returns the values in force at an agent as VALUE@VERSION, by key. */
     Map<String, String> values(int index) {
         Map<String, String> values = new TreeMap<>();
         agent(index)
@@ -216,7 +222,7 @@
         return value.get("value").textValue() + "@" + value.get("version").asLong();
     }
 
-    /** Whether an agent has this value in force. */
+    /** Returns whether this value is in force at an agent. */
     boolean hasValue(int index, String key, String value) {
         return agent(index)
                 .queryJson("change-get " + key)
@@ -224,7 +230,7 @@
                 .orElse(false);
     }
 
-    /** Waits until a condition holds. */
+    /** Waits until a condition holds; throws AssertionError after the timeout. */
     static void await(BooleanSupplier condition, long timeoutMs, String failureMessage)
             throws InterruptedException {
         await(condition, timeoutMs, () -> failureMessage);
--- a/src/main/java/passhatch/lab/drill/ChangesWriter.java
+++ b/src/main/java/passhatch/lab/drill/ChangesWriter.java
@@ -10,9 +10,8 @@
 import passhatch.distribution.Setting;
 
 /**
- * Makes changes at whichever replica leads, one after the other, and keeps those that it was told
- * are committed, with the time until each was in force at all subscribers that want it and are not
- * disturbed.
+ * Submits changes to the leading replica, one after another. Records those reported as committed,
+ * and the time until each was in force at all undisturbed subscribers of its service.
  */
 final class ChangesWriter implements Runnable {
 
@@ -24,7 +23,7 @@
     private static final long IN_FORCE_TIMEOUT_MS = 30_000;
     private static final String ACCEPTED = "accepted ";
 
-    /** A change that is committed. */
+    /** A committed change. */
     record Committed(long version, String value) {}
 
     private final ChangesTestbed testbed;
@@ -39,22 +38,24 @@
         this.testbed = testbed;
     }
 
-    /** Subscribers whose times do not count, as they are killed, held or cut off. */
+    /**
+     * Returns the subscribers that are not waited for because they are killed, stopped or cut off.
+     */
     Set<Integer> disturbed() {
         return disturbed;
     }
 
-    /** The newest committed change of each key; to be asked once it has ended. */
+    /** Returns the newest committed change of each key; to be called after the writer has ended. */
     Map<String, Committed> committed() {
         return committed;
     }
 
-    /** How long each committed change took to be in force, from its submission. */
+    /** Returns the time from the submission of each committed change until it was in force. */
     List<Long> inForceMs() {
         return inForceMs;
     }
 
-    /** Changes whose outcome is not known. */
+    /** Returns the number of accepted changes whose outcome is not known. */
     int unknownOutcomes() {
         return unknownOutcomes;
     }
--- a/src/main/java/passhatch/lab/drill/ChildProcess.java
+++ b/src/main/java/passhatch/lab/drill/ChildProcess.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A process of the program that a drill has started. Ended by its own handle, never by a name. */
+/** A child process running the program. It is ended through its own handle, never by name. */
 public final class ChildProcess {
 
     private static final int LOG_TAIL_LINES = 12;
@@ -19,7 +19,7 @@
     private final Path log;
     private Process process;
 
-    /** A process that is not started yet; both of its outputs go to the end of the log. */
+    /** Creates a process without starting it; its two output streams are appended to the log. */
     ChildProcess(String name, List<String> command, Map<String, String> environment, Path log) {
         this.name = name;
         this.command = command;
@@ -27,7 +27,7 @@
         this.log = log;
     }
 
-    /** Starts it, or starts it again once it has ended. */
+    /** Starts the process, also again after it has ended. */
     public synchronized void start() throws IOException {
         if (isAlive()) {
             throw new IOException(name + " runs already");
@@ -39,17 +39,20 @@
         process = builder.start();
     }
 
-    /** Whether it runs. */
+    /** Returns whether the process is running. */
     public synchronized boolean isAlive() {
         return process != null && process.isAlive();
     }
 
-    /** Its process id; -1 before the first start. */
+    /** Returns the process id, or -1 before the first start. */
     public synchronized long pid() {
         return process == null ? -1 : process.pid();
     }
 
-    /** Sends a signal by its name without SIG; false where the process has ended. */
+    /**
+     * Sends a signal, named without SIG; returns false if the process is not running or the signal
+     * cannot be sent.
+     */
     synchronized boolean signal(String signal) throws IOException, InterruptedException {
         if (!isAlive()) {
             return false;
@@ -63,9 +66,8 @@
                 process.destroy();
                 yield true;
             }
-            // The shell's own kill: the JDK has no call for other signals, and not every machine
-            // has the
-            // program.
+            // The JDK cannot send other signals. The kill that is built into the shell is used, as
+            // not every machine has the program.
             default ->
                     new ProcessBuilder("/bin/sh", "-c", "kill -" + signal + " " + process.pid())
                                     .start()
@@ -74,7 +76,7 @@
         };
     }
 
-    /** Waits for its end. */
+    /** Waits for the process to end; returns false if it is still running after the timeout. */
     boolean awaitExit(long timeoutMs) throws InterruptedException {
         Process current;
         synchronized (this) {
@@ -83,7 +85,10 @@
         return current == null || current.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    /** SIGTERM, and SIGKILL after the patience; also where it is held by SIGSTOP. */
+    /**
+     * Sends SIGTERM, and SIGKILL after the timeout. A process that SIGSTOP has stopped is continued
+     * first.
+     */
     public void terminate(long timeoutMs) {
         try {
             signal("CONT");
@@ -99,14 +104,14 @@
         }
     }
 
-    /** Ends it at once, whatever it is at. */
+    /** Kills the process at once. */
     public synchronized void kill() {
         if (isAlive()) {
             process.destroyForcibly();
         }
     }
 
-    /** The last lines of its log. */
+    /** Returns the last lines of the log. */
     public String logTail() {
         try {
             List<String> lines = Files.readAllLines(log, StandardCharsets.ISO_8859_1);
--- a/src/main/java/passhatch/lab/drill/Comparison.java
+++ b/src/main/java/passhatch/lab/drill/Comparison.java
@@ -10,22 +10,22 @@
 import org.apache.commons.statistics.distribution.TDistribution;
 
 /**
- * Two sets of runs side by side: of each measure both means, and the difference with its confidence
- * interval by Welch's method, which does not take the spreads for equal. With one run on a side
- * there is no interval.
+ * Compares two sets of runs: for each measure the two means, their difference, and its confidence
+ * interval by Welch's method, which does not assume equal variances. There is no interval if a set
+ * has only one run.
  */
 final class Comparison {
 
     private static final double CONFIDENCE_LEVEL = 0.95;
 
     /**
-     * One measure.
+     * The comparison of one measure.
      *
-     * @param low lower end of the interval of the difference, B less A; not a number without
+     * @param low lower bound of the confidence interval of the difference B - A; NaN without
      *     repeats
      */
     record Row(String measure, double a, double b, double difference, double low, double high) {
-        /** Whether the interval leaves no difference out. */
+        /** Returns whether the confidence interval excludes zero. */
         boolean differs() {
             return low > 0 || high < 0;
         }
--- a/src/main/java/passhatch/lab/drill/Drill.java
+++ b/src/main/java/passhatch/lab/drill/Drill.java
@@ -20,7 +20,7 @@
 import passhatch.lab.load.LoadStats;
 import passhatch.lab.load.ProxyPool;
 
-/** Runs a scenario once, from the first start to the last process's end. */
+/** Runs a scenario once, from the start of the first process to the end of the last one. */
 final class Drill {
 
     private static final Logger LOG = LoggerFactory.getLogger(Drill.class);
@@ -28,7 +28,7 @@
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
     private static final long PROGRESS_INTERVAL_MS = 200;
 
-    /** Between the last start and the first request. */
+    /** Delay between the start of the last process and the first request. */
     private static final long LOAD_START_DELAY_MS = 100;
 
     private final Scenario scenario;
@@ -37,9 +37,9 @@
     private final List<String> jvmOptions;
 
     /**
-     * A run that leaves all of its files in a folder.
+     * Creates a run that writes all of its files to a folder.
      *
-     * @param jvmOptions more options for the JVMs of the program
+     * @param jvmOptions additional options for the JVMs of the program
      */
     Drill(Scenario scenario, Path jar, Path folder, List<String> jvmOptions) {
         this.scenario = scenario;
@@ -49,16 +49,16 @@
     }
 
     /**
-     * Hears of the time given load so far, in milliseconds, and of the requests that ended and were
-     * served.
+     * Receives the time since the start of the load in milliseconds, and the numbers of completed
+     * and of served requests so far.
      */
     interface ProgressListener extends BiConsumer<Long, long[]> {}
 
     /**
-     * Runs it.
+     * Runs the scenario.
      *
-     * @throws IOException where a process does not get ready, or a file cannot be written; whatever
-     *     was started has ended by then
+     * @throws IOException if a process does not get ready or a file cannot be written; all started
+     *     processes have ended by then
      */
     Result run(ProgressListener progress) throws IOException, InterruptedException {
         Files.createDirectories(folder);
--- a/src/main/java/passhatch/lab/drill/DrillCommand.java
+++ b/src/main/java/passhatch/lab/drill/DrillCommand.java
@@ -24,7 +24,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command {@code drill} with what belongs to it. */
+/** The command {@code drill} and its subcommands. */
 @Command(
         name = "drill",
         mixinStandardHelpOptions = true,
@@ -36,7 +36,7 @@
 
     private DrillCommand() {}
 
-    /** The command with its own commands. */
+    /** Returns the command with its subcommands. */
     public static CommandLine line() {
         return new CommandLine(new DrillCommand())
                 .addSubcommand(new Run())
@@ -45,11 +45,11 @@
                 .addSubcommand(new GaugeCommand());
     }
 
-    /** Runs a scenario, as often as is wanted. */
+    /** Runs a scenario once or repeatedly. */
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
-            description = "Runs a scenario. Exit code 0 only if all that it expects holds.")
+            description = "Runs a scenario. Exit code 0 only if all expectations are met.")
     private static final class Run implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
@@ -69,7 +69,7 @@
                 names = "--repeat",
                 paramLabel = "N",
                 defaultValue = "1",
-                description = "Runs it so often.")
+                description = "How often to run the scenario.")
         private int repeat;
 
         @Option(
@@ -81,10 +81,10 @@
         @Option(
                 names = "--jvm",
                 paramLabel = "OPTION",
-                description = "An option more for the program's JVMs.")
+                description = "An additional option for the program's JVMs.")
         private List<String> options = new ArrayList<>();
 
-        @Option(names = "--quiet", description = "No line of progress.")
+        @Option(names = "--quiet", description = "Shows no progress bar.")
         private boolean quiet;
 
         @Override
@@ -172,7 +172,7 @@
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Checks scenarios and runs nothing.")
+            description = "Checks scenarios without running them.")
     private static final class Check implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
@@ -181,28 +181,28 @@
 
         @Override
         public Integer call() {
-            int bad = 0;
+            int invalidFiles = 0;
             for (Path file : files) {
                 try {
                     Scenario scenario = ScenarioReader.read(file);
                     spec.commandLine()
                             .getOut()
                             .println(file + ": good, " + FaultPlan.of(scenario).size() + " steps");
-                } catch (InvalidInputException wrong) {
-                    spec.commandLine().getErr().println("passhatch: " + wrong.getMessage());
-                    bad++;
+                } catch (InvalidInputException invalid) {
+                    spec.commandLine().getErr().println("passhatch: " + invalid.getMessage());
+                    invalidFiles++;
                 }
             }
-            return bad == 0 ? 0 : Commands.EXIT_USAGE;
+            return invalidFiles == 0 ? 0 : Commands.EXIT_USAGE;
         }
     }
 
-    /** Sets the results of two folders side by side. */
+    /** Compares the results in two folders. */
     @Command(
             name = "compare",
             mixinStandardHelpOptions = true,
             description =
-                    "Sets two drills' results side by side, with confidence intervals over their"
+                    "Compares the results of two drills, with confidence intervals over their"
                             + " repeats.")
     private static final class Compare implements Callable<Integer> {
         @Spec private CommandSpec spec;
@@ -210,7 +210,10 @@
         @Parameters(index = "0", paramLabel = "A", description = "Folder of a drill's repeats.")
         private Path a;
 
-        @Parameters(index = "1", paramLabel = "B", description = "Folder of another's.")
+        @Parameters(
+                index = "1",
+                paramLabel = "B",
+                description = "Folder of another drill's repeats.")
         private Path b;
 
         @Override
@@ -225,8 +228,8 @@
             List<Path> files;
             try (Stream<Path> below = Files.walk(folder, 2)) {
                 files = below.filter(p -> p.endsWith(RESULT)).sorted().toList();
-            } catch (IOException none) {
-                throw new InvalidInputException(folder + ": cannot be read: " + none);
+            } catch (IOException unreadable) {
+                throw new InvalidInputException(folder + ": cannot be read: " + unreadable);
             }
             if (files.isEmpty()) {
                 throw new InvalidInputException(
--- a/src/main/java/passhatch/lab/drill/DutyHolderLog.java
+++ b/src/main/java/passhatch/lab/drill/DutyHolderLog.java
@@ -5,13 +5,15 @@
 import java.util.List;
 
 /**
- * Acts on a duty as they were seen from outside, and whether two processes had it: of two acts of
- * which one ended before the other began, the later must not have the lesser term, and one term is
- * one process's.
+ * Records which processes held a duty, as observed from outside, and checks that no two held it at
+ * once: if one observation ended before another began, the later one must not have a lower term,
+ * and must have the same process if it has the same term.
  */
 final class DutyHolderLog {
 
-    /** A process was asked whether it may act, and some time between the two times it was so. */
+    /**
+     * A process that reported that it may act; this was true at some time between the two times.
+     */
     record Observation(int process, long term, long startNs, long endNs) {}
 
     private final List<Observation> observations = new ArrayList<>();
@@ -24,7 +26,7 @@
         return List.copyOf(observations);
     }
 
-    /** What must not be; empty where all is well. */
+    /** Returns the observations that contradict an earlier one; empty if there are none. */
     synchronized List<String> violations() {
         List<String> violations = new ArrayList<>();
         List<Observation> byEnd = new ArrayList<>(observations);
--- a/src/main/java/passhatch/lab/drill/EventFile.java
+++ b/src/main/java/passhatch/lab/drill/EventFile.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** All that happened in a drill: one line of JSON each, with the time after the load's begin. */
+/** The events of a drill, one line of JSON each, with the time since the start of the load. */
 final class EventFile implements Closeable {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Something that happened; the time in milliseconds is negative before the load. */
+    /** An event; its time in milliseconds is negative before the start of the load. */
     record Event(long atMs, String type, Map<String, Object> details) {}
 
     private final BufferedWriter out;
@@ -29,12 +29,12 @@
         out = Files.newBufferedWriter(file);
     }
 
-    /** The load begins at this time of {@link System#nanoTime}. */
+    /** Sets the start of the load, as a value of {@link System#nanoTime}. */
     synchronized void setLoadStart(long ns) {
         loadStartNs = ns;
     }
 
-    /** Writes one down; the keys and values come in turn. */
+    /** Records an event; keys and values of its details alternate. */
     synchronized void add(String type, Object... keysAndValues) {
         long atMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - loadStartNs);
         Map<String, Object> details = new LinkedHashMap<>();
@@ -52,7 +52,7 @@
             out.newLine();
             out.flush();
         } catch (IOException failed) {
-            throw new java.io.UncheckedIOException("the file of events cannot be written", failed);
+            throw new java.io.UncheckedIOException("the event file cannot be written", failed);
         }
     }
 
--- a/src/main/java/passhatch/lab/drill/FaultPlan.java
+++ b/src/main/java/passhatch/lab/drill/FaultPlan.java
@@ -7,16 +7,16 @@
 import java.util.stream.IntStream;
 
 /**
- * The steps that a scenario's faults come down to, in the order of their times: each fault for each
- * of its targets, and what undoes it. The same scenario always gives the same steps.
+ * Expands a scenario's faults into steps ordered by time: each fault for each of its targets, and
+ * the step that undoes it. The same scenario always gives the same steps.
  */
 final class FaultPlan {
 
     /**
-     * One thing to do.
+     * One action on one target.
      *
-     * @param targetIndex number of the proxy or backend from 0, or -1 where there is only one
-     * @param fault the fault in the file that it belongs to
+     * @param targetIndex index of the proxy or backend, from 0; -1 if there is only one target
+     * @param fault the fault of the scenario that the step belongs to
      */
     record Step(Duration at, FaultType type, int targetIndex, Scenario.Fault fault) {
         String targetName() {
@@ -46,7 +46,7 @@
                 }
             }
         }
-        // A stable sort: what the file names first is done first.
+        // The sort is stable: steps with the same time keep the order of the file.
         steps.sort(Comparator.comparing(Step::at));
         return steps;
     }
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Numbers from 0 of what names like proxy-1 mean; the word for all of them may stand among
-     * them.
+     * Returns the indices, from 0, of names like proxy-1. The names may include the word for all
+     * targets.
      */
     static int[] indices(List<String> names, String all, int count) {
         return names.stream()
--- a/src/main/java/passhatch/lab/drill/FaultRunner.java
+++ b/src/main/java/passhatch/lab/drill/FaultRunner.java
@@ -11,9 +11,7 @@
 import passhatch.lab.standin.DiscoveryServer;
 import passhatch.lab.standin.UdpRelay.NetworkConditions;
 
-/**
- * Does the steps of a fault plan to what a drill has running; each is written down with its time.
- */
+/** Applies the steps of a fault plan to a drill's testbed and records each as an event. */
 final class FaultRunner {
 
     private final Scenario scenario;
@@ -23,7 +21,10 @@
     private final ScheduledExecutorService timer;
     private NetworkConditions networkConditions = NetworkConditions.UNIMPAIRED;
 
-    /** The timer has one thread: steps are done one after another, in their order. */
+    /**
+     * Creates a runner. The timer must have one thread, so that steps run one after another in
+     * order.
+     */
     FaultRunner(
             Scenario scenario,
             Testbed testbed,
@@ -37,7 +38,7 @@
         this.timer = timer;
     }
 
-    /** Has all steps done, each at its time after the load's begin. */
+    /** Schedules all steps, each at its time after the start of the load. */
     void schedule(List<FaultPlan.Step> steps, long startNs) {
         for (FaultPlan.Step step : steps) {
             timer.schedule(
@@ -70,7 +71,7 @@
         }
     }
 
-    // ---- processes of the program
+    // ---- proxy processes
 
     private void applyToProxy(FaultType type, ProxyProcess proxy)
             throws IOException, InterruptedException {
@@ -107,7 +108,7 @@
         }
     }
 
-    /** The front stops sending to it some time later. */
+    /** Stops the clients from sending to a proxy once the detection time has passed. */
     private void scheduleFailureDetection(int index) {
         timer.schedule(
                 () -> front.setAdmitted(index, false),
@@ -115,10 +116,12 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    /** Starts it beside the steps that follow, and has it admitted once it is ready. */
+    /**
+     * Starts a proxy without blocking the steps that follow; clients send to it once it is ready.
+     */
     private void start(ProxyProcess proxy) throws IOException {
         if (proxy.process().isAlive()) {
-            // It has been told to end and has not yet: it is waited for.
+            // The process is still shutting down; retry until it has ended.
             timer.schedule(
                     () -> {
                         try {
@@ -172,7 +175,7 @@
         waiter.start();
     }
 
-    // ---- what surrounds them
+    // ---- backends, discovery and the network between proxies
 
     private void applyToBackend(FaultPlan.Step step, BackendServer backend) throws IOException {
         double share = step.fault().share();
@@ -221,7 +224,7 @@
         }
     }
 
-    /** Kinds of bad weather add up; a heal ends all of them. */
+    /** Network faults of different types accumulate; {@link FaultType#HEAL} ends all of them. */
     private void applyToPeers(FaultPlan.Step step) {
         double share = step.fault().share();
         long delayUs = TimeUnit.MICROSECONDS.convert(step.fault().by());
--- a/src/main/java/passhatch/lab/drill/FaultType.java
+++ b/src/main/java/passhatch/lab/drill/FaultType.java
@@ -3,74 +3,77 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.Locale;
 
-/** What can be done to the fleet and what surrounds it, by the name that scenario files use. */
+/**
+ * The types of fault that a drill injects, and of the steps that undo them. Scenario files use
+ * their names in lower case.
+ */
 enum FaultType {
-    /** SIGKILL to a process of the program. */
+    /** Sends SIGKILL to a proxy process. */
     KILL(TargetType.PROXY),
-    /** SIGTERM to it. */
+    /** Sends SIGTERM to a proxy process. */
     TERM(TargetType.PROXY),
-    /** SIGSTOP to it. */
+    /** Sends SIGSTOP to a proxy process. */
     STOP(TargetType.PROXY),
-    /** SIGCONT to it. */
+    /** Sends SIGCONT to a proxy process. */
     CONT(TargetType.PROXY),
-    /** Starts it again, at its addresses. */
+    /** Starts a proxy process again at its previous addresses. */
     START(TargetType.PROXY),
-    /** A backend's times grow by a factor. */
+    /** Multiplies a backend's service times by a factor. */
     SLOW(TargetType.BACKEND),
-    /** It takes work and answers nothing. */
+    /** Makes a backend accept requests without responding. */
     HANG(TargetType.BACKEND),
-    /** A share of its answers is 500. */
+    /** Makes a backend respond to a share of its requests with status 500. */
     FAIL(TargetType.BACKEND),
-    /** A share of its requests ends in a reset. */
+    /** Makes a backend reset the connection of a share of its requests. */
     RESET(TargetType.BACKEND),
-    /** Its machine's process dies, and discovery says so. */
+    /** Crashes a backend; discovery removes it from the list. */
     CRASH(TargetType.BACKEND),
-    /** It starts again, cold, and discovery lists it. */
+    /** Restarts a backend cold; discovery lists it again. */
     RETURN(TargetType.BACKEND),
-    /** Discovery says that it drains, and it does. */
+    /** Drains a backend; discovery lists it as draining. */
     DRAIN(TargetType.BACKEND),
-    /** It is well again. */
+    /** Restores a backend's normal behaviour. */
     WELL(TargetType.BACKEND),
-    /** Discovery is down. */
+    /** Takes discovery down. */
     DOWN(TargetType.DISCOVERY),
-    /** It is there again. */
+    /** Brings discovery up again. */
     UP(TargetType.DISCOVERY),
-    /** Its watches break off once. */
+    /** Closes all open watches of discovery once. */
     BREAK(TargetType.DISCOVERY),
-    /** It says nothing. */
+    /** Makes discovery silent; its connections stay open. */
     STALL(TargetType.DISCOVERY),
-    /** It speaks again. */
+    /** Ends the silence of discovery. */
     RESUME(TargetType.DISCOVERY),
-    /** Its calls wait and are turned away; open watches go on. */
+    /** Makes discovery reject calls after a wait; open watches continue. */
     OVERLOAD(TargetType.DISCOVERY),
-    /** Its calls are answered again. */
+    /** Makes discovery answer calls again. */
     RELIEVE(TargetType.DISCOVERY),
-    /** It answers calls late. */
+    /** Delays discovery's responses to calls. */
     ANSWER_LATE(TargetType.DISCOVERY),
-    /** It answers them at once again. */
+    /** Ends the delay of discovery's responses. */
     ANSWER_AT_ONCE(TargetType.DISCOVERY),
-    /** It tells changes late. */
+    /** Delays the changes that discovery sends. */
     TELL_LATE(TargetType.DISCOVERY),
-    /** It tells them at once again. */
+    /** Ends the delay of the changes. */
     TELL_AT_ONCE(TargetType.DISCOVERY),
-    /** A share of datagrams is lost. */
+    /** Loses a share of the datagrams between proxies. */
     LOSE(TargetType.PEERS),
-    /** All datagrams come late. */
+    /** Delays all datagrams between proxies. */
     DELAY(TargetType.PEERS),
-    /** A share comes twice. */
+    /** Duplicates a share of the datagrams. */
     DOUBLE(TargetType.PEERS),
-    /** A share is overtaken. */
+    /** Reorders a share of the datagrams. */
     REORDER(TargetType.PEERS),
-    /** Of a share only the first half comes. */
+    /** Truncates a share of the datagrams to their first half. */
     CUT(TargetType.PEERS),
-    /** Processes of the first group are heard by no other and hear all. */
+    /** Drops all datagrams from processes of the first group; they still receive all datagrams. */
     ONE_WAY(TargetType.PEERS),
-    /** Only processes of one group reach each other. */
+    /** Drops datagrams between processes of different groups. */
     PARTITION(TargetType.PEERS),
-    /** All datagrams arrive again, at once. */
+    /** Ends all network faults between proxies. */
     HEAL(TargetType.PEERS);
 
-    /** What a fault is done to. */
+    /** What a fault is applied to. */
     enum TargetType {
         PROXY,
         BACKEND,
@@ -88,7 +91,7 @@
         return targetType;
     }
 
-    /** What undoes it, after the time that a file gives it; null where nothing does. */
+    /** Returns the type that undoes this one after its duration; null if none does. */
     FaultType undoneBy() {
         return switch (this) {
             case KILL, TERM -> START;
@@ -105,7 +108,9 @@
         };
     }
 
-    /** Whether it only undoes another: recovery is measured after those that harm. */
+    /**
+     * Returns whether this type only undoes another. Recovery is measured after all other types.
+     */
     boolean undoesFault() {
         return switch (this) {
             case CONT,
--- a/src/main/java/passhatch/lab/drill/GaugeCommand.java
+++ b/src/main/java/passhatch/lab/drill/GaugeCommand.java
@@ -21,12 +21,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measures what the load tool can give, against stand-ins alone: no drill should ask for more. */
+/**
+ * Measures the maximum load that the load generator can produce, against stand-in backends without
+ * a proxy. No drill should demand more.
+ */
 @Command(
         name = "gauge",
         mixinStandardHelpOptions = true,
-        description =
-                "Measures the load tool against stand-in backends alone, with no proxy between.")
+        description = "Measures the load generator against stand-in backends, without a proxy.")
 final class GaugeCommand implements Callable<Integer> {
 
     private static final long SERVICE_TIME_US = 200;
@@ -38,16 +40,19 @@
     @Option(
             names = "--rate",
             defaultValue = "20000",
-            description = "Requests a second (${DEFAULT-VALUE}).")
+            description = "Requests per second (${DEFAULT-VALUE}).")
     private double rate;
 
-    @Option(names = "--seconds", defaultValue = "5", description = "How long (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seconds",
+            defaultValue = "5",
+            description = "Duration in seconds (${DEFAULT-VALUE}).")
     private int seconds;
 
     @Option(
             names = "--threads",
             defaultValue = "2",
-            description = "Of the load, and of the stand-ins.")
+            description = "Threads of the load generator, and of the stand-ins.")
     private int threads;
 
     @Override
@@ -85,7 +90,7 @@
         ProxyPool front = new ProxyPool(backends.stream().map(BackendServer::address).toList());
         backends.forEach(b -> front.setAdmitted(backends.indexOf(b), true));
         try {
-            // A JVM that has just started is slow: what it gives then is not what it can give.
+            // A JVM that has just started is slow, so a warm-up run comes before the measurement.
             runLoad(WARM_UP_RATE, 3, front, seeds);
             LoadStats tally = runLoad(rate, seconds, front, seeds);
             spec.commandLine()
--- a/src/main/java/passhatch/lab/drill/LocalNetwork.java
+++ b/src/main/java/passhatch/lab/drill/LocalNetwork.java
@@ -9,21 +9,21 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Addresses on this machine, and calls to the processes there. */
+/** Free addresses on this machine and control calls to local processes. */
 final class LocalNetwork {
 
     private static final int CALL_TIMEOUT_MS = 1_000;
 
     private LocalNetwork() {}
 
-    /** An address that is free now; another may take it before it is used. */
+    /** Returns a TCP address that is free now; another process may take it before it is used. */
     static InetSocketAddress freeTcpAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return (InetSocketAddress) socket.getLocalSocketAddress();
         }
     }
 
-    /** The same for datagrams. */
+    /** Returns a UDP address that is free now, as {@link #freeTcpAddress} does for TCP. */
     static InetSocketAddress freeUdpAddress() throws IOException {
         try (DatagramChannel socket = DatagramChannel.open()) {
             socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -36,7 +36,7 @@
                 Locale.ROOT, "%s:%d", address.getAddress().getHostAddress(), address.getPort());
     }
 
-    /** What a control address answers to a call; nothing where it does not answer. */
+    /** Sends a call to a control address and returns its answer; empty if there is none. */
     static String ask(InetSocketAddress control, String call) {
         try (Socket socket = new Socket()) {
             socket.connect(control, CALL_TIMEOUT_MS);
--- a/src/main/java/passhatch/lab/drill/ProxyProcess.java
+++ b/src/main/java/passhatch/lab/drill/ProxyProcess.java
@@ -11,17 +11,17 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** One proxy as a process of its own, with its configuration, its addresses and its log. */
+/** A proxy that runs as a child process, with its configuration, addresses and log. */
 public final class ProxyProcess {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** A port may be taken by another between its choice and its use. */
+    /** Another process may take a port between its choice and its use. */
     private static final int MAX_START_ATTEMPTS = 3;
 
     private static final long POLL_INTERVAL_MS = 10;
 
-    /** What all proxies of a drill have in common. */
+    /** The configuration that all proxies of a drill share. */
     public record SharedConfig(
             Path jar,
             Path folder,
@@ -30,8 +30,8 @@
             List<String> options) {
 
         /**
-         * For proxies that run without a scenario: one balancer with retries, and the classes of
-         * requests that a scenario has by default.
+         * Returns the configuration of proxies that run without a scenario: one balancer with
+         * retries, and the default request classes of a scenario.
          */
         public static SharedConfig standalone(
                 Path jar,
@@ -63,10 +63,10 @@
     private InetSocketAddress control;
     private ChildProcess process;
 
-    /** The list in its configuration; null where it starts without one. */
+    /** The server list in the proxy's configuration; null if it starts without one. */
     private Map<String, Object> knownServers;
 
-    /** A proxy that is not started yet; its folder is made. */
+    /** Creates the proxy's folder and configuration; the proxy is not started yet. */
     public ProxyProcess(
             int index,
             SharedConfig shared,
@@ -82,7 +82,7 @@
         choosePorts();
     }
 
-    /** Its name in logs and reports. */
+    /** Returns the proxy's name in logs and reports. */
     public String name() {
         return "proxy-" + (index + 1);
     }
@@ -91,12 +91,12 @@
         return index;
     }
 
-    /** Where it takes calls; final once it has started. */
+    /** Returns the address at which the proxy accepts requests; final after the start. */
     public InetSocketAddress listen() {
         return listen;
     }
 
-    /** Its process. */
+    /** Returns the child process. */
     public ChildProcess process() {
         return process;
     }
@@ -107,13 +107,13 @@
         prepareProcess();
     }
 
-    /** Its next start finds this list of discovery in its configuration. */
+    /** Writes a list of discovery to the configuration, for the proxy's next start. */
     void setKnownServers(Map<String, Object> list) throws IOException {
         knownServers = list;
         writeConfiguration();
     }
 
-    /** Its configuration names discovery at this address from now on, and a SIGHUP says so. */
+    /** Writes a new address of discovery to the configuration and sends SIGHUP to the proxy. */
     void changeDiscoveryAddress(InetSocketAddress address)
             throws IOException, InterruptedException {
         discovery = address;
@@ -148,7 +148,7 @@
         process = new ChildProcess(name(), command(), env, folder.resolve("log"));
     }
 
-    /** As {@code deploy/serve.sh} starts it. */
+    /** Returns the command line that {@code deploy/serve.sh} uses. */
     private List<String> command() {
         int heap = Math.max(24, Math.min(48, shared.scenario().proxies().memoryMb() / 3));
         List<String> command =
@@ -172,7 +172,10 @@
         return command;
     }
 
-    /** The JVM would raise a limit that is not the hard one as well. */
+    /**
+     * Returns a command prefix that limits open files. It lowers the hard limit too, as the JVM
+     * raises a soft limit up to the hard one.
+     */
     private static List<String> openFilesPrefix(int maxOpenFiles) {
         return maxOpenFiles == 0
                 ? List.of()
@@ -273,12 +276,12 @@
                 "all");
     }
 
-    /** Starts it for the first time; where its port was taken meanwhile, at others. */
+    /** Starts the proxy for the first time; retries at other ports if one was taken meanwhile. */
     public void startWithPortRetry() throws IOException, InterruptedException {
         for (int attempt = 1; ; attempt++) {
             process.start();
-            // A taken port shows as an end within the start; all else shows later, as it does not
-            // get ready.
+            // If a port was taken, the process ends during the start. After any other failure
+            // it does not get ready, which shows later.
             if (awaitListeningOrExit()
                     || attempt == MAX_START_ATTEMPTS
                     || !process.logTail().contains("Address already in use")) {
@@ -295,7 +298,7 @@
         return process.isAlive();
     }
 
-    /** Waits until it says that it is ready; false where it has ended or the time is over. */
+    /** Waits until the proxy reports ready; returns false if it has ended or after the timeout. */
     public boolean awaitReady(long timeoutMs) throws InterruptedException {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         while (System.nanoTime() < endNs && process.isAlive()) {
@@ -311,7 +314,7 @@
         return ask("check").startsWith("done");
     }
 
-    /** What its control address answers to a call; nothing where it does not answer. */
+    /** Sends a control call to the proxy and returns its answer; empty if there is none. */
     String ask(String call) {
         return LocalNetwork.ask(control, call);
     }
--- a/src/main/java/passhatch/lab/drill/ReportPage.java
+++ b/src/main/java/passhatch/lab/drill/ReportPage.java
@@ -20,7 +20,8 @@
 import passhatch.lab.load.Outcome;
 
 /**
- * The report of a run as one HTML file: rates, latency and faults on one time axis, and the result.
+ * Writes the report of a run as one HTML file: charts of rates and latency with the times of
+ * faults, the result, and all events.
  */
 final class ReportPage {
 
@@ -187,7 +188,7 @@
         }
     }
 
-    /** An upright line at each fault. */
+    /** Draws a vertical line at the time of each fault. */
     private static void addFaultLines(XYChart chart, List<Double> faultTimes, double top) {
         for (int i = 0; i < faultTimes.size(); i++) {
             XYSeries line =
--- a/src/main/java/passhatch/lab/drill/Result.java
+++ b/src/main/java/passhatch/lab/drill/Result.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 
 /**
- * What one run of a drill came to; what is written to {@code result.json}.
+ * The result of one run of a drill, written to {@code result.json}.
  *
- * @param counts requests by their outcome, and the counts that rules are about
- * @param latencyMs of the answers from when requests were due, by quantile
- * @param recoveries one for each fault that harms
+ * @param counts number of requests by outcome, and the counts that rules limit
+ * @param latencyMs latency of the responses, measured from when requests were due, by quantile
+ * @param recoveries one entry for each step that injects a fault
  * @param behindMs how much later than due requests were sent, by quantile
- * @param broken what was expected and does not hold, in words; empty where all holds
- * @param invalid why the run says nothing, as the machine was too busy; null where it counts
+ * @param readyMs time from each restart of a proxy until it was ready, by proxy and time
+ * @param broken a description of each expectation that is not met; empty if all are met
+ * @param invalid why the run is void because the machine was too busy; null if the run is valid
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 record Result(
@@ -28,10 +29,10 @@
         String invalid) {
 
     /**
-     * How long a fault was felt.
+     * The time of recovery from a fault.
      *
-     * @param ms until the rate of served was back at 95 %; 0 where it never fell under that, null
-     *     where it was not back by the next fault or the end
+     * @param ms time until the rate of served requests was back at 95 %; 0 if it never fell below
+     *     that, null if it was not back by the next fault or the end of the load
      */
     record Recovery(String fault, long atMs, Long ms) {}
 
--- a/src/main/java/passhatch/lab/drill/ResultEvaluator.java
+++ b/src/main/java/passhatch/lab/drill/ResultEvaluator.java
@@ -11,13 +11,13 @@
 import passhatch.lab.load.Outcome;
 import passhatch.lab.standin.RequestLedger;
 
-/** Works out a drill's result from what was counted, and whether all that was expected holds. */
+/** Computes a drill's result from its counts and checks it against the scenario's expectations. */
 final class ResultEvaluator {
 
-    /** Service is back when this part of the requests is served again. */
+    /** Service counts as recovered when at least this share of the requests is served again. */
     private static final double RECOVERED_RATIO = 0.95;
 
-    /** Steps that are looked at together, so that few requests do not make a chance result. */
+    /** Steps per window; windows limit the effect of chance if a step has few requests. */
     private static final int WINDOW_STEPS = 1_000 / LoadStats.STEP_MS;
 
     private static final double[] QUANTILES = {50, 90, 99, 99.9, 100};
@@ -68,7 +68,7 @@
                 invalid);
     }
 
-    private static Map<String, Double> quantiles(Histogram us) {
+    private static Map<String, Double> quantiles(Histogram histogramUs) {
         Map<String, Double> all = new LinkedHashMap<>();
         for (double q : QUANTILES) {
             String name =
@@ -78,13 +78,13 @@
                                     + (q == Math.rint(q)
                                             ? String.valueOf((int) q)
                                             : String.valueOf(q));
-            all.put(name, us.getValueAtPercentile(q) / 1e3);
+            all.put(name, histogramUs.getValueAtPercentile(q) / 1e3);
         }
         return all;
     }
 
-    private static double millis(Duration d) {
-        return d.toNanos() / 1e6;
+    private static double millis(Duration duration) {
+        return duration.toNanos() / 1e6;
     }
 
     private static List<Result.Recovery> recoveries(
@@ -112,8 +112,9 @@
     }
 
     /**
-     * Time from a fault to the end of the last window before the next one in which too few were
-     * served.
+     * Returns the time in milliseconds from a fault to the end of the last window before {@code
+     * untilMs} in which too few requests were served; 0 if there is none, null if service has not
+     * recovered by then.
      */
     static Long recovery(List<LoadStats.Step> steps, long atMs, long untilMs) {
         int first = (int) (atMs / LoadStats.STEP_MS);
--- a/src/main/java/passhatch/lab/drill/Scenario.java
+++ b/src/main/java/passhatch/lab/drill/Scenario.java
@@ -7,12 +7,12 @@
 import passhatch.lab.standin.ServiceTime;
 
 /**
- * A drill as its file describes it. Times are written like {@code "250ms"}, {@code "5s"} or {@code
- * "2m"}; what a file leaves out has the value that {@link ScenarioReader} gives it. Values are in
- * their bounds once read.
+ * A drill as described by its TOML file. Durations are written like {@code "250ms"}, {@code "5s"}
+ * or {@code "2m"}. {@link ScenarioReader} fills in the defaults of omitted keys and checks the
+ * bounds of all values.
  *
- * @param duration how long load is given
- * @param expect what must hold at the end; at least one thing
+ * @param duration how long the load lasts
+ * @param expect the expected results; at least one is set
  */
 record Scenario(
         String name,
@@ -27,13 +27,12 @@
         Expectations expect) {
 
     /**
-     * The processes of the program.
+     * The proxy processes of the program.
      *
-     * @param retries whether they may send a request a second and a third time
-     * @param readyTimeout of a start, until it says that it is ready
-     * @param openFiles files and sockets that the system lets each hold; 0 for as many as the
-     *     machine does
-     * @param asks whether they have to ask discovery for changes, or have these pushed to them
+     * @param retries whether a proxy may send a request up to three times instead of once
+     * @param readyTimeout maximum time from the start of a process until it reports ready
+     * @param openFiles limit of open files and sockets for each process; 0 for the machine's limit
+     * @param asks whether proxies request changes from discovery instead of having them pushed
      */
     record Proxies(
             int count,
@@ -44,7 +43,10 @@
             @JsonProperty("open_files") int openFiles,
             boolean asks) {}
 
-    /** The backends, all alike; see {@link passhatch.lab.standin.BackendServer.Capacity}. */
+    /**
+     * The backends, which all have the same shape; see {@link
+     * passhatch.lab.standin.BackendServer.Capacity}.
+     */
     record Backends(
             int count,
             int cores,
@@ -55,19 +57,21 @@
             @JsonProperty("cold_share") double coldShare,
             @JsonProperty("cold_for") Duration coldDuration) {}
 
-    /** The times that a backend takes. */
+    /** The distribution of a backend's service times. */
     record ServiceTimes(ServiceTime.Distribution distribution, Duration mean, double sigma) {}
 
-    /** A class of requests, as the settings tell it and as clients send it. */
+    /** A request class, used in the proxies' settings and for the requests that clients send. */
     record RequestClass(
             String name, LoadPlan.Effect effect, double share, Duration aim, Duration deadline) {}
 
     /**
-     * The clients.
+     * The load that clients generate.
      *
-     * @param rate requests a second over all
-     * @param detect how long the front goes on sending to a process that has died or is held
-     * @param behind the drill is void where a hundredth of the requests went out later than this
+     * @param rate requests per second, all classes together
+     * @param detect how long clients keep sending to a process after it was killed, terminated or
+     *     stopped
+     * @param behind bound on the send delay; the drill is void if the 99th percentile of the delay
+     *     between due time and sending exceeds it
      */
     record LoadShape(
             double rate,
@@ -78,7 +82,7 @@
             int threads,
             Duration behind) {}
 
-    /** When requests come. */
+    /** The distribution of the times between requests. */
     enum Arrivals {
         POISSON,
         EVEN
@@ -87,12 +91,13 @@
     /**
      * A fault.
      *
-     * @param at after the load's begin
-     * @param duration until it is undone; null where it stays
-     * @param target names as proxy-1, backend-2, discovery, or proxies, backends for all of them
-     * @param share of requests or datagrams that it happens to
-     * @param factor on a backend's times
-     * @param by how late
+     * @param at time after the start of the load
+     * @param duration time until the fault is undone; null if it is not undone
+     * @param target names like proxy-1 or backend-2; proxies or backends for all of them; empty for
+     *     faults of discovery and of the network between peers
+     * @param share the share of requests or datagrams that are affected
+     * @param factor multiplies the service times of a slow backend
+     * @param by the delay of late messages
      * @param groups for a partition: names of proxies that still reach each other
      */
     record Fault(
@@ -106,12 +111,12 @@
             List<List<String>> groups) {}
 
     /**
-     * What must hold; null where it is not asked for.
+     * The expected results; a component is null if it is not checked.
      *
-     * @param served least share of the requests
-     * @param late and the others, most requests that may end so
-     * @param recovery most time after any fault until the rate of served is back at 95 %
-     * @param p99 of the latency
+     * @param served minimum share of requests that are served
+     * @param late maximum number of requests with this outcome, as for the other counts
+     * @param recovery maximum time after any fault until 95 % of the requests are served again
+     * @param p99 maximum 99th percentile of the latency
      */
     record Expectations(
             Double served,
--- a/src/main/java/passhatch/lab/drill/ScenarioReader.java
+++ b/src/main/java/passhatch/lab/drill/ScenarioReader.java
@@ -8,14 +8,14 @@
 import passhatch.agent.config.TomlFile;
 
 /**
- * Reads scenario files and says of a bad one which file, which key or line, and what was expected
- * there.
+ * Reads and checks scenario files. The error for an invalid file names the file, the key or line at
+ * fault, and the expected value.
  */
 final class ScenarioReader {
 
     /**
-     * What files may leave out. Times of a fault and all of {@code expect} have no values of their
-     * own.
+     * Defaults of the keys that a file may omit. The times of faults and the keys of {@code expect}
+     * have no defaults.
      */
     private static final String DEFAULTS =
             """
@@ -78,7 +78,7 @@
 
     private ScenarioReader() {}
 
-    /** Reads and checks a file. */
+    /** Reads and checks a scenario file. */
     static Scenario read(Path file) {
         return read(TomlFile.read(file));
     }
@@ -125,7 +125,7 @@
         }
     }
 
-    /** The bounds that a scenario's values have to keep. */
+    /** Checks the bounds of a scenario's values. */
     private record Validator(TomlFile file, Scenario scenario) {
         void checkAll() {
             require(
--- a/src/main/java/passhatch/lab/drill/Testbed.java
+++ b/src/main/java/passhatch/lab/drill/Testbed.java
@@ -19,10 +19,10 @@
 import passhatch.lab.standin.ServiceTime;
 import passhatch.lab.standin.UdpRelay;
 
-/** All that a drill has running: the stand-ins, and the processes of the program between them. */
+/** The stand-ins and proxy processes of a drill. */
 final class Testbed implements Closeable {
 
-    /** Longer than the program may take to end: the longest deadline that counts and 0.7 s. */
+    /** Exceeds the maximum shutdown time of a proxy: its longest counted deadline plus 0.7 s. */
     private static final long SHUTDOWN_TIMEOUT_MS = 5_000;
 
     private static final int STAND_IN_THREADS = 2;
@@ -38,12 +38,12 @@
     final List<ProxyProcess> proxies = new ArrayList<>();
     UdpRelay relay;
 
-    /** Ends the processes also where this JVM is told to end. */
+    /** Kills the processes if this JVM is terminated. */
     private final Thread shutdownHook = new Thread(this::killProcesses, "end-of-drill");
 
     private boolean closed;
 
-    /** Starts the stand-ins; the processes are made and not started. */
+    /** Starts the stand-ins and creates the proxy processes without starting them. */
     Testbed(Scenario scenario, Seeds seeds, Path jar, Path folder, List<String> options)
             throws IOException {
         Runtime.getRuntime().addShutdownHook(shutdownHook);
@@ -79,18 +79,18 @@
         }
     }
 
-    private static BackendServer.Capacity shape(Scenario.Backends b) {
+    private static BackendServer.Capacity shape(Scenario.Backends backends) {
         return new BackendServer.Capacity(
-                b.cores(),
-                b.slots(),
-                b.queue(),
-                b.connections(),
+                backends.cores(),
+                backends.slots(),
+                backends.queue(),
+                backends.connections(),
                 new ServiceTime(
-                        b.service().distribution(),
-                        TimeUnit.MICROSECONDS.convert(b.service().mean()),
-                        b.service().sigma()),
-                b.coldShare(),
-                TimeUnit.MICROSECONDS.convert(b.coldDuration()));
+                        backends.service().distribution(),
+                        TimeUnit.MICROSECONDS.convert(backends.service().mean()),
+                        backends.service().sigma()),
+                backends.coldShare(),
+                TimeUnit.MICROSECONDS.convert(backends.coldDuration()));
     }
 
     private static InetSocketAddress freeUdpAddress() throws IOException {
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Starts all processes side by side and waits until each is ready. */
+    /** Starts all proxy processes concurrently and waits until each is ready. */
     void startProxies(long readyTimeoutMs) throws IOException, InterruptedException {
         for (ProxyProcess proxy : proxies) {
             proxy.startWithPortRetry();
@@ -117,7 +117,10 @@
         }
     }
 
-    /** Ends every process by its own handle, in an orderly way first, and then the stand-ins. */
+    /**
+     * Terminates every proxy process through its own handle, with SIGTERM first, and then closes
+     * the stand-ins.
+     */
     @Override
     public synchronized void close() throws IOException {
         if (closed) {
@@ -132,7 +135,7 @@
         for (Thread end : ends) {
             try {
                 end.join();
-            } catch (InterruptedException stop) {
+            } catch (InterruptedException interrupted) {
                 killProcesses();
                 Thread.currentThread().interrupt();
             }
@@ -143,8 +146,8 @@
         eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
-        } catch (IllegalStateException ending) {
-            // The JVM is on its way out: the hook runs, and finds nothing left to end.
+        } catch (IllegalStateException shuttingDown) {
+            // The JVM is shutting down: the hook runs and finds no process left.
         }
     }
 
--- a/src/main/java/passhatch/lab/drill/package-info.java
+++ b/src/main/java/passhatch/lab/drill/package-info.java
@@ -1,2 +1,5 @@
-/** Drills: real processes of the program, faults between them, and what must hold at the end. */
+/**
+ * Drills: fault-injection runs against real processes of the program, and the checks of their
+ * results.
+ */
 package passhatch.lab.drill;
--- a/src/test/java/passhatch/lab/drill/ChangesFaultsIT.java
+++ b/src/test/java/passhatch/lab/drill/ChangesFaultsIT.java
@@ -21,7 +21,10 @@
 import passhatch.lab.Seeds;
 import passhatch.lab.standin.UdpRelay.NetworkConditions;
 
-/** Changes go on while agents are killed and held, datagrams get lost, and zones are cut off. */
+/**
+ * Changes are distributed while agents are killed, stopped and cut off, and datagrams are lost,
+ * duplicated, truncated and delayed.
+ */
 @Tag("long")
 class ChangesFaultsIT {
 
@@ -36,7 +39,7 @@
     @TempDir private Path folder;
     private ChangesTestbed testbed;
 
-    /** Versions at subscribers, by asking them over and over; a lower one is a fault. */
+    /** Polls the versions in force at subscribers; a version that decreases is a violation. */
     private final class VersionChecker implements Runnable {
         private final Map<Integer, Long> highest = new TreeMap<>();
         private final List<String> violations = new ArrayList<>();
@@ -50,7 +53,7 @@
                     long before = highest.getOrDefault(subscriber, 0L);
                     if (version >= 0 && version < before) {
                         violations.add(
-                                "m" + subscriber + " fell from " + before + " to " + version);
+                                "m" + subscriber + " decreased from " + before + " to " + version);
                     }
                     highest.put(subscriber, Math.max(before, version));
                 }
@@ -60,7 +63,7 @@
 
     private int chooseVictim(int faultIndex, UniformRandomProvider random)
             throws InterruptedException {
-        ChangesTestbed.await(() -> testbed.leader() >= 0, TIMEOUT_MS, "nobody leads");
+        ChangesTestbed.await(() -> testbed.leader() >= 0, TIMEOUT_MS, "no replica leads");
         int leader = Math.max(0, testbed.leader());
         return switch (faultIndex % 4) {
             case 0 -> leader;
@@ -129,7 +132,7 @@
         ChangesTestbed.await(
                 () -> testbed.all().stream().map(testbed::version).distinct().count() == 1,
                 TIMEOUT_MS,
-                "not all agents come to the same version");
+                "not all agents reach the same version");
         Map<String, String> allValues = testbed.values(0);
         for (int agent : testbed.all()) {
             Map<String, String> wanted = new TreeMap<>(allValues);
@@ -154,7 +157,7 @@
                 times.get(times.size() - 1));
     }
 
-    /** A later change whose outcome was not known may have taken its place. */
+    /** A later change whose outcome is not known may have replaced the committed one. */
     private static void checkKept(
             Map<String, String> allValues, String key, ChangesWriter.Committed change) {
         String value = allValues.get(key);
--- a/src/test/java/passhatch/lab/drill/ChangesIT.java
+++ b/src/test/java/passhatch/lab/drill/ChangesIT.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import passhatch.cli.Commands;
 
-/** Changes with real agents: in force soon, also after the leader is killed, and never by half. */
+/**
+ * Changes with real agents are in force within the timeout, also after the leader is killed, and
+ * invalid changes are refused as a whole.
+ */
 class ChangesIT {
 
     private static final Path JAR = Path.of("target/passhatch.jar").toAbsolutePath();
@@ -33,9 +36,9 @@
     @BeforeEach
     void start() throws Exception {
         testbed = new ChangesTestbed(JAR, folder, SUBSCRIBERS, 1);
-        long beganNs = System.nanoTime();
+        long startNs = System.nanoTime();
         testbed.start(TIMEOUT_MS);
-        System.out.println("changes: all are current after " + elapsedMs(beganNs) + " ms");
+        System.out.println("changes: all are current after " + elapsedMs(startNs) + " ms");
     }
 
     @AfterEach
@@ -46,7 +49,7 @@
         }
     }
 
-    /** What the command line says, asking the replicas in turn. */
+    /** Runs the command {@code changes} against the replicas in turn and returns its output. */
     private String runChangesCommand(int expectedExitCode, String... arguments) {
         StringWriter out = new StringWriter();
         List<String> all = new ArrayList<>(List.of("changes"));
@@ -64,18 +67,18 @@
         return out.toString().strip();
     }
 
-    private static long elapsedMs(long beganNs) {
-        return (System.nanoTime() - beganNs) / 1_000_000;
+    private static long elapsedMs(long startNs) {
+        return (System.nanoTime() - startNs) / 1_000_000;
     }
 
     private void put(String value) throws InterruptedException {
-        long beganNs = System.nanoTime();
+        long startNs = System.nanoTime();
         assertTrue(runChangesCommand(0, "put", KEY, value).startsWith("done "));
         long committedNs = System.nanoTime();
         awaitInForce(value);
         System.out.printf(
                 "changes: committed after %d ms, in force %d ms later%n",
-                (committedNs - beganNs) / 1_000_000, elapsedMs(committedNs));
+                (committedNs - startNs) / 1_000_000, elapsedMs(committedNs));
     }
 
     private void awaitInForce(String value) throws InterruptedException {
@@ -126,12 +129,15 @@
         put("500");
         int other = testbed.subscribers().get(0);
         other += ChangesTestbed.serviceOf(other).equals("claims") ? 1 : 0;
-        assertEquals(Map.of(), testbed.values(other), "a key that it does not want");
+        assertEquals(
+                Map.of(),
+                testbed.values(other),
+                "values of a service that it does not subscribe to");
         checkThatInvalidChangesAreRefused("500");
 
         int leader = testbed.leader();
         testbed.agent(leader).process().signal("KILL");
-        ChangesTestbed.await(() -> testbed.leader() >= 0, TIMEOUT_MS, "no other leads");
+        ChangesTestbed.await(() -> testbed.leader() >= 0, TIMEOUT_MS, "no other replica leads");
         put("600");
 
         int interested = other == testbed.subscribers().get(0) ? other + 1 : other - 1;
--- a/src/test/java/passhatch/lab/drill/ChildProcessTest.java
+++ b/src/test/java/passhatch/lab/drill/ChildProcessTest.java
@@ -25,15 +25,13 @@
         child.start();
         long endNs = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
         while (!child.logTail().contains("hello")) {
-            assertTrue(System.nanoTime() < endNs, "it never began");
+            assertTrue(System.nanoTime() < endNs, "the process did not start in time");
             Thread.sleep(5);
         }
         return child;
     }
 
-    /**
-     * Ignored signals stay ignored over exec, so the process itself is the one that does not end.
-     */
+    /** Ignored signals stay ignored over exec, so the process itself ignores SIGTERM. */
     @Test
     void aProcessThatIgnoresSigtermIsKilledAfterTheTimeout() throws Exception {
         ChildProcess child = startScript("trap '' TERM; echo $WORD; exec sleep 60");
@@ -41,7 +39,7 @@
         assertFalse(child.awaitExit(100));
         child.terminate(100);
         assertFalse(child.isAlive());
-        assertFalse(child.signal("TERM"), "there is nobody to tell");
+        assertFalse(child.signal("TERM"), "the process has ended");
     }
 
     @Test
--- a/src/test/java/passhatch/lab/drill/ComparisonTest.java
+++ b/src/test/java/passhatch/lab/drill/ComparisonTest.java
@@ -12,8 +12,7 @@
 class ComparisonTest {
 
     /**
-     * Of intervals at 95 %, about that many hold the true difference, though the spreads are not
-     * equal.
+     * About 95 % of the intervals contain the true difference, though the variances are not equal.
      */
     @Test
     void theIntervalCoversTheTrueDifferenceAtItsConfidenceLevel() {
--- a/src/test/java/passhatch/lab/drill/DrainIT.java
+++ b/src/test/java/passhatch/lab/drill/DrainIT.java
@@ -8,23 +8,26 @@
 import passhatch.lab.standin.BackendServer;
 
 /**
- * No request reaches a draining server after the grace, whatever discovery and the proxy suffer.
+ * No request reaches a draining server after the drain grace, under faults of discovery and proxy.
  */
 class DrainIT extends OneProxyDrill {
 
-    /** What discovery has to tell counts as told after this, whether or not it arrived. */
+    /** The proxy is deemed notified of a change after this time, whether or not it arrived. */
     private static final long DEEMED_NOTIFIED_MS = 6_000;
 
-    /** After a signal that discovery has moved, all that it has to tell counts as told. */
+    /**
+     * The proxy is deemed notified of all changes this long after SIGHUP with discovery's new
+     * address.
+     */
     private static final long DEEMED_NOTIFIED_AFTER_ADDRESS_CHANGE_MS = 4_000;
 
-    /** As long as nothing changes a watch brings an empty line this often. */
+    /** The interval at which a watch sends an empty line while nothing changes. */
     private static final long EMPTY_LINE_INTERVAL_MS = 2_000;
 
-    /** A watch that has said nothing for 3 s is given up. */
+    /** Somewhat less than the 3 s after which a silent watch times out. */
     private static final long SILENCE_BEFORE_ADDRESS_CHANGE_MS = 2_700;
 
-    /** How long requests are sent beyond the grace: the rule would be broken many times. */
+    /** How long requests are sent past the grace; a violation would show many times. */
     private static final long BEYOND_GRACE_MS = 2_500;
 
     private static final long REQUEST_INTERVAL_MS = 15;
@@ -33,21 +36,24 @@
         super("asks = true", 2);
     }
 
-    /** The first backend drains now, which the proxy is not told. */
+    /**
+     * Drains the first backend and publishes that through discovery; the proxy gets no other
+     * notice.
+     */
     private void drainFirstBackend() {
         BackendServer draining = testbed.backends.get(0);
         draining.drain(DEEMED_NOTIFIED_MS);
         publishStatus(draining.name(), "DRAINING");
     }
 
-    /** As {@link #drainFirstBackend}, of a backend that goes on accepting. */
+    /** As {@link #drainFirstBackend}, but the backend continues to accept requests. */
     private void drainFirstBackendAccepting(long deemedNotifiedMs) {
         BackendServer draining = testbed.backends.get(0);
         draining.drainWhileAccepting(deemedNotifiedMs);
         publishStatus(draining.name(), "DRAINING");
     }
 
-    /** Sends requests all along, and says how many of them were served. */
+    /** Sends requests for this time and returns how many of them were served. */
     private int serveFor(long ms) throws InterruptedException {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
         int served = 0;
@@ -63,7 +69,7 @@
         assertEquals(200, requestStatus());
         injectFault("do = 'overload'");
         injectFault("do = 'kill', target = 'proxy-1'");
-        await("its end", () -> !proxy.process().isAlive());
+        await("the end of the process", () -> !proxy.process().isAlive());
         drainFirstBackend();
         injectFault("do = 'start', target = 'proxy-1'");
         await("an answer", () -> requestStatus() != 0);
@@ -77,7 +83,7 @@
 
     @Test
     void aDrainingServerThatAcceptsIsNotUsedPastTheGraceWhileDiscoveryIsSilent() throws Exception {
-        await("service at both", () -> requestStatus() == 200);
+        await("service from both backends", () -> requestStatus() == 200);
         serveFor(500);
         injectFault("do = 'stall'");
         drainFirstBackendAccepting(DEEMED_NOTIFIED_MS);
@@ -106,7 +112,7 @@
         assertEquals(200, requestStatus());
         long answers = testbed.discovery.answeredCalls();
         changeDiscoveryAddress();
-        await("an answer there", () -> testbed.discovery.answeredCalls() > answers);
+        await("a response at the new address", () -> testbed.discovery.answeredCalls() > answers);
         injectFault("do = 'tell_late', by = '1h'");
         drainFirstBackendAccepting(DEEMED_NOTIFIED_AFTER_ADDRESS_CHANGE_MS);
         serveFor(EMPTY_LINE_INTERVAL_MS);
--- a/src/test/java/passhatch/lab/drill/DrillIT.java
+++ b/src/test/java/passhatch/lab/drill/DrillIT.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whole drills with the packaged program. */
+/** Complete drills with the packaged program. */
 class DrillIT {
 
     private static final Path JAR = Path.of("target/passhatch.jar").toAbsolutePath();
@@ -39,8 +39,9 @@
     }
 
     /**
-     * At all backends alike 15 % of the calls break, so no choice of backend helps: without retries
-     * as many fail, and with them only those of the tenth that must not be sent twice.
+     * Every backend resets 15 % of its requests, so the choice of backend does not help. Without
+     * retries that share of requests fails; with retries only those among the tenth of requests
+     * that must not be sent twice.
      */
     @Test
     void retriesRaiseTheServedShareWithoutDuplicates() throws Exception {
@@ -60,7 +61,7 @@
                         .anyMatch(l -> l.contains("\"do\":\"reset\"")));
     }
 
-    /** What cannot hold must not be said to hold. */
+    /** An expectation that cannot be met must be reported as not met. */
     @Test
     void reportsUnmetExpectations() throws Exception {
         Result result =
--- a/src/test/java/passhatch/lab/drill/DutyHolderLogTest.java
+++ b/src/test/java/passhatch/lab/drill/DutyHolderLogTest.java
@@ -14,7 +14,7 @@
                     new DutyHolderLog.Observation(
                             i < 5 ? 0 : 1, i < 5 ? 1 : 2, 100 * i, 100 * i + 90));
         }
-        // At the same time as another it may have been before it.
+        // The observation overlaps the one before, so it may have come first.
         log.add(new DutyHolderLog.Observation(0, 1, 480, 600));
         assertEquals(0, log.violations().size());
         log.add(new DutyHolderLog.Observation(0, 1, 700, 720));
--- a/src/test/java/passhatch/lab/drill/DutyIT.java
+++ b/src/test/java/passhatch/lab/drill/DutyIT.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import passhatch.lab.Seeds;
 
-/** Five real voters, all of them candidates, whose holder is killed, held, cut off, or gives up. */
+/**
+ * Five real voters, all of them candidates, whose holder is killed, stopped or cut off, or gives up
+ * the duty.
+ */
 @Tag("long")
 class DutyIT {
 
@@ -64,7 +67,9 @@
         }
         for (int i = 0; i < AGENTS; i++) {
             int agent = i;
-            await(() -> testbed.agent(agent).ask("found").equals("done\n"), "it cannot be founded");
+            await(
+                    () -> testbed.agent(agent).ask("found").equals("done\n"),
+                    "the voter cannot be initialized");
         }
         await(0);
     }
@@ -77,7 +82,7 @@
         testbed.close();
     }
 
-    /** Asks one agent over and over whether it may act, and keeps each yes. */
+    /** Polls one agent whether it may act and records each positive answer. */
     private void pollHolder(int agent) {
         while (!stopped.get()) {
             long startNs = System.nanoTime();
@@ -98,10 +103,10 @@
         }
     }
 
-    /** Waits for an act of a greater term, and gives it. */
+    /** Waits for an observation with a higher term and returns it. */
     private DutyHolderLog.Observation await(long term) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
-        while (System.nanoTime() < end) {
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+        while (System.nanoTime() < deadlineNs) {
             for (DutyHolderLog.Observation act :
                     holderLog.all().stream()
                             .skip(Math.max(0, holderLog.all().size() - 50))
@@ -112,7 +117,7 @@
             }
             Thread.sleep(POLL_INTERVAL_MS);
         }
-        throw new AssertionError("nobody has the duty after term " + term);
+        throw new AssertionError("no holder of the duty after term " + term);
     }
 
     private void checkHolderChanges(int count) throws Exception {
@@ -175,27 +180,31 @@
                         + " ms";
     }
 
-    private static void await(BooleanSupplier holds, String what) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
-        while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, what);
+    private static void await(BooleanSupplier condition, String failureMessage)
+            throws InterruptedException {
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < deadlineNs, failureMessage);
             Thread.sleep(5 * POLL_INTERVAL_MS);
         }
     }
 
-    /** All are present for each other again, so that the next fault meets a whole fleet. */
+    /** Waits until all agents see each other alive, so that each fault hits a complete fleet. */
     private void awaitAllAlive() throws InterruptedException {
         List<Integer> all = IntStream.range(0, AGENTS).boxed().toList();
         await(
                 () -> testbed.allReport(all, testbed.expectedStatuses("alive", List.of(), "")),
-                "the fleet is not whole again");
+                "not all agents see each other alive");
     }
 
     private boolean votes(int agent) {
         return testbed.agent(agent).ask("duties").contains("\"votes\":true");
     }
 
-    /** It does not vote until the others have told it, and a lease has passed; then terms go on. */
+    /**
+     * The voter does not vote before the others have sent it their terms and a lease has passed;
+     * after that terms continue to increase.
+     */
     @Test
     void aVoterThatLostItsStoreRecoversTermsFromTheOthers() throws Exception {
         int lost = (await(0).process() + 1) % AGENTS;
@@ -212,7 +221,7 @@
         await(() -> votes(lost), "it does not vote");
         assertTrue(
                 System.nanoTime() - startNs > TimeUnit.MILLISECONDS.toNanos(LEASE_MS),
-                "it did not wait");
+                "it voted before a lease had passed");
         DutyHolderLog.Observation lastObservation = holderLog.all().get(holderLog.all().size() - 1);
         assertEquals(
                 "done\n", testbed.agent(lastObservation.process()).ask("give-up drill m" + lost));
--- a/src/test/java/passhatch/lab/drill/FaultsIT.java
+++ b/src/test/java/passhatch/lab/drill/FaultsIT.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each fault by its effect on a real process of the packaged program. */
+/** Checks the effect of each fault on a real process of the packaged program. */
 class FaultsIT extends OneProxyDrill {
 
     FaultsIT() {
@@ -22,7 +22,7 @@
     void aKilledProcessEndsAndServesAgainAfterARestart() throws Exception {
         long pid = proxy.process().pid();
         injectFault("do = 'kill', target = 'proxy-1'");
-        await("its end", () -> !proxy.process().isAlive());
+        await("the end of the process", () -> !proxy.process().isAlive());
         assertEquals(0, requestStatus());
         injectFault("do = 'start', target = 'proxy-1'");
         await("an answer", () -> requestStatus() == 200);
@@ -32,7 +32,7 @@
     @Test
     void aTerminatedProcessShutsDownInOrder() throws Exception {
         injectFault("do = 'term', target = 'proxy-1'");
-        await("its end", () -> !proxy.process().isAlive());
+        await("the end of the process", () -> !proxy.process().isAlive());
         assertTrue(
                 proxy.process().logTail().contains("ending with 0 requests unanswered"),
                 proxy.process().logTail());
@@ -65,12 +65,12 @@
     @Test
     void crashedBackendsReturnAndDrainingOnesGetNoRequests() throws Exception {
         injectFault("do = 'crash', target = 'backend-1'");
-        await("the news of its end", () -> listedHosts() == 0);
+        await("the list without it", () -> listedHosts() == 0);
         assertNotEquals(200, requestStatus());
         injectFault("do = 'return', target = 'backend-1'");
         await("an answer", () -> requestStatus() == 200);
         injectFault("do = 'drain', target = 'backend-1'");
-        await("that it is sent nothing more", () -> requestStatus() != 200);
+        await("the end of requests to it", () -> requestStatus() != 200);
         assertEquals(0, testbed.ledger.attemptsAfterDrain());
     }
 
@@ -78,25 +78,29 @@
     void changesArriveAgainAfterEachDiscoveryFault() throws Exception {
         injectFault("do = 'break'");
         await(
-                "the news of the break",
+                "the end of the watch",
                 () -> proxy.process().logTail().contains("the watch from index 1 ended"));
         addToList("b");
         await("the change after it", () -> listedHosts() == 2);
         injectFault("do = 'down'");
         addToList("c");
-        await("a refused call", () -> proxy.process().logTail().contains("Connection refused"));
+        await(
+                "a refused connection",
+                () -> proxy.process().logTail().contains("Connection refused"));
         assertEquals(2, listedHosts());
         injectFault("do = 'up'");
-        await("the change told late", () -> listedHosts() == 3);
+        await("the change made during the outage", () -> listedHosts() == 3);
         injectFault("do = 'stall'");
         addToList("d");
-        await("the end of its patience", () -> proxy.process().logTail().contains("index 3 ended"));
+        await(
+                "the timeout of the silent watch",
+                () -> proxy.process().logTail().contains("index 3 ended"));
         assertEquals(3, listedHosts());
         injectFault("do = 'resume'");
         await("the change after the stall", () -> listedHosts() == 4);
         injectFault("do = 'overload'");
         injectFault("do = 'break'");
-        await("a call turned away", () -> proxy.process().logTail().contains("answered 503"));
+        await("a rejected call", () -> proxy.process().logTail().contains("answered 503"));
         injectFault("do = 'relieve'");
         addToList("g");
         await("the change after the overload", () -> listedHosts() == 5);
--- a/src/test/java/passhatch/lab/drill/MembershipIT.java
+++ b/src/test/java/passhatch/lab/drill/MembershipIT.java
@@ -28,8 +28,8 @@
 import passhatch.lab.standin.UdpRelay.NetworkConditions;
 
 /**
- * The cases of docs/membership.md with ten real processes and the relay between them. Among the
- * long drills until it is known why an agent did not start in two of six starts of one run.
+ * The cases of docs/membership.md with ten real processes and the relay between them. It counts as
+ * a long drill until it is known why an agent did not start in two of six starts of one run.
  */
 @Tag("long")
 class MembershipIT {
@@ -43,7 +43,7 @@
     @TempDir private Path folder;
     private AgentTestbed testbed;
 
-    /** All at the same moment. */
+    /** Starts all agents at the same time. */
     @BeforeEach
     void start() throws Exception {
         testbed =
@@ -102,7 +102,7 @@
         return Long.parseLong(membersJson(agent).get("incarnation").textValue().split("\\.")[0]);
     }
 
-    /** A process's lines on members that have failed. */
+    /** Returns the number of lines in an agent's log that report a failed member. */
     private long loggedFailures(int agent) throws IOException {
         return testbed.agent(agent).log().lines().filter(l -> l.contains("is failed, was")).count();
     }
@@ -128,7 +128,8 @@
     }
 
     /**
-     * One way between two, and a third of all datagrams lost, doubled, cut or late: nobody fails.
+     * No member fails while datagrams between two members pass in one direction only, and a third
+     * of all datagrams are lost, duplicated, truncated or late.
      */
     @Test
     void noMemberFailsOnABadNetwork() throws Exception {
@@ -140,7 +141,7 @@
                 2 * CONVERGENCE_TIMEOUT_S);
         assertTrue(
                 membersJson(2).get("dropped").get("checksum").longValue() > 0,
-                "cut datagrams are told");
+                "truncated datagrams are counted");
         for (int i = 0; i < AGENTS; i++) {
             assertEquals(0, loggedFailures(i));
         }
@@ -150,8 +151,8 @@
     }
 
     /**
-     * Killed and back; held for a while; a fifth killed at once. Only those who are gone have
-     * failed.
+     * A member is killed and restarted, one is stopped for a while, and a fifth of the members are
+     * killed at once. Only the unreachable ones fail.
      */
     @Test
     void onlyUnreachableMembersFail() throws Exception {
@@ -175,7 +176,7 @@
         assertEquals(
                 failuresWhileStopped,
                 loggedFailures(4),
-                "what it missed while it was held is nobody's fault");
+                "a member that was stopped must not report others as failed");
 
         testbed.agent(5).process().signal("KILL");
         testbed.agent(6).process().signal("KILL");
@@ -200,8 +201,8 @@
     }
 
     /**
-     * A machine set back to an old image: its process takes no part at first, and then as a newer
-     * one.
+     * A machine is restored from an old image: its process takes no part at first, and then takes
+     * part with a newer epoch.
      */
     @Test
     void aMemberRestoredFromAnOldImageRejoins() throws Exception {
@@ -230,8 +231,8 @@
         assertTrue(
                 testbed.agent(2).log().contains("gives way")
                         || testbed.agent(2).log().contains("was still known"),
-                "it says what it found");
-        // And the epoch that it took is on disk: the next start does not use it again.
+                "the log names the conflict");
+        // The epoch that it took is on disk: the next start does not use it again.
         long taken = epoch(2);
         kill(2);
         testbed.agent(2).process().start();
@@ -255,7 +256,10 @@
         }
     }
 
-    /** A second process claims a name: the one with the lesser epoch takes no part and says so. */
+    /**
+     * If a second process claims a name, the process with the lower epoch takes no part and reports
+     * that.
+     */
     @Test
     void theOlderOfTwoProcessesWithOneNameIsSuperseded() throws Exception {
         try (AgentTestbed other =
@@ -279,7 +283,7 @@
         }
     }
 
-    /** Strays and another list of members, in a process that goes on all the while. */
+    /** A process counts datagrams of unknown senders and reloads its member list while it runs. */
     @Test
     void unknownDatagramsAreCountedAndTheMemberListIsReloadedOnSighup() throws Exception {
         InetSocketAddress target = testbed.agent(1).listen();
--- a/src/test/java/passhatch/lab/drill/OneProxyDrill.java
+++ b/src/test/java/passhatch/lab/drill/OneProxyDrill.java
@@ -23,7 +23,7 @@
 import passhatch.lab.load.ProxyPool;
 import passhatch.lab.standin.DiscoveryServer;
 
-/** One real process of the packaged program before backends and discovery that fail on demand. */
+/** Runs one real proxy process of the packaged program with stand-ins that fail on demand. */
 abstract class OneProxyDrill {
 
     private static final Path JAR = Path.of("target/passhatch.jar").toAbsolutePath();
@@ -40,8 +40,8 @@
     ProxyProcess proxy;
 
     /**
-     * @param proxies further keys of the scenario's proxies, as a file holds them
-     * @param backends how many there are
+     * @param proxies further keys of the scenario's proxies, in TOML
+     * @param backends the number of backends
      */
     OneProxyDrill(String proxies, int backends) {
         this.scenarioText =
@@ -85,7 +85,9 @@
                 () -> "" + events.events());
     }
 
-    /** Status of a request, or 0 where no answer came; the deadline is the class's. */
+    /**
+     * Sends a request with its class's deadline and returns the status, or 0 without a response.
+     */
     int requestStatus() {
         HttpRequest request =
                 HttpRequest.newBuilder(
@@ -109,7 +111,7 @@
             assertTrue(
                     System.nanoTime() < endNs,
                     () ->
-                            "never came: "
+                            "timed out waiting for: "
                                     + awaited
                                     + "; the proxy's log:\n"
                                     + proxy.process().logTail());
@@ -117,7 +119,7 @@
         }
     }
 
-    /** Discovery moves, and the proxy is told by SIGHUP. */
+    /** Changes discovery's address and notifies the proxy by SIGHUP. */
     void changeDiscoveryAddress() throws IOException, InterruptedException {
         proxy.changeDiscoveryAddress(testbed.discovery.changeAddress());
     }
@@ -131,7 +133,7 @@
                 .orElse(-1);
     }
 
-    /** Discovery lists a name at the first backend's address. */
+    /** Publishes the status of a name at the first backend's address through discovery. */
     void publishStatus(String name, String status) {
         testbed.discovery.update(
                 List.of(
--- a/src/test/java/passhatch/lab/drill/OpenFilesIT.java
+++ b/src/test/java/passhatch/lab/drill/OpenFilesIT.java
@@ -10,12 +10,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A process that the system gives no further file or socket for a while. */
+/** A proxy process that cannot open further files or sockets for a while. */
 class OpenFilesIT extends OneProxyDrill {
 
     private static final int OPEN_FILES = 128;
 
-    /** By then the next call to discovery has been tried. */
+    /** Exceeds the delay after which the proxy retries a call to discovery. */
     private static final long OVER_RETRY_DELAY_MS = 500;
 
     private static final long RECOVERY_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(2);
@@ -40,7 +40,9 @@
         }
         long socketsFreedNs = System.nanoTime();
         await("the change", () -> listedHosts() == 2);
-        assertTrue(System.nanoTime() - socketsFreedNs < RECOVERY_TIMEOUT_NS, "heard too late");
+        assertTrue(
+                System.nanoTime() - socketsFreedNs < RECOVERY_TIMEOUT_NS,
+                "the change arrived too late");
         await("an answer", () -> requestStatus() == 200);
     }
 
--- a/src/test/java/passhatch/lab/drill/ScenarioReaderTest.java
+++ b/src/test/java/passhatch/lab/drill/ScenarioReaderTest.java
@@ -19,8 +19,10 @@
 
     private static final String VALID = "name = 'a'\n[expect]\nserved = 0.9\n";
 
-    /** A bad file is told by its name, the key or line at fault, and what was expected there. */
-    /** A line of a scenario that is wrong, and the start of what is said of it. */
+    /**
+     * Invalid lines of a scenario, each with the start of its error. An error names the file, the
+     * key or line at fault, and the expected value.
+     */
     private static final String INVALID_LINES =
             """
             duration = '20' | duration: '20': expected a time
@@ -78,10 +80,7 @@
         }
     }
 
-    /**
-     * The same file gives the same steps; each fault is undone for each of its targets, in the
-     * order of time.
-     */
+    /** The same file gives the same steps; each fault is undone for each of its targets. */
     @Test
     void stepsAreOrderedByTimeAndUndone() {
         String text =
