--- a/src/main/java/passhatch/lab/distribution/ConsistencyChecker.java
+++ b/src/main/java/passhatch/lab/distribution/ConsistencyChecker.java
@@ -20,21 +20,21 @@
 public final class ConsistencyChecker implements Observer {
 
     /** What one process has shown since its start. */
-    private static final class Life {
+    private static final class AppliedState {
         private long epoch;
         private long version;
-        private final Map<String, Long> versionOfKey = new HashMap<>();
+        private final Map<String, Long> keyVersions = new HashMap<>();
     }
 
     private record Submitted(Node leader, long version) {}
 
     private final Set<String> keys;
-    private final Map<Long, TreeMap<Long, LogEntry>> committed = new HashMap<>();
-    private final Map<Node, ReplicaDiskView> disks = new HashMap<>();
-    private final Map<Node, Life> lives = new HashMap<>();
+    private final Map<Long, TreeMap<Long, LogEntry>> committedByEpoch = new HashMap<>();
+    private final Map<Node, ReplicaDiskView> diskViews = new HashMap<>();
+    private final Map<Node, AppliedState> appliedStates = new HashMap<>();
     private final Set<Node> lostDisks = new HashSet<>();
     private final Map<Submitted, LogEntry> submitted = new HashMap<>();
-    private long reported;
+    private long reportedChanges;
 
     /** A checker of runs in which only these keys are changed. */
     public ConsistencyChecker(Set<String> keys) {
@@ -43,12 +43,12 @@
 
     /** Entries that are committed when the run begins. */
     public void preload(long epoch, List<LogEntry> entries) {
-        entries.forEach(entry -> committed(epoch).put(entry.version(), entry));
+        entries.forEach(entry -> committedEntries(epoch).put(entry.version(), entry));
     }
 
     /** The operator has raised the epoch; the log of the most complete replica left goes on. */
-    public void raiseEpoch(long from, long to, long upto) {
-        committed(to).putAll(committed(from).headMap(upto, true));
+    public void raiseEpoch(long from, long to, long lastVersion) {
+        committedEntries(to).putAll(committedEntries(from).headMap(lastVersion, true));
     }
 
     /** A replica's disk is empty from now on. */
@@ -62,19 +62,19 @@
     }
 
     /** How many changes were reported to be made. */
-    public long reported() {
-        return reported;
+    public long reportedChanges() {
+        return reportedChanges;
     }
 
     /** The newest committed version of an epoch. */
     public long lastCommitted(long epoch) {
-        return committed(epoch).isEmpty() ? 0 : committed(epoch).lastKey();
+        return committedEntries(epoch).isEmpty() ? 0 : committedEntries(epoch).lastKey();
     }
 
     /** The value of each key after all committed changes of an epoch. */
     public Map<String, String> committedValues(long epoch) {
         Map<String, String> values = new TreeMap<>();
-        for (LogEntry entry : committed(epoch).values()) {
+        for (LogEntry entry : committedEntries(epoch).values()) {
             if (entry.value() == null) {
                 values.remove(entry.key());
             } else {
@@ -84,44 +84,46 @@
         return values;
     }
 
-    private TreeMap<Long, LogEntry> committed(long epoch) {
-        return committed.computeIfAbsent(epoch, any -> new TreeMap<>());
+    private TreeMap<Long, LogEntry> committedEntries(long epoch) {
+        return committedByEpoch.computeIfAbsent(epoch, any -> new TreeMap<>());
     }
 
     @Override
     public void started(Node node) {
-        Life life = new Life();
-        life.epoch = node.participant().epoch();
-        life.version = node.participant().version();
-        lives.put(node, life);
+        AppliedState state = new AppliedState();
+        state.epoch = node.participant().epoch();
+        state.version = node.participant().version();
+        appliedStates.put(node, state);
         if (node.role() == Role.REPLICA) {
             ReplicaDiskView view = new ReplicaDiskView();
-            node.disk().forEach(view::take);
-            disks.put(node, view);
+            node.disk().forEach(view::apply);
+            diskViews.put(node, view);
         }
-        checkKeys(node, life);
+        checkKeyVersions(node, state);
     }
 
     @Override
-    public void forced(Node node, List<DiskRecord> records) {
+    public void recordsForced(Node node, List<DiskRecord> records) {
         for (DiskRecord record : records) {
-            if (record instanceof DiskRecord.Applied of) {
-                of.entries().forEach(entry -> checkFollowed(node, of.epoch(), entry));
-            } else if (record instanceof DiskRecord.Content of) {
-                of.entries().forEach(entry -> checkFollowed(node, epochOf(records), entry));
+            if (record instanceof DiskRecord.Applied content) {
+                content.entries()
+                        .forEach(entry -> checkFollowerEntry(node, content.epoch(), entry));
+            } else if (record instanceof DiskRecord.Content content) {
+                content.entries()
+                        .forEach(entry -> checkFollowerEntry(node, epochOfReset(records), entry));
             }
             if (node.role() == Role.REPLICA) {
-                takeOfReplica(node, record);
+                applyToDiskView(node, record);
             }
         }
     }
 
-    private static long epochOf(List<DiskRecord> records) {
-        return records.get(0) instanceof DiskRecord.Reset of ? of.epoch() : 0;
+    private static long epochOfReset(List<DiskRecord> records) {
+        return records.get(0) instanceof DiskRecord.Reset reset ? reset.epoch() : 0;
     }
 
-    private void checkFollowed(Node node, long epoch, LogEntry entry) {
-        LogEntry known = committed(epoch).get(entry.version());
+    private void checkFollowerEntry(Node node, long epoch, LogEntry entry) {
+        LogEntry known = committedEntries(epoch).get(entry.version());
         require(entry.equals(known), node, "holds " + entry + "; committed is " + known);
         String service = ConfigKey.serviceOf(entry.key());
         boolean subscribed = service == null || node.settings().services().contains(service);
@@ -131,43 +133,43 @@
                 "holds " + entry + " of a service that it does not subscribe to");
     }
 
-    private void takeOfReplica(Node node, DiskRecord record) {
+    private void applyToDiskView(Node node, DiskRecord record) {
         NavigableMap<Long, LogEntry> removed =
-                disks.computeIfAbsent(node, any -> new ReplicaDiskView()).take(record);
+                diskViews.computeIfAbsent(node, any -> new ReplicaDiskView()).apply(record);
         for (LogEntry entry : removed.values()) {
             boolean isCommitted =
-                    entry.equals(committed(node.settings().epoch()).get(entry.version()));
+                    entry.equals(committedEntries(node.settings().epoch()).get(entry.version()));
             require(!isCommitted, node, "drops the committed " + entry);
         }
     }
 
     @Override
-    public void inForce(Node node, long epoch, long version) {
-        Life life = lives.get(node);
+    public void versionApplied(Node node, long epoch, long version) {
+        AppliedState state = appliedStates.get(node);
         require(
-                epoch > life.epoch || epoch == life.epoch && version >= life.version,
+                epoch > state.epoch || epoch == state.epoch && version >= state.version,
                 node,
-                "falls from version " + life.version + " to " + version);
+                "falls from version " + state.version + " to " + version);
         if (node.role() == Role.REPLICA) {
-            checkCommit(node, epoch, life.version, version);
+            checkCommits(node, epoch, state.version, version);
         }
-        if (epoch > life.epoch) {
-            life.versionOfKey.clear();
+        if (epoch > state.epoch) {
+            state.keyVersions.clear();
         }
-        life.epoch = epoch;
-        life.version = version;
-        checkKeys(node, life);
+        state.epoch = epoch;
+        state.version = version;
+        checkKeyVersions(node, state);
     }
 
-    private void checkCommit(Node node, long epoch, long before, long version) {
-        ReplicaDiskView disk = disks.get(node);
-        for (long next = before + 1; next <= version; next++) {
+    private void checkCommits(Node node, long epoch, long previousVersion, long version) {
+        ReplicaDiskView disk = diskViews.get(node);
+        for (long next = previousVersion + 1; next <= version; next++) {
             if (disk.isInBase(next)) {
                 continue;
             }
             LogEntry entry = disk.get(next);
             require(entry != null, node, "commits " + next + " without having it on disk");
-            LogEntry known = committed(epoch).putIfAbsent(next, entry);
+            LogEntry known = committedEntries(epoch).putIfAbsent(next, entry);
             if (known == null) {
                 checkMajority(node, entry);
             } else {
@@ -180,38 +182,38 @@
     }
 
     private void checkMajority(Node node, LogEntry entry) {
-        long having = 0;
-        for (Map.Entry<Node, ReplicaDiskView> each : disks.entrySet()) {
+        long holders = 0;
+        for (Map.Entry<Node, ReplicaDiskView> each : diskViews.entrySet()) {
             if (lostDisks.contains(each.getKey()) || each.getValue().has(entry)) {
-                having++;
+                holders++;
             }
         }
         int replicas = node.settings().replicas().size();
         require(
-                having > replicas / 2,
+                holders > replicas / 2,
                 node,
-                "commits " + entry + ", which " + having + " of " + replicas + " disks have");
+                "commits " + entry + ", which " + holders + " of " + replicas + " disks have");
     }
 
-    private void checkKeys(Node node, Life life) {
+    private void checkKeyVersions(Node node, AppliedState state) {
         for (String key : keys) {
             long version = node.participant().versionOf(key);
-            Long before = life.versionOfKey.put(key, version);
+            Long previous = state.keyVersions.put(key, version);
             require(
-                    before == null || version >= before,
+                    previous == null || version >= previous,
                     node,
-                    key + " goes from version " + before + " back to " + version);
+                    key + " goes from version " + previous + " back to " + version);
         }
     }
 
     @Override
-    public void committed(Node node, long version) {
+    public void commitReported(Node node, long version) {
         LogEntry expected = submitted.remove(new Submitted(node, version));
         if (expected == null) {
             return;
         }
-        reported++;
-        LogEntry entry = committed(node.settings().epoch()).get(version);
+        reportedChanges++;
+        LogEntry entry = committedEntries(node.settings().epoch()).get(version);
         boolean same =
                 entry != null
                         && entry.key().equals(expected.key())
@@ -221,8 +223,8 @@
 
     /** What was submitted to it in an earlier term may be made or not. */
     @Override
-    public void granted(Node leader) {
-        submitted.keySet().removeIf(of -> of.leader() == leader);
+    public void leaseGranted(Node leader) {
+        submitted.keySet().removeIf(change -> change.leader() == leader);
     }
 
     /** Checks that a node holds the newest state of the keys that it wants. */
@@ -230,7 +232,7 @@
         require(node.isUp(), node, "does not run");
         Map<String, String> expected = committedValues(epoch);
         if (node.role() == Role.SUBSCRIBER) {
-            expected.keySet().removeIf(key -> !wants(node, key));
+            expected.keySet().removeIf(key -> !subscribesTo(node, key));
         }
         long newest = lastCommitted(epoch);
         require(
@@ -243,14 +245,14 @@
                 "has " + node.participant().values() + " at the end, not " + expected);
     }
 
-    private static boolean wants(Node node, String key) {
+    private static boolean subscribesTo(Node node, String key) {
         String service = ConfigKey.serviceOf(key);
         return service == null || node.settings().services().contains(service);
     }
 
-    private static void require(boolean holds, Node node, String otherwise) {
-        if (!holds) {
-            throw new BrokenPromise(node + " " + otherwise);
+    private static void require(boolean condition, Node node, String violation) {
+        if (!condition) {
+            throw new BrokenPromise(node + " " + violation);
         }
     }
 }
--- a/src/main/java/passhatch/lab/distribution/DistributionCommand.java
+++ b/src/main/java/passhatch/lab/distribution/DistributionCommand.java
@@ -39,29 +39,29 @@
                     spec.commandLine(), "expected at least 1 seed, the first not negative");
         }
         PrintWriter out = spec.commandLine().getOut();
-        List<Outcome> all =
+        List<Outcome> outcomes =
                 LongStream.range(firstSeed, firstSeed + seeds)
                         .parallel()
-                        .mapToObj(seed -> played(seed, out))
+                        .mapToObj(seed -> runSeed(seed, out))
                         .toList();
-        List<Outcome> broken = all.stream().filter(run -> run.broken() != null).toList();
+        List<Outcome> failed = outcomes.stream().filter(run -> run.violation() != null).toList();
         out.println(
                 seeds
                         + " seeds, "
-                        + broken.size()
+                        + failed.size()
                         + " broken, "
-                        + all.stream().mapToLong(Outcome::submitted).sum()
+                        + outcomes.stream().mapToLong(Outcome::submitted).sum()
                         + " changes submitted, "
-                        + all.stream().mapToLong(Outcome::reported).sum()
+                        + outcomes.stream().mapToLong(Outcome::reported).sum()
                         + " reported as made");
         out.flush();
-        return broken.isEmpty() ? 0 : Commands.EXIT_FAILURE;
+        return failed.isEmpty() ? 0 : Commands.EXIT_FAILURE;
     }
 
-    private static Outcome played(long seed, PrintWriter out) {
-        Outcome outcome = RandomRun.play(seed);
-        if (outcome.broken() != null) {
-            out.println("seed " + seed + ": " + outcome.broken());
+    private static Outcome runSeed(long seed, PrintWriter out) {
+        Outcome outcome = RandomRun.run(seed);
+        if (outcome.violation() != null) {
+            out.println("seed " + seed + ": " + outcome.violation());
             out.flush();
         }
         return outcome;
--- a/src/main/java/passhatch/lab/distribution/Fleet.java
+++ b/src/main/java/passhatch/lab/distribution/Fleet.java
@@ -18,12 +18,12 @@
 public final class Fleet {
 
     /** The epoch with which a simulation begins. */
-    public static final long EPOCH = 1;
+    public static final long INITIAL_EPOCH = 1;
 
     /** The term of what is on disks at the start. */
-    public static final long FIRST_TERM = 1;
+    public static final long INITIAL_TERM = 1;
 
-    private static final List<String> SETTINGS =
+    private static final List<String> SETTING_NAMES =
             List.of("deadline_ms", "max_attempts", "calls_per_second", "max_connections");
 
     /**
@@ -48,16 +48,16 @@
 
     private final Shape shape;
     private final UniformRandomProvider random;
-    private final List<String> replicas;
-    private final List<LogEntry> entries = new ArrayList<>();
+    private final List<String> replicaNames;
+    private final List<LogEntry> initialEntries = new ArrayList<>();
 
     /** A fleet whose subscriptions are drawn by seed; each key has been set once. */
     public Fleet(Shape shape, long seed) {
         this.shape = shape;
         random = new Seeds(seed).stream("subscriptions");
-        replicas = IntStream.range(0, shape.replicas()).mapToObj(i -> "replica-" + i).toList();
+        replicaNames = IntStream.range(0, shape.replicas()).mapToObj(i -> "replica-" + i).toList();
         for (String key : keys()) {
-            entries.add(new LogEntry(entries.size() + 1, FIRST_TERM, key, "1"));
+            initialEntries.add(new LogEntry(initialEntries.size() + 1, INITIAL_TERM, key, "1"));
         }
     }
 
@@ -70,7 +70,7 @@
     public Set<String> keys() {
         Set<String> keys = new TreeSet<>();
         for (int service = 0; service < shape.services(); service++) {
-            for (String setting : SETTINGS.subList(0, shape.settingsPerService())) {
+            for (String setting : SETTING_NAMES.subList(0, shape.settingsPerService())) {
                 keys.add("service/" + serviceName(service) + "/" + setting);
             }
         }
@@ -79,28 +79,41 @@
     }
 
     /** What is committed at the start. */
-    public List<LogEntry> entries() {
-        return entries;
+    public List<LogEntry> initialEntries() {
+        return initialEntries;
     }
 
     /** Adds all nodes; they do not run yet. */
-    public void addTo(Simulation simulation) {
+    public void addNodesTo(Simulation simulation) {
         for (int i = 0; i < shape.replicas(); i++) {
             // Zones are dealt to the regions in turn, so the first ones are in different regions.
-            add(simulation, Role.REPLICA, replicas.get(i), i % shape.zones(), List.of(), Set.of());
+            addNode(
+                    simulation,
+                    Role.REPLICA,
+                    replicaNames.get(i),
+                    i % shape.zones(),
+                    List.of(),
+                    Set.of());
         }
         for (int zone = 0; zone < shape.zones(); zone++) {
-            add(simulation, Role.RELAY, relay(zone), zone, replicasFrom(zone), Set.of());
+            addNode(
+                    simulation,
+                    Role.RELAY,
+                    relayName(zone),
+                    zone,
+                    replicasForRelay(zone),
+                    Set.of());
         }
         for (int i = 0; i < shape.subscribers(); i++) {
             int zone = i % shape.zones();
-            String replica = replicas.get(random.nextInt(replicas.size()));
-            List<String> sources = List.of(relay(zone), relay(neighbour(zone)), replica);
-            add(simulation, Role.SUBSCRIBER, "subscriber-" + i, zone, sources, services());
+            String replica = replicaNames.get(random.nextInt(replicaNames.size()));
+            List<String> sources =
+                    List.of(relayName(zone), relayName(neighbourZone(zone)), replica);
+            addNode(simulation, Role.SUBSCRIBER, "subscriber-" + i, zone, sources, drawServices());
         }
     }
 
-    private void add(
+    private void addNode(
             Simulation simulation,
             Role role,
             String name,
@@ -109,30 +122,31 @@
             Collection<String> services) {
         Location location = new Location(zone % shape.regions(), zone);
         DistributionSettings settings =
-                new DistributionSettings(name, role, EPOCH, name, replicas, sources, services);
+                new DistributionSettings(
+                        name, role, INITIAL_EPOCH, name, replicaNames, sources, services);
         simulation.add(location, settings);
     }
 
     /** All replicas, one after the other, beginning with one of the region if there is one. */
-    private List<String> replicasFrom(int zone) {
+    private List<String> replicasForRelay(int zone) {
         List<String> ordered = new ArrayList<>();
-        for (int i = 0; i < replicas.size(); i++) {
-            ordered.add(replicas.get((zone % shape.regions() + i) % replicas.size()));
+        for (int i = 0; i < replicaNames.size(); i++) {
+            ordered.add(replicaNames.get((zone % shape.regions() + i) % replicaNames.size()));
         }
         return ordered;
     }
 
-    private static String relay(int zone) {
+    private static String relayName(int zone) {
         return "relay-" + zone;
     }
 
     /** Another zone of the same region, if there is one. */
-    private int neighbour(int zone) {
+    private int neighbourZone(int zone) {
         int next = zone + shape.regions();
         return next < shape.zones() ? next : zone % shape.regions();
     }
 
-    private Set<String> services() {
+    private Set<String> drawServices() {
         Set<String> services = new TreeSet<>();
         while (services.size() < Math.min(shape.servicesPerSubscriber(), shape.services())) {
             services.add(serviceName(random.nextInt(shape.services())));
@@ -145,15 +159,15 @@
     }
 
     /** What a disk has that holds all entries which a node wants. */
-    public List<DiskRecord> diskOf(Node node) {
+    public List<DiskRecord> initialDisk(Node node) {
         List<DiskRecord> records = new ArrayList<>();
         if (node.role() == Role.REPLICA) {
-            records.add(new DiskRecord.Initialized(EPOCH));
-            records.add(new DiskRecord.Promised(EPOCH, FIRST_TERM));
+            records.add(new DiskRecord.Initialized(INITIAL_EPOCH));
+            records.add(new DiskRecord.Promised(INITIAL_EPOCH, INITIAL_TERM));
         }
-        records.add(new DiskRecord.Reset(EPOCH, entries.size(), FIRST_TERM, 0));
-        for (LogEntry entry : entries) {
-            if (node.role() != Role.SUBSCRIBER || wants(node, entry.key())) {
+        records.add(new DiskRecord.Reset(INITIAL_EPOCH, initialEntries.size(), INITIAL_TERM, 0));
+        for (LogEntry entry : initialEntries) {
+            if (node.role() != Role.SUBSCRIBER || subscribesTo(node, entry.key())) {
                 records.add(new DiskRecord.Content(List.of(entry)));
             }
         }
@@ -161,7 +175,7 @@
     }
 
     /** Whether a subscriber subscribes to a key. */
-    public static boolean wants(Node subscriber, String key) {
+    public static boolean subscribesTo(Node subscriber, String key) {
         String service = ConfigKey.serviceOf(key);
         return service == null || subscriber.settings().services().contains(service);
     }
--- a/src/main/java/passhatch/lab/distribution/Network.java
+++ b/src/main/java/passhatch/lab/distribution/Network.java
@@ -8,21 +8,21 @@
 /** Decides of each datagram whether it arrives, how often and when. */
 public final class Network {
 
-    private static final long SAME_ZONE_US = 500;
-    private static final long SAME_REGION_US = 2_000;
-    private static final long NEAREST_REGION_US = 20_000;
-    private static final long FARTHEST_REGION_US = 150_000;
-    private static final double JITTER = 0.2;
-    private static final long LATE_BY_AT_MOST_US = 1_500_000;
+    private static final long SAME_ZONE_LATENCY_US = 500;
+    private static final long SAME_REGION_LATENCY_US = 2_000;
+    private static final long MIN_CROSS_REGION_LATENCY_US = 20_000;
+    private static final long MAX_CROSS_REGION_LATENCY_US = 150_000;
+    private static final double JITTER_FRACTION = 0.2;
+    private static final long MAX_EXTRA_DELAY_US = 1_500_000;
 
     /**
      * What happens to datagrams by chance.
      *
      * @param loss share of datagrams that get lost
      * @param duplication share that arrives twice
-     * @param delayed share that comes late, and so after later ones
+     * @param late share that comes late, and so after later ones
      */
-    public record Quality(double loss, double duplication, double delayed) {}
+    public record Quality(double loss, double duplication, double late) {}
 
     private final UniformRandomProvider random;
     private final long[][] latencyUs;
@@ -35,9 +35,11 @@
         this.quality = quality;
         latencyUs = new long[regions][regions];
         for (int a = 0; a < regions; a++) {
-            latencyUs[a][a] = SAME_REGION_US;
+            latencyUs[a][a] = SAME_REGION_LATENCY_US;
             for (int b = 0; b < a; b++) {
-                long drawn = random.nextLong(NEAREST_REGION_US, FARTHEST_REGION_US + 1);
+                long drawn =
+                        random.nextLong(
+                                MIN_CROSS_REGION_LATENCY_US, MAX_CROSS_REGION_LATENCY_US + 1);
                 latencyUs[a][b] = drawn;
                 latencyUs[b][a] = drawn;
             }
@@ -85,11 +87,11 @@
     long delayUs(Node from, Node to) {
         long base =
                 from.location().zone() == to.location().zone()
-                        ? SAME_ZONE_US
+                        ? SAME_ZONE_LATENCY_US
                         : latencyUs[from.location().region()][to.location().region()];
-        long delay = base + (long) (base * JITTER * random.nextDouble());
-        if (quality.delayed() > 0 && random.nextDouble() < quality.delayed()) {
-            delay += random.nextLong(1, LATE_BY_AT_MOST_US);
+        long delay = base + (long) (base * JITTER_FRACTION * random.nextDouble());
+        if (quality.late() > 0 && random.nextDouble() < quality.late()) {
+            delay += random.nextLong(1, MAX_EXTRA_DELAY_US);
         }
         return delay;
     }
--- a/src/main/java/passhatch/lab/distribution/Node.java
+++ b/src/main/java/passhatch/lab/distribution/Node.java
@@ -38,7 +38,7 @@
     private long pausedUntilUs;
     private long timerAtUs = Long.MAX_VALUE;
     private long busyNanos;
-    private int life;
+    private int timerGeneration;
 
     Node(
             Simulation simulation,
@@ -116,7 +116,7 @@
             throw new IllegalStateException(address() + " runs already");
         }
         pausedUntilUs = 0;
-        life++;
+        timerGeneration++;
         timerAtUs = Long.MAX_VALUE;
         try {
             participant =
@@ -132,15 +132,15 @@
     /** Ends the process; the disk stays. */
     public void kill() {
         participant = null;
-        life++;
+        timerGeneration++;
         if (diskMode == DiskMode.CRASH_AFTER || diskMode == DiskMode.CRASH_BEFORE) {
             diskMode = DiskMode.WORKING;
         }
     }
 
     /** Stops the process for a while; datagrams wait for it, timers are late. */
-    public void pause(long us) {
-        pausedUntilUs = simulation.nowUs() + us;
+    public void pause(long durationUs) {
+        pausedUntilUs = simulation.nowUs() + durationUs;
     }
 
     /** Replaces the records on disk by those of the snapshot. */
@@ -151,58 +151,58 @@
     }
 
     /** Calls the state machine, if the process runs. */
-    public void run(Consumer<Participant> call) {
+    public void invoke(Consumer<Participant> action) {
         if (participant == null) {
             return;
         }
-        long before = System.nanoTime();
+        long startNanos = System.nanoTime();
         try {
-            call.accept(participant);
+            action.accept(participant);
         } catch (SimulatedCrash crash) {
             kill();
             return;
         } finally {
-            busyNanos += System.nanoTime() - before;
+            busyNanos += System.nanoTime() - startNanos;
         }
         scheduleTimer();
     }
 
-    void arrive(String from, Message message) {
+    void receive(String from, Message message) {
         if (participant == null) {
             return;
         }
         if (isPaused()) {
-            simulation.at(pausedUntilUs, () -> arrive(from, message));
+            simulation.at(pausedUntilUs, () -> receive(from, message));
             return;
         }
-        run(p -> p.onMessage(simulation.nowUs(), from, message));
+        invoke(p -> p.onMessage(simulation.nowUs(), from, message));
     }
 
     private void scheduleTimer() {
         long wakeAtUs = participant == null ? Long.MAX_VALUE : participant.wakeAtUs();
         if (wakeAtUs < timerAtUs) {
-            int ofLife = life;
+            int generation = timerGeneration;
             timerAtUs = Math.max(wakeAtUs, simulation.nowUs());
-            long at = timerAtUs;
-            simulation.at(at, () -> timer(ofLife, at));
+            long atUs = timerAtUs;
+            simulation.at(atUs, () -> onTimer(generation, atUs));
         }
     }
 
-    private void timer(int ofLife, long at) {
-        if (life != ofLife || at != timerAtUs) {
+    private void onTimer(int generation, long atUs) {
+        if (timerGeneration != generation || atUs != timerAtUs) {
             return;
         }
         timerAtUs = Long.MAX_VALUE;
         if (isPaused()) {
             timerAtUs = pausedUntilUs;
-            simulation.at(pausedUntilUs, () -> timer(ofLife, timerAtUs));
+            simulation.at(pausedUntilUs, () -> onTimer(generation, timerAtUs));
             return;
         }
         if (participant.wakeAtUs() > simulation.nowUs()) {
             scheduleTimer();
             return;
         }
-        run(p -> p.timer(simulation.nowUs()));
+        invoke(p -> p.timer(simulation.nowUs()));
     }
 
     @Override
@@ -233,17 +233,17 @@
         if (simulation.keepsDisks()) {
             disk.addAll(records);
         }
-        simulation.observer().forced(this, records);
+        simulation.observer().recordsForced(this, records);
     }
 
     @Override
     public void versionApplied(long epoch, long version) {
-        simulation.observer().inForce(this, epoch, version);
+        simulation.observer().versionApplied(this, epoch, version);
     }
 
     @Override
     public void committed(long version) {
-        simulation.observer().committed(this, version);
+        simulation.observer().commitReported(this, version);
     }
 
     @Override
--- a/src/main/java/passhatch/lab/distribution/Observer.java
+++ b/src/main/java/passhatch/lab/distribution/Observer.java
@@ -10,16 +10,16 @@
     default void started(Node node) {}
 
     /** A replica is to lead in a new term. */
-    default void granted(Node node) {}
+    default void leaseGranted(Node node) {}
 
     /** Records are on a node's disk. */
-    default void forced(Node node, List<DiskRecord> records) {}
+    default void recordsForced(Node node, List<DiskRecord> records) {}
 
     /** The state in force at a node has reached a version. */
-    default void inForce(Node node, long epoch, long version) {}
+    default void versionApplied(Node node, long epoch, long version) {}
 
     /** A leader has told that a change which was submitted to it is made. */
-    default void committed(Node node, long version) {}
+    default void commitReported(Node node, long version) {}
 
     /** A datagram is sent. */
     default void sent(Node from, int bytes) {}
--- a/src/main/java/passhatch/lab/distribution/RandomFaults.java
+++ b/src/main/java/passhatch/lab/distribution/RandomFaults.java
@@ -10,88 +10,89 @@
 /** Draws faults for a while, and mends all of them at its end. */
 final class RandomFaults {
 
-    private static final long SECOND = 1_000_000;
-    private static final long EVERY_US = 700_000;
-    private static final long LONGEST_US = 8 * SECOND;
+    private static final long SECOND_US = 1_000_000;
+    private static final long MEAN_INTERVAL_US = 700_000;
+    private static final long MAX_DURATION_US = 8 * SECOND_US;
 
-    private static final Network.Quality BAD = new Network.Quality(0.05, 0.03, 0.02);
-    private static final Network.Quality WORSE = new Network.Quality(0.3, 0.1, 0.1);
-    private static final Network.Quality GOOD = new Network.Quality(0, 0, 0);
+    private static final Network.Quality LOSSY = new Network.Quality(0.05, 0.03, 0.02);
+    private static final Network.Quality VERY_LOSSY = new Network.Quality(0.3, 0.1, 0.1);
+    private static final Network.Quality RELIABLE = new Network.Quality(0, 0, 0);
 
     private enum Kind {
         KILL,
         KILL_REPLICA,
         PAUSE,
         PAUSE_HOLDER,
-        CUT_ZONE,
-        CUT_REGION,
-        CUT_GROUP,
-        CUT_ONE_WAY,
-        CRASH_IN_FORCE,
+        PARTITION_ZONE,
+        PARTITION_REGION,
+        PARTITION_GROUP,
+        BLOCK_ONE_WAY,
+        CRASH_DURING_FORCE,
         FAIL_DISK,
         LOSE_DISK,
         COMPACT,
-        GRANT_BESIDES,
-        WORSE_NETWORK
+        GRANT_WITHOUT_REVOKING,
+        DEGRADE_NETWORK
     }
 
     private final Simulation simulation;
     private final ConsistencyChecker checker;
-    private final LeaseStandIn lease;
+    private final SimulatedLease lease;
     private final UniformRandomProvider random;
-    private final long untilUs;
-    private final int mostLostReplicas;
-    private final List<Node> lost = new ArrayList<>();
+    private final long endUs;
+    private final int maxLostReplicas;
+    private final List<Node> replicasWithLostDisks = new ArrayList<>();
 
     RandomFaults(
             Simulation simulation,
             ConsistencyChecker checker,
-            LeaseStandIn lease,
+            SimulatedLease lease,
             UniformRandomProvider random,
-            long untilUs) {
+            long endUs) {
         this.simulation = simulation;
         this.checker = checker;
         this.lease = lease;
         this.random = random;
-        this.untilUs = untilUs;
-        mostLostReplicas = (simulation.nodes(Role.REPLICA).size() - 1) / 2;
+        this.endUs = endUs;
+        maxLostReplicas = (simulation.nodes(Role.REPLICA).size() - 1) / 2;
     }
 
     void start() {
-        simulation.network().setQuality(BAD);
-        simulation.at(untilUs, this::mend);
-        next();
+        simulation.network().setQuality(LOSSY);
+        simulation.at(endUs, this::repairAll);
+        injectNext();
     }
 
-    private void next() {
-        if (simulation.nowUs() + EVERY_US >= untilUs) {
+    private void injectNext() {
+        if (simulation.nowUs() + MEAN_INTERVAL_US >= endUs) {
             return;
         }
         Kind[] kinds = Kind.values();
         inject(kinds[random.nextInt(kinds.length)]);
-        simulation.after(random.nextLong(1, 2 * EVERY_US), this::next);
+        simulation.after(random.nextLong(1, 2 * MEAN_INTERVAL_US), this::injectNext);
     }
 
     private void inject(Kind kind) {
         switch (kind) {
-            case KILL -> kill(any());
+            case KILL -> kill(anyNode());
             case KILL_REPLICA -> kill(anyReplica());
-            case PAUSE -> any().pause(duration());
+            case PAUSE -> anyNode().pause(randomDurationUs());
             case PAUSE_HOLDER -> pauseHolder();
-            case CUT_ZONE -> cutZone();
-            case CUT_REGION -> cutRegion();
-            case CUT_GROUP -> cutGroup();
-            case CUT_ONE_WAY -> cutOneWay();
-            case CRASH_IN_FORCE -> crashInForce(random.nextBoolean() ? anyReplica() : any());
-            case FAIL_DISK -> failDisk(any());
-            case LOSE_DISK -> loseDisk(any());
-            case COMPACT -> any().compact();
-            case GRANT_BESIDES -> grantBesides();
-            case WORSE_NETWORK -> worseNetwork();
+            case PARTITION_ZONE -> partitionZone();
+            case PARTITION_REGION -> partitionRegion();
+            case PARTITION_GROUP -> partitionGroup();
+            case BLOCK_ONE_WAY -> blockOneWay();
+            case CRASH_DURING_FORCE ->
+                    crashDuringForce(random.nextBoolean() ? anyReplica() : anyNode());
+            case FAIL_DISK -> failDisk(anyNode());
+            case LOSE_DISK -> loseDisk(anyNode());
+            case COMPACT -> anyNode().compact();
+            case GRANT_WITHOUT_REVOKING -> grantWithoutRevoking();
+            case DEGRADE_NETWORK -> degradeNetwork();
         }
     }
 
-    private Node any() {
+    private Node anyNode() {
         List<Node> all = new ArrayList<>(simulation.nodes());
         return all.get(random.nextInt(all.size()));
     }
@@ -101,22 +102,22 @@
         return replicas.get(random.nextInt(replicas.size()));
     }
 
-    private long duration() {
-        return random.nextLong(1, LONGEST_US);
+    private long randomDurationUs() {
+        return random.nextLong(1, MAX_DURATION_US);
     }
 
     private void kill(Node node) {
         if (node.isUp()) {
             node.kill();
-            restartAfter(node, duration());
+            restartAfter(node, randomDurationUs());
         }
     }
 
-    private void restartAfter(Node node, long us) {
+    private void restartAfter(Node node, long delayUs) {
         simulation.after(
-                us,
+                delayUs,
                 () -> {
-                    if (!node.isUp() && simulation.nowUs() < untilUs) {
+                    if (!node.isUp() && simulation.nowUs() < endUs) {
                         node.setDiskMode(DiskMode.WORKING);
                         node.start();
                     }
@@ -125,28 +126,28 @@
 
     private void pauseHolder() {
         if (lease.holder() != null) {
-            lease.holder().pause(duration());
+            lease.holder().pause(randomDurationUs());
         }
     }
 
-    private void grantBesides() {
+    private void grantWithoutRevoking() {
         Node replica = anyReplica();
         if (replica.isUp() && !replica.isPaused()) {
-            lease.grantBesides(replica);
+            lease.grantWithoutRevoking(replica);
         }
     }
 
-    private void crashInForce(Node node) {
+    private void crashDuringForce(Node node) {
         node.setDiskMode(random.nextBoolean() ? DiskMode.CRASH_AFTER : DiskMode.CRASH_BEFORE);
-        restartAfter(node, duration());
+        restartAfter(node, randomDurationUs());
     }
 
     private void failDisk(Node node) {
         node.setDiskMode(DiskMode.FAILING);
         simulation.after(
-                duration(),
+                randomDurationUs(),
                 () -> {
-                    if (simulation.nowUs() < untilUs) {
+                    if (simulation.nowUs() < endUs) {
                         node.setDiskMode(DiskMode.WORKING);
                         kill(node);
                     }
@@ -155,60 +156,65 @@
 
     private void loseDisk(Node node) {
         boolean isReplica = node.role() == Role.REPLICA;
-        if (!node.isUp() || isReplica && lost.size() >= mostLostReplicas) {
+        if (!node.isUp() || isReplica && replicasWithLostDisks.size() >= maxLostReplicas) {
             return;
         }
         node.kill();
         node.setDisk(List.of());
-        if (isReplica && !lost.contains(node)) {
-            lost.add(node);
+        if (isReplica && !replicasWithLostDisks.contains(node)) {
+            replicasWithLostDisks.add(node);
             checker.diskLost(node);
         }
-        restartAfter(node, duration());
+        restartAfter(node, randomDurationUs());
     }
 
-    private void cutZone() {
-        int zone = any().location().zone();
-        cut((from, to) -> from.location().zone() == zone ^ to.location().zone() == zone);
+    private void partitionZone() {
+        int zone = anyNode().location().zone();
+        blockForAWhile((from, to) -> from.location().zone() == zone ^ to.location().zone() == zone);
     }
 
-    private void cutRegion() {
-        int region = any().location().region();
-        cut((from, to) -> from.location().region() == region ^ to.location().region() == region);
+    private void partitionRegion() {
+        int region = anyNode().location().region();
+        blockForAWhile(
+                (from, to) ->
+                        from.location().region() == region ^ to.location().region() == region);
     }
 
-    private void cutGroup() {
+    private void partitionGroup() {
         List<Node> group = new ArrayList<>(simulation.nodes());
         group.removeIf(node -> random.nextBoolean());
-        cut((from, to) -> group.contains(from) ^ group.contains(to));
+        blockForAWhile((from, to) -> group.contains(from) ^ group.contains(to));
     }
 
-    private void cutOneWay() {
-        Node sender = any();
-        Node receiver = any();
-        boolean all = random.nextBoolean();
-        cut((from, to) -> from == sender && (all || to == receiver));
+    private void blockOneWay() {
+        Node sender = anyNode();
+        Node receiver = anyNode();
+        boolean allReceivers = random.nextBoolean();
+        blockForAWhile((from, to) -> from == sender && (allReceivers || to == receiver));
     }
 
-    private void cut(BiPredicate<Node, Node> fromTo) {
+    private void blockForAWhile(BiPredicate<Node, Node> fromTo) {
         simulation.network().block(fromTo);
-        simulation.after(duration(), () -> simulation.network().unblock(fromTo));
+        simulation.after(randomDurationUs(), () -> simulation.network().unblock(fromTo));
     }
 
-    private void worseNetwork() {
-        simulation.network().setQuality(WORSE);
+    private void degradeNetwork() {
+        simulation.network().setQuality(VERY_LOSSY);
         simulation.after(
-                duration(),
-                () -> simulation.network().setQuality(simulation.nowUs() < untilUs ? BAD : GOOD));
+                randomDurationUs(),
+                () ->
+                        simulation
+                                .network()
+                                .setQuality(simulation.nowUs() < endUs ? LOSSY : RELIABLE));
     }
 
-    private void mend() {
+    private void repairAll() {
         simulation.network().unblockAll();
-        simulation.network().setQuality(GOOD);
+        simulation.network().setQuality(RELIABLE);
         for (Node node : simulation.nodes()) {
-            boolean broken = node.isUp() && node.participant().diskFailed();
+            boolean diskFailed = node.isUp() && node.participant().diskFailed();
             node.setDiskMode(DiskMode.WORKING);
-            if (broken) {
+            if (diskFailed) {
                 node.kill();
             }
             node.pause(0);
--- a/src/main/java/passhatch/lab/distribution/RandomRun.java
+++ b/src/main/java/passhatch/lab/distribution/RandomRun.java
@@ -10,39 +10,39 @@
 /** A small fleet with changes and random faults, all by seed, that has to converge afterwards. */
 public final class RandomRun {
 
-    private static final long SECOND = 1_000_000;
-    private static final long FAULTS_US = 40 * SECOND;
-    private static final long CHANGES_US = FAULTS_US + 10 * SECOND;
+    private static final long SECOND_US = 1_000_000;
+    private static final long FAULT_PERIOD_US = 40 * SECOND_US;
+    private static final long CHANGE_PERIOD_US = FAULT_PERIOD_US + 10 * SECOND_US;
 
     /** From the last change to the same state everywhere; longer than the lease by much. */
-    private static final long CONVERGENCE_US = 15 * SECOND;
+    private static final long CONVERGENCE_TIMEOUT_US = 15 * SECOND_US;
 
     /** Several times what a run sends. */
-    private static final long MOST_DATAGRAMS = 400_000;
+    private static final long MAX_DATAGRAMS = 400_000;
 
-    private static final long CHANGE_EVERY_US = 150_000;
-    private static final int MOST_IN_A_BURST = 60;
+    private static final long MEAN_CHANGE_INTERVAL_US = 150_000;
+    private static final int BURST_SIZE_BOUND = 60;
     private static final int BURST_ONE_IN = 50;
     private static final int DELETE_ONE_IN = 6;
 
     /**
      * What came of a run.
      *
-     * @param broken what did not hold, or null
+     * @param violation what did not hold, or null
      * @param submitted changes that a leader took
      * @param reported changes that were reported to be made
      */
-    public record Outcome(long seed, String broken, long submitted, long reported) {}
+    public record Outcome(long seed, String violation, long submitted, long reported) {}
 
     private final Fleet fleet;
     private final Simulation simulation;
     private final ConsistencyChecker checker;
-    private final LeaseStandIn lease;
+    private final SimulatedLease lease;
     private final RandomFaults faults;
     private final UniformRandomProvider random;
     private final List<String> keys;
     private long submitted;
-    private long next;
+    private long nextValue;
 
     private RandomRun(long seed) {
         Seeds seeds = new Seeds(seed);
@@ -53,50 +53,57 @@
         checker = new ConsistencyChecker(fleet.keys());
         Network network = new Network(seeds.stream("network"), 2, new Network.Quality(0, 0, 0));
         simulation = new Simulation(seed, network, Simulation.Fidelity.FULL, checker);
-        simulation.setMostDatagrams(MOST_DATAGRAMS);
-        fleet.addTo(simulation);
+        simulation.setMaxDatagrams(MAX_DATAGRAMS);
+        fleet.addNodesTo(simulation);
         lease =
-                new LeaseStandIn(
+                new SimulatedLease(
                         simulation,
                         simulation.nodes(Role.REPLICA),
                         seeds.stream("lease"),
-                        Fleet.FIRST_TERM);
-        faults = new RandomFaults(simulation, checker, lease, seeds.stream("faults"), FAULTS_US);
+                        Fleet.INITIAL_TERM);
+        faults =
+                new RandomFaults(
+                        simulation, checker, lease, seeds.stream("faults"), FAULT_PERIOD_US);
     }
 
     /** Runs one seed. */
-    public static Outcome play(long seed) {
+    public static Outcome run(long seed) {
         RandomRun run = new RandomRun(seed);
-        String broken = null;
+        String violation = null;
         try {
-            run.play();
-        } catch (BrokenPromise | IllegalStateException | IllegalArgumentException fault) {
-            broken = run.simulation.nowUs() + " us: " + fault;
-        } catch (IndexOutOfBoundsException | NullPointerException fault) {
-            broken = run.simulation.nowUs() + " us: " + fault + " at " + fault.getStackTrace()[0];
+            run.run();
+        } catch (BrokenPromise | IllegalStateException | IllegalArgumentException failure) {
+            violation = run.simulation.nowUs() + " us: " + failure;
+        } catch (IndexOutOfBoundsException | NullPointerException failure) {
+            violation =
+                    run.simulation.nowUs()
+                            + " us: "
+                            + failure
+                            + " at "
+                            + failure.getStackTrace()[0];
         }
-        return new Outcome(seed, broken, run.submitted, run.checker.reported());
+        return new Outcome(seed, violation, run.submitted, run.checker.reportedChanges());
     }
 
-    private void play() {
-        checker.preload(Fleet.EPOCH, fleet.entries());
+    private void run() {
+        checker.preload(Fleet.INITIAL_EPOCH, fleet.initialEntries());
         for (Node node : simulation.nodes()) {
-            boolean cold = node.role() != Role.REPLICA && random.nextBoolean();
-            node.setDisk(cold ? List.of() : fleet.diskOf(node));
+            boolean emptyDisk = node.role() != Role.REPLICA && random.nextBoolean();
+            node.setDisk(emptyDisk ? List.of() : fleet.initialDisk(node));
             node.start();
         }
         lease.start();
         faults.start();
-        change();
-        simulation.runUntil(CHANGES_US + CONVERGENCE_US);
-        simulation.nodes().forEach(node -> checker.requireConverged(node, Fleet.EPOCH));
+        submitChanges();
+        simulation.runUntil(CHANGE_PERIOD_US + CONVERGENCE_TIMEOUT_US);
+        simulation.nodes().forEach(node -> checker.requireConverged(node, Fleet.INITIAL_EPOCH));
     }
 
-    private void change() {
-        if (simulation.nowUs() >= CHANGES_US) {
+    private void submitChanges() {
+        if (simulation.nowUs() >= CHANGE_PERIOD_US) {
             return;
         }
-        int changes = random.nextInt(BURST_ONE_IN) == 0 ? random.nextInt(MOST_IN_A_BURST) : 1;
+        int changes = random.nextInt(BURST_ONE_IN) == 0 ? random.nextInt(BURST_SIZE_BOUND) : 1;
         for (Node node : simulation.nodes(Role.REPLICA)) {
             for (int i = 0; i < changes; i++) {
                 if (node.isUp() && !node.isPaused() && node.participant().isLeading()) {
@@ -104,18 +111,18 @@
                 }
             }
         }
-        simulation.after(random.nextLong(1, 2 * CHANGE_EVERY_US), this::change);
+        simulation.after(random.nextLong(1, 2 * MEAN_CHANGE_INTERVAL_US), this::submitChanges);
     }
 
     private void submit(Node node) {
         String key = keys.get(random.nextInt(keys.size()));
-        String value = random.nextInt(DELETE_ONE_IN) == 0 ? null : valueOf(key);
+        String value = random.nextInt(DELETE_ONE_IN) == 0 ? null : newValue(key);
         List<Long> versions = new ArrayList<>();
-        node.run(
+        node.invoke(
                 p -> {
                     try {
                         versions.add(p.submit(simulation.nowUs(), key, value, -1));
-                    } catch (InvalidChangeException refused) {
+                    } catch (InvalidChangeException rejected) {
                         // Allowed at any time: it leads no longer, or too many changes wait.
                     }
                 });
@@ -125,11 +132,11 @@
         }
     }
 
-    private String valueOf(String key) {
-        return key.endsWith("max_attempts") ? Long.toString(1 + next++ % 3) : unique();
+    private String newValue(String key) {
+        return key.endsWith("max_attempts") ? Long.toString(1 + nextValue++ % 3) : newLargeValue();
     }
 
-    private String unique() {
-        return Long.toString(1 + next++ % 60_000);
+    private String newLargeValue() {
+        return Long.toString(1 + nextValue++ % 60_000);
     }
 }
--- a/src/main/java/passhatch/lab/distribution/ReplicaDiskView.java
+++ b/src/main/java/passhatch/lab/distribution/ReplicaDiskView.java
@@ -12,7 +12,7 @@
     private long baseVersion;
 
     /** Takes a record in; the entries that it removes from the log. */
-    NavigableMap<Long, LogEntry> take(DiskRecord record) {
+    NavigableMap<Long, LogEntry> apply(DiskRecord record) {
         NavigableMap<Long, LogEntry> removed = new TreeMap<>();
         if (record instanceof DiskRecord.Appended of) {
             removed.putAll(entries.tailMap(of.entry().version(), true));
--- a/src/main/java/passhatch/lab/distribution/LeaseStandIn.java
+++ b/src/main/java/passhatch/lab/distribution/SimulatedLease.java
@@ -6,11 +6,11 @@
 /**
  * Stands in for the lease of the duty {@code changes}: has one replica lead, and another one if it
  * is down or does not get on. Terms strictly grow. A faulty lease can be had by {@link
- * #grantBesides}: the former holder is not told.
+ * #grantWithoutRevoking}: the former holder is not told.
  */
-public final class LeaseStandIn {
+public final class SimulatedLease {
 
-    private static final long TICK_US = 200_000;
+    private static final long CHECK_INTERVAL_US = 200_000;
 
     /** How long a lease lasts unless {@link #setLeaseUs} says otherwise. */
     public static final long DEFAULT_LEASE_US = 4_000_000;
@@ -21,26 +21,26 @@
     private Node holder;
     private long leaseUs = DEFAULT_LEASE_US;
     private long term;
-    private long idleSinceUs = Long.MAX_VALUE;
+    private long stalledSinceUs = Long.MAX_VALUE;
 
     /** Leases among replicas, the first granted at once. */
-    public LeaseStandIn(
+    public SimulatedLease(
             Simulation simulation, List<Node> replicas, UniformRandomProvider random, long term) {
         this.simulation = simulation;
         this.replicas = List.copyOf(replicas);
         this.random = random;
         this.term = term;
-        simulation.setOnStepDown(this::steppedDown);
+        simulation.setStepDownListener(this::steppedDown);
     }
 
     /** Starts to grant leases. */
     public void start() {
-        tick();
+        checkHolder();
     }
 
     /** Leases last this long from now on. */
-    public void setLeaseUs(long us) {
-        leaseUs = us;
+    public void setLeaseUs(long durationUs) {
+        leaseUs = durationUs;
     }
 
     /** Who holds the lease; null for nobody. */
@@ -49,33 +49,33 @@
     }
 
     /** Has a replica lead though another one may hold the lease. */
-    public void grantBesides(Node replica) {
-        long granted = ++term;
-        simulation.observer().granted(replica);
-        replica.run(p -> p.leaseGranted(simulation.nowUs(), granted));
+    public void grantWithoutRevoking(Node replica) {
+        long newTerm = ++term;
+        simulation.observer().leaseGranted(replica);
+        replica.invoke(p -> p.leaseGranted(simulation.nowUs(), newTerm));
     }
 
-    private void steppedDown(Node node, long ofTerm) {
-        if (node == holder && ofTerm == term) {
+    private void steppedDown(Node node, long endedTerm) {
+        if (node == holder && endedTerm == term) {
             holder = null;
-            node.run(p -> p.leaseLost());
+            node.invoke(p -> p.leaseLost());
         }
     }
 
-    private void tick() {
-        simulation.after(TICK_US, this::tick);
+    private void checkHolder() {
+        simulation.after(CHECK_INTERVAL_US, this::checkHolder);
         if (holder == null) {
             grant();
-        } else if (getsOn()) {
-            idleSinceUs = Long.MAX_VALUE;
-        } else if (idleSinceUs == Long.MAX_VALUE) {
-            idleSinceUs = simulation.nowUs();
-        } else if (simulation.nowUs() - idleSinceUs > leaseUs) {
-            takeAway();
+        } else if (isMakingProgress()) {
+            stalledSinceUs = Long.MAX_VALUE;
+        } else if (stalledSinceUs == Long.MAX_VALUE) {
+            stalledSinceUs = simulation.nowUs();
+        } else if (simulation.nowUs() - stalledSinceUs > leaseUs) {
+            revoke();
         }
     }
 
-    private boolean getsOn() {
+    private boolean isMakingProgress() {
         long nowUs = simulation.nowUs();
         return holder.isUp()
                 && !holder.isPaused()
@@ -83,20 +83,21 @@
                 && holder.participant().ageUs(nowUs) < leaseUs;
     }
 
-    private void takeAway() {
+    private void revoke() {
         if (!holder.isPaused()) {
-            holder.run(p -> p.leaseLost());
+            holder.invoke(p -> p.leaseLost());
         }
         holder = null;
     }
 
     private void grant() {
-        List<Node> up = replicas.stream().filter(node -> node.isUp() && !node.isPaused()).toList();
-        if (up.isEmpty()) {
+        List<Node> candidates =
+                replicas.stream().filter(node -> node.isUp() && !node.isPaused()).toList();
+        if (candidates.isEmpty()) {
             return;
         }
-        holder = up.get(random.nextInt(up.size()));
-        idleSinceUs = Long.MAX_VALUE;
-        grantBesides(holder);
+        holder = candidates.get(random.nextInt(candidates.size()));
+        stalledSinceUs = Long.MAX_VALUE;
+        grantWithoutRevoking(holder);
     }
 }
--- a/src/main/java/passhatch/lab/distribution/Simulation.java
+++ b/src/main/java/passhatch/lab/distribution/Simulation.java
@@ -21,10 +21,10 @@
  */
 public final class Simulation {
 
-    private static final String FLEET = "simulated";
+    private static final String FLEET_NAME = "simulated";
 
     /** Changes messages on their way, to play a faulty program; null drops one. */
-    public interface Tamper {
+    public interface MessageInterceptor {
         /** The message that is sent in place of this one. */
         Message onSend(Node from, Node to, Message message);
     }
@@ -45,10 +45,10 @@
     private final SplittableRandom random;
     private final Fidelity fidelity;
     private final Observer observer;
-    private Tamper tamper = (from, to, message) -> message;
-    private BiConsumer<Node, Long> onStepDown = (node, term) -> {};
+    private MessageInterceptor interceptor = (from, to, message) -> message;
+    private BiConsumer<Node, Long> stepDownListener = (node, term) -> {};
     private long datagrams;
-    private long mostDatagrams = Long.MAX_VALUE;
+    private long maxDatagrams = Long.MAX_VALUE;
 
     /** An empty simulation. */
     public Simulation(long seed, Network network, Fidelity fidelity, Observer observer) {
@@ -77,9 +77,9 @@
 
     /** The nodes of a role. */
     public List<Node> nodes(Role role) {
-        List<Node> of = new ArrayList<>();
-        nodes.values().stream().filter(node -> node.role() == role).forEach(of::add);
-        return of;
+        List<Node> matching = new ArrayList<>();
+        nodes.values().stream().filter(node -> node.role() == role).forEach(matching::add);
+        return matching;
     }
 
     /** The network between the nodes. */
@@ -96,17 +96,17 @@
     }
 
     /** Changes messages from now on. */
-    public void setTamper(Tamper tamper) {
-        this.tamper = tamper;
+    public void setInterceptor(MessageInterceptor interceptor) {
+        this.interceptor = interceptor;
     }
 
     /** Is told when a leader gives up its term. */
-    public void setOnStepDown(BiConsumer<Node, Long> action) {
-        onStepDown = action;
+    public void setStepDownListener(BiConsumer<Node, Long> listener) {
+        stepDownListener = listener;
     }
 
     void steppedDown(Node node, long term) {
-        queue.scheduleAfter(0, () -> onStepDown.accept(node, term));
+        queue.scheduleAfter(0, () -> stepDownListener.accept(node, term));
     }
 
     /** Simulated time in microseconds. */
@@ -115,21 +115,21 @@
     }
 
     /** Has something done at a time. */
-    public void at(long us, Runnable action) {
-        queue.scheduleAt(us, action);
+    public void at(long atUs, Runnable action) {
+        queue.scheduleAt(atUs, action);
     }
 
     /** Has something done after a while. */
-    public void after(long us, Runnable action) {
-        queue.scheduleAfter(us, action);
+    public void after(long delayUs, Runnable action) {
+        queue.scheduleAfter(delayUs, action);
     }
 
     /** Lets time pass. */
-    public void runUntil(long us) {
-        for (Runnable next = queue.pollUntil(us); next != null; next = queue.pollUntil(us)) {
+    public void runUntil(long endUs) {
+        for (Runnable next = queue.pollUntil(endUs); next != null; next = queue.pollUntil(endUs)) {
             next.run();
         }
-        queue.advanceTo(us);
+        queue.advanceTo(endUs);
     }
 
     void send(Node from, String peer, Message original) {
@@ -137,40 +137,40 @@
         if (to == null) {
             throw new IllegalStateException(from + " sends to " + peer + ", which does not exist");
         }
-        Message message = tamper.onSend(from, to, original);
+        Message message = interceptor.onSend(from, to, original);
         if (message == null) {
             return;
         }
-        byte[] bytes = MessageCodec.encode(FLEET, message);
+        byte[] bytes = MessageCodec.encode(FLEET_NAME, message);
         if (bytes.length > Frame.MAX_BYTES) {
             throw new BrokenPromise(bytes.length + " bytes in one datagram: " + message);
         }
         observer.sent(from, bytes.length);
-        Message arriving = decoded(message, bytes);
+        Message received = checkAndDecode(message, bytes);
         if (network.loses(from, to)) {
             return;
         }
-        deliver(from, to, arriving, bytes.length);
+        deliver(from, to, received, bytes.length);
         if (network.duplicates()) {
-            deliver(from, to, arriving, bytes.length);
+            deliver(from, to, received, bytes.length);
         }
     }
 
     /** Takes more datagrams than these in the whole run for a storm, which is a fault. */
-    public void setMostDatagrams(long most) {
-        mostDatagrams = most;
+    public void setMaxDatagrams(long max) {
+        maxDatagrams = max;
     }
 
-    private Message decoded(Message message, byte[] bytes) {
+    private Message checkAndDecode(Message message, byte[] bytes) {
         datagrams++;
-        if (datagrams > mostDatagrams) {
+        if (datagrams > maxDatagrams) {
             throw new BrokenPromise(
-                    "more than " + mostDatagrams + " datagrams, the last " + message);
+                    "more than " + maxDatagrams + " datagrams, the last " + message);
         }
         if (fidelity == Fidelity.SAMPLED && datagrams % DECODE_ONE_IN != 0) {
             return message;
         }
-        MessageCodec.Read read = MessageCodec.decode(FLEET, bytes);
+        MessageCodec.Read read = MessageCodec.decode(FLEET_NAME, bytes);
         if (read.message() == null) {
             throw new BrokenPromise("cannot be decoded, " + read.fault() + ": " + message);
         }
@@ -182,7 +182,7 @@
                 network.delayUs(from, to),
                 () -> {
                     observer.received(to, bytes);
-                    to.arrive(from.address(), message);
+                    to.receive(from.address(), message);
                 });
     }
 }
--- a/src/main/java/passhatch/lab/fleet/FleetCommand.java
+++ b/src/main/java/passhatch/lab/fleet/FleetCommand.java
@@ -30,7 +30,7 @@
                 "Measures membership in simulated time; docs/membership.md says what it does.")
 public final class FleetCommand extends CommandGroup {
 
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
 
     private FleetCommand() {}
 
@@ -95,28 +95,32 @@
             return members;
         }
 
-        FleetSim.Network network() {
-            FleetSim.Network fair = FleetSim.Network.FAIR;
-            return new FleetSim.Network(loss, 0, 0, fair.delayUs(), fair.jitterUs());
+        FleetSim.NetworkConditions networkConditions() {
+            FleetSim.NetworkConditions reliable = FleetSim.NetworkConditions.RELIABLE;
+            return new FleetSim.NetworkConditions(
+                    loss, 0, 0, reliable.minDelayUs(), reliable.jitterUs());
         }
 
         /**
          * A fleet that has started on a fair network, agrees, and then has had the wanted one for a
          * while.
          */
-        FleetSim fleet(long of) {
-            FleetSim sim = FleetSim.fleet(of, members);
+        FleetSim convergedFleet(long runSeed) {
+            FleetSim sim = FleetSim.fleet(runSeed, members);
             sim.startAll();
-            sim.until(() -> sim.agree() && sim.settled(), SECOND / 2, 120 * SECOND);
-            sim.network(network());
-            sim.run(20 * SECOND);
+            sim.runUntil(
+                    () -> sim.viewsAgree() && sim.viewsAreAccurate(),
+                    SECOND_US / 2,
+                    120 * SECOND_US);
+            sim.setNetworkConditions(networkConditions());
+            sim.runFor(20 * SECOND_US);
             return sim;
         }
 
         /** Does something with each seed, on all cores. */
-        void each(LongUnaryOperator work) {
+        void forEachSeed(LongUnaryOperator experiment) {
             if (quiet) {
-                LongStream.range(seed, seed + seeds).parallel().forEach(work::applyAsLong);
+                LongStream.range(seed, seed + seeds).parallel().forEach(experiment::applyAsLong);
                 return;
             }
             try (ProgressBar bar =
@@ -128,35 +132,39 @@
                 LongStream.range(seed, seed + seeds)
                         .parallel()
                         .forEach(
-                                s -> {
-                                    work.applyAsLong(s);
+                                each -> {
+                                    experiment.applyAsLong(each);
                                     bar.step();
                                 });
             }
         }
 
         /** Times of all seeds, told by median and worst; 1 where one never came. */
-        int times(PrintWriter out, String what, LongUnaryOperator work) {
-            List<Long> all = Collections.synchronizedList(new ArrayList<>());
-            each(
-                    s -> {
-                        long us = work.applyAsLong(s);
-                        all.add(us < 0 ? Long.MAX_VALUE : us);
-                        return us;
+        int measureTimes(PrintWriter out, String description, LongUnaryOperator experiment) {
+            List<Long> durationsUs = Collections.synchronizedList(new ArrayList<>());
+            forEachSeed(
+                    each -> {
+                        long durationUs = experiment.applyAsLong(each);
+                        durationsUs.add(durationUs < 0 ? Long.MAX_VALUE : durationUs);
+                        return durationUs;
                     });
-            Collections.sort(all);
-            long never = all.stream().filter(us -> us == Long.MAX_VALUE).count();
+            Collections.sort(durationsUs);
+            long unfinished =
+                    durationsUs.stream().filter(durationUs -> durationUs == Long.MAX_VALUE).count();
             out.printf(
                     Locale.ROOT,
                     "%s: median %.2f s, worst %s, %d of %d never%n",
-                    what,
-                    all.get(all.size() / 2) * 1e-6,
-                    never > 0
+                    description,
+                    durationsUs.get(durationsUs.size() / 2) * 1e-6,
+                    unfinished > 0
                             ? "never"
-                            : String.format(Locale.ROOT, "%.2f s", all.get(all.size() - 1) * 1e-6),
-                    never,
-                    all.size());
-            return never == 0 ? 0 : 1;
+                            : String.format(
+                                    Locale.ROOT,
+                                    "%.2f s",
+                                    durationsUs.get(durationsUs.size() - 1) * 1e-6),
+                    unfinished,
+                    durationsUs.size());
+            return unfinished == 0 ? 0 : 1;
         }
     }
 
@@ -182,24 +190,24 @@
         @Override
         int measure(PrintWriter out) {
             long[] counts = new long[4];
-            each(
-                    s -> {
-                        FleetSim sim = fleet(s);
-                        long[] own = new long[2];
-                        sim.watcher(
-                                (us, observer, before, after) -> {
-                                    own[0] += after.status() == Status.SUSPECT ? 1 : 0;
-                                    own[1] += after.status() == Status.FAILED ? 1 : 0;
+            forEachSeed(
+                    runSeed -> {
+                        FleetSim sim = convergedFleet(runSeed);
+                        long[] runCounts = new long[2];
+                        sim.setStatusListener(
+                                (atUs, observer, before, after) -> {
+                                    runCounts[0] += after.status() == Status.SUSPECT ? 1 : 0;
+                                    runCounts[1] += after.status() == Status.FAILED ? 1 : 0;
                                 });
                         for (int i = 0; i < slow; i++) {
-                            sim.slow(i * members() / slow, SECOND, SECOND);
+                            sim.stopRepeatedly(i * members() / slow, SECOND_US, SECOND_US);
                         }
-                        long before = sim.datagrams();
-                        sim.run(minutes * 60L * SECOND);
+                        long before = sim.sentDatagrams();
+                        sim.runFor(minutes * 60L * SECOND_US);
                         synchronized (counts) {
-                            counts[0] += own[0];
-                            counts[1] += own[1];
-                            counts[2] += sim.datagrams() - before;
+                            counts[0] += runCounts[0];
+                            counts[1] += runCounts[1];
+                            counts[2] += sim.sentDatagrams() - before;
                             counts[3]++;
                         }
                         return 0;
@@ -226,27 +234,28 @@
     private static final class Detect extends Experiment {
         @Override
         int measure(PrintWriter out) {
-            return times(
+            return measureTimes(
                     out,
                     "killed, until known to all",
-                    s -> {
-                        FleetSim sim = fleet(s);
-                        int victim = new Seeds(s).stream("victim").nextInt(members());
+                    runSeed -> {
+                        FleetSim sim = convergedFleet(runSeed);
+                        int victim = new Seeds(runSeed).stream("victim").nextInt(members());
                         String name = "n" + victim;
-                        boolean[] knows = new boolean[members()];
-                        knows[victim] = true;
-                        int[] left = {members() - 1};
-                        sim.watcher(
-                                (us, observer, before, after) -> {
+                        boolean[] notified = new boolean[members()];
+                        notified[victim] = true;
+                        int[] remaining = {members() - 1};
+                        sim.setStatusListener(
+                                (atUs, observer, before, after) -> {
                                     if (after.name().equals(name)
                                             && after.status() == Status.FAILED
-                                            && !knows[observer]) {
-                                        knows[observer] = true;
-                                        left[0]--;
+                                            && !notified[observer]) {
+                                        notified[observer] = true;
+                                        remaining[0]--;
                                     }
                                 });
                         sim.kill(victim);
-                        return sim.until(() -> left[0] == 0, SECOND / 20, 60 * SECOND);
+                        return sim.runUntil(
+                                () -> remaining[0] == 0, SECOND_US / 20, 60 * SECOND_US);
                     });
         }
     }
@@ -270,16 +279,18 @@
             if (parts < 2) {
                 throw new InvalidInputException("--parts: expected 2 or more");
             }
-            return times(
+            return measureTimes(
                     out,
                     "healed, until views are the same",
-                    s -> {
-                        FleetSim sim = fleet(s);
-                        sim.connected((a, b) -> a % parts == b % parts);
-                        sim.run(seconds * SECOND);
-                        sim.connected((a, b) -> true);
-                        return sim.until(
-                                () -> sim.agree() && sim.settled(), SECOND / 4, 300 * SECOND);
+                    runSeed -> {
+                        FleetSim sim = convergedFleet(runSeed);
+                        sim.setConnectivity((a, b) -> a % parts == b % parts);
+                        sim.runFor(seconds * SECOND_US);
+                        sim.setConnectivity((a, b) -> true);
+                        return sim.runUntil(
+                                () -> sim.viewsAgree() && sim.viewsAreAccurate(),
+                                SECOND_US / 4,
+                                300 * SECOND_US);
                     });
         }
     }
@@ -300,29 +311,29 @@
                     FleetSim sim = FleetSim.fleet(1, size);
                     // Else the news of the start is under way for minutes, and costs what n^2 facts
                     // do.
-                    sim.startAllAgreed();
-                    sim.network(network());
-                    sim.run(60 * SECOND);
-                    long datagrams = sim.datagrams();
-                    long bytes = bytes(sim);
-                    sim.run(60 * SECOND);
+                    sim.startAllConverged();
+                    sim.setNetworkConditions(networkConditions());
+                    sim.runFor(60 * SECOND_US);
+                    long datagrams = sim.sentDatagrams();
+                    long bytes = totalSentBytes(sim);
+                    sim.runFor(60 * SECOND_US);
                     out.printf(
                             Locale.ROOT,
                             "%5d members: %7.1f bytes/s and %5.2f datagrams/s a member%n",
                             size,
-                            (bytes(sim) - bytes) / 60.0 / size,
-                            (sim.datagrams() - datagrams) / 60.0 / size);
+                            (totalSentBytes(sim) - bytes) / 60.0 / size,
+                            (sim.sentDatagrams() - datagrams) / 60.0 / size);
                     out.flush();
                 }
             }
             return 0;
         }
 
-        private static long bytes(FleetSim sim) {
+        private static long totalSentBytes(FleetSim sim) {
             long sum = 0;
             for (int i = 0; i < sim.size(); i++) {
-                Membership.Metrics figures = sim.figures(i);
-                sum += figures.sentBytes();
+                Membership.Metrics metrics = sim.metrics(i);
+                sum += metrics.sentBytes();
             }
             return sum;
         }
@@ -336,25 +347,26 @@
         @Override
         int measure(PrintWriter out) {
             FleetExplorer explorer = new FleetExplorer(members());
-            ConcurrentSkipListMap<Long, String> broken = new ConcurrentSkipListMap<>();
+            ConcurrentSkipListMap<Long, String> violations = new ConcurrentSkipListMap<>();
             int status =
-                    times(
+                    measureTimes(
                             out,
                             "after the last fault, until views are the same",
-                            s -> {
-                                List<FleetFault> faults = explorer.draw(s);
-                                FleetExplorer.Outcome outcome = explorer.play(s, faults);
-                                if (outcome.broken() != null) {
-                                    broken.put(
-                                            s,
-                                            outcome.broken()
+                            runSeed -> {
+                                List<FleetFault> faults = explorer.drawFaults(runSeed);
+                                FleetExplorer.Outcome outcome = explorer.run(runSeed, faults);
+                                if (outcome.violation() != null) {
+                                    violations.put(
+                                            runSeed,
+                                            outcome.violation()
                                                     + "; with "
-                                                    + explorer.shrink(s, faults));
+                                                    + explorer.shrink(runSeed, faults));
                                 }
-                                return outcome.agreedUs();
+                                return outcome.convergenceUs();
                             });
-            broken.forEach((s, what) -> out.println("seed " + s + ": " + what));
-            return broken.isEmpty() ? status : 1;
+            violations.forEach(
+                    (runSeed, violation) -> out.println("seed " + runSeed + ": " + violation));
+            return violations.isEmpty() ? status : 1;
         }
     }
 }
--- a/src/main/java/passhatch/lab/fleet/FleetExplorer.java
+++ b/src/main/java/passhatch/lab/fleet/FleetExplorer.java
@@ -23,20 +23,20 @@
 public final class FleetExplorer {
 
     /** Until views agree after the last fault, at most; the goal for a partition that heals. */
-    public static final long AGREE_WITHIN_US = 30_000_000;
+    public static final long CONVERGENCE_TIMEOUT_US = 30_000_000;
 
-    private static final long FAULTS_FOR_MS = 120_000;
-    private static final long SETTLE_US = 60_000_000;
-    private static final int MOST_FAULTS = 8;
-    private static final long STEP_US = 500_000;
+    private static final long FAULT_PERIOD_MS = 120_000;
+    private static final long STARTUP_US = 60_000_000;
+    private static final int MAX_FAULTS = 8;
+    private static final long CHECK_INTERVAL_US = 500_000;
 
     /**
      * What came of a run.
      *
-     * @param broken what did not hold, or null
-     * @param agreedUs how long after the last fault views agreed; -1 where they did not
+     * @param violation what did not hold, or null
+     * @param convergenceUs how long after the last fault views agreed; -1 where they did not
      */
-    public record Outcome(String broken, long agreedUs) {}
+    public record Outcome(String violation, long convergenceUs) {}
 
     private final int members;
 
@@ -46,11 +46,11 @@
     }
 
     /** The faults of a seed, in the order of their times. */
-    public List<FleetFault> draw(long seed) {
+    public List<FleetFault> drawFaults(long seed) {
         UniformRandomProvider random = new Seeds(seed).stream("faults");
         FleetFault.Kind[] kinds = FleetFault.Kind.values();
         List<FleetFault> faults = new ArrayList<>();
-        for (int n = 1 + random.nextInt(MOST_FAULTS); n > 0; n--) {
+        for (int remaining = 1 + random.nextInt(MAX_FAULTS); remaining > 0; remaining--) {
             FleetFault.Kind kind = kinds[random.nextInt(kinds.length)];
             int target =
                     kind == FleetFault.Kind.PARTITION || kind == FleetFault.Kind.ONE_WAY
@@ -60,116 +60,125 @@
                     kind == FleetFault.Kind.WEATHER
                             ? random.nextInt(31)
                             : (long) (200 * Math.pow(300, random.nextDouble()));
-            faults.add(new FleetFault(random.nextLong(FAULTS_FOR_MS), kind, target, value));
+            faults.add(new FleetFault(random.nextLong(FAULT_PERIOD_MS), kind, target, value));
         }
         faults.sort(Comparator.comparingLong(FleetFault::atMs));
         return faults;
     }
 
     /** Plays faults; the seed is that of the processes and the network. */
-    public Outcome play(long seed, List<FleetFault> faults) {
+    public Outcome run(long seed, List<FleetFault> faults) {
         FleetSim sim = FleetSim.fleet(seed, members);
-        Checks checks = new Checks(faults);
-        sim.watcher(checks::changed);
+        InvariantChecker checker = new InvariantChecker(faults);
+        sim.setStatusListener(checker::statusChanged);
         sim.startAll();
-        sim.run(SETTLE_US);
-        Cuts cuts = new Cuts();
-        sim.connected(cuts::passes);
+        sim.runFor(STARTUP_US);
+        Partitions partitions = new Partitions();
+        sim.setConnectivity(partitions::connects);
         long endMs = 0;
         for (FleetFault fault : faults) {
-            sim.after(fault.atMs() * 1000, () -> apply(sim, cuts, fault));
+            sim.after(fault.atMs() * 1000, () -> apply(sim, partitions, fault));
             endMs = Math.max(endMs, fault.endMs());
         }
-        sim.run(endMs * 1000 + 1);
+        sim.runFor(endMs * 1000 + 1);
         // The weather clears last, as 30 % loss for good leaves news under way for good.
-        sim.network(FleetSim.Network.FAIR);
+        sim.setNetworkConditions(FleetSim.NetworkConditions.RELIABLE);
         for (int i = 0; i < members; i++) {
             sim.cont(i);
             sim.start(i);
         }
-        long us = sim.until(() -> sim.agree() && sim.settled(), STEP_US, AGREE_WITHIN_US);
-        if (checks.broken == null && us < 0) {
-            checks.broken =
-                    "views do not agree " + AGREE_WITHIN_US / 1_000_000 + " s after the last fault";
+        long convergenceUs =
+                sim.runUntil(
+                        () -> sim.viewsAgree() && sim.viewsAreAccurate(),
+                        CHECK_INTERVAL_US,
+                        CONVERGENCE_TIMEOUT_US);
+        if (checker.violation == null && convergenceUs < 0) {
+            checker.violation =
+                    "views do not agree "
+                            + CONVERGENCE_TIMEOUT_US / 1_000_000
+                            + " s after the last fault";
         }
-        return new Outcome(checks.broken, us);
+        return new Outcome(checker.violation, convergenceUs);
     }
 
-    private void apply(FleetSim sim, Cuts cuts, FleetFault fault) {
-        long us = fault.value() * 1000;
+    private void apply(FleetSim sim, Partitions partitions, FleetFault fault) {
+        long valueUs = fault.value() * 1000;
         int target = fault.target();
         switch (fault.kind()) {
             case KILL -> {
                 sim.kill(target);
-                sim.after(us, () -> sim.start(target));
+                sim.after(valueUs, () -> sim.start(target));
             }
             case LEAVE -> {
                 sim.leave(target);
-                sim.after(Math.max(us, 1_500_000), () -> sim.start(target));
+                sim.after(Math.max(valueUs, 1_500_000), () -> sim.start(target));
             }
             case STOP -> {
                 sim.stop(target);
-                sim.after(us, () -> sim.cont(target));
+                sim.after(valueUs, () -> sim.cont(target));
             }
-            case JUMP -> sim.jump(target, us);
+            case JUMP -> sim.jumpClock(target, valueUs);
             case SET_BACK -> {
                 sim.kill(target);
-                sim.setBack(target, 2);
-                sim.after(us, () -> sim.start(target));
+                sim.rollBackDisk(target, 2);
+                sim.after(valueUs, () -> sim.start(target));
             }
-            case PARTITION -> cuts.add(sim, us, (a, b) -> a % target == b % target);
-            case ONE_WAY -> cuts.add(sim, us, (a, b) -> a % target != 0 || b % target == 0);
+            case PARTITION -> partitions.add(sim, valueUs, (a, b) -> a % target == b % target);
+            case ONE_WAY ->
+                    partitions.add(sim, valueUs, (a, b) -> a % target != 0 || b % target == 0);
             case WEATHER ->
-                    sim.network(new FleetSim.Network(fault.value() / 100.0, 0.1, 0.1, 200, 2_000));
+                    sim.setNetworkConditions(
+                            new FleetSim.NetworkConditions(
+                                    fault.value() / 100.0, 0.1, 0.1, 200, 2_000));
         }
     }
 
     /** Cuts of the network that overlap: a datagram has to pass all. */
-    private static final class Cuts {
-        private final Set<BiPredicate<Integer, Integer>> cuts = new HashSet<>();
+    private static final class Partitions {
+        private final Set<BiPredicate<Integer, Integer>> filters = new HashSet<>();
 
-        void add(FleetSim sim, long us, BiPredicate<Integer, Integer> cut) {
-            cuts.add(cut);
-            sim.after(us, () -> cuts.remove(cut));
+        void add(FleetSim sim, long durationUs, BiPredicate<Integer, Integer> filter) {
+            filters.add(filter);
+            sim.after(durationUs, () -> filters.remove(filter));
         }
 
-        boolean passes(int from, int to) {
-            return cuts.stream().allMatch(c -> c.test(from, to));
+        boolean connects(int from, int to) {
+            return filters.stream().allMatch(filter -> filter.test(from, to));
         }
     }
 
     /** What must hold at every moment. */
-    private final class Checks {
-        private final Set<String> touched;
-        private final boolean networkCut;
-        private final Map<String, Incarnation> newest = new HashMap<>();
-        private final Map<String, Status> last = new HashMap<>();
-        private String broken;
-
-        Checks(List<FleetFault> faults) {
-            touched =
+    private final class InvariantChecker {
+        private final Set<String> affectedMembers;
+        private final boolean networkDivided;
+        private final Map<String, Incarnation> lastIncarnations = new HashMap<>();
+        private final Map<String, Status> lastStatuses = new HashMap<>();
+        private String violation;
+
+        InvariantChecker(List<FleetFault> faults) {
+            affectedMembers =
                     faults.stream()
-                            .filter(f -> !f.ofNetwork())
+                            .filter(f -> !f.dividesNetwork())
                             .map(f -> "n" + f.target())
                             .collect(Collectors.toSet());
-            networkCut = faults.stream().anyMatch(FleetFault::ofNetwork);
+            networkDivided = faults.stream().anyMatch(FleetFault::dividesNetwork);
         }
 
-        void changed(long us, int observer, Status before, MemberInfo after) {
+        void statusChanged(long atUs, int observer, Status before, MemberInfo after) {
             // A process that starts anew knows nothing at first.
             String key = observer + " of " + after.name();
-            Incarnation known = before == null ? null : newest.get(key);
+            Incarnation known = before == null ? null : lastIncarnations.get(key);
             if (known != null) {
-                int newer = after.incarnation().compareTo(known);
-                if (newer < 0
-                        || newer == 0
-                                && after.status().compareTo(last.get(key)) <= 0
+                int order = after.incarnation().compareTo(known);
+                if (order < 0
+                        || order == 0
+                                && after.status().compareTo(lastStatuses.get(key)) <= 0
                                 && !after.name().equals("n" + observer)) {
-                    fail(
-                            us,
+                    report(
+                            atUs,
                             key
                                     + " went back from "
-                                    + last.get(key)
+                                    + lastStatuses.get(key)
                                     + " "
                                     + known
                                     + " to "
@@ -178,16 +187,18 @@
                                     + after.incarnation());
                 }
             }
-            newest.put(key, after.incarnation());
-            last.put(key, after.status());
-            if (after.status() == Status.FAILED && !networkCut && !touched.contains(after.name())) {
-                fail(us, key + ": failed, though nothing happened to it");
+            lastIncarnations.put(key, after.incarnation());
+            lastStatuses.put(key, after.status());
+            if (after.status() == Status.FAILED
+                    && !networkDivided
+                    && !affectedMembers.contains(after.name())) {
+                report(atUs, key + ": failed, though nothing happened to it");
             }
         }
 
-        private void fail(long us, String what) {
-            if (broken == null) {
-                broken = us / 1000 + " ms: " + what;
+        private void report(long atUs, String what) {
+            if (violation == null) {
+                violation = atUs / 1000 + " ms: " + what;
             }
         }
     }
@@ -196,14 +207,14 @@
      * Leaves faults out as long as the run is still bad; what is left is bad without any of them.
      */
     public List<FleetFault> shrink(long seed, List<FleetFault> faults) {
-        List<FleetFault> fewest = new ArrayList<>(faults);
-        for (int i = fewest.size() - 1; i >= 0; i--) {
-            List<FleetFault> fewer = new ArrayList<>(fewest);
+        List<FleetFault> needed = new ArrayList<>(faults);
+        for (int i = needed.size() - 1; i >= 0; i--) {
+            List<FleetFault> fewer = new ArrayList<>(needed);
             fewer.remove(i);
-            if (play(seed, fewer).broken() != null) {
-                fewest = fewer;
+            if (run(seed, fewer).violation() != null) {
+                needed = fewer;
             }
         }
-        return fewest;
+        return needed;
     }
 }
--- a/src/main/java/passhatch/lab/fleet/FleetFault.java
+++ b/src/main/java/passhatch/lab/fleet/FleetFault.java
@@ -43,7 +43,7 @@
     }
 
     /** Whether processes may rightly be taken for failed by it that it is not done to. */
-    boolean ofNetwork() {
+    boolean dividesNetwork() {
         return kind == Kind.PARTITION || kind == Kind.ONE_WAY;
     }
 
@@ -54,15 +54,15 @@
 
     /** Reads the form that {@link #toString} writes. */
     public static FleetFault parse(String line) {
-        String[] words = line.strip().split(" ");
-        if (words.length != 4) {
+        String[] fields = line.strip().split(" ");
+        if (fields.length != 4) {
             throw new IllegalArgumentException(
                     "'" + line + "': expected time, fault, target and value");
         }
         return new FleetFault(
-                Long.parseLong(words[0]),
-                Kind.valueOf(words[1].toUpperCase(Locale.ROOT)),
-                Integer.parseInt(words[2]),
-                Long.parseLong(words[3]));
+                Long.parseLong(fields[0]),
+                Kind.valueOf(fields[1].toUpperCase(Locale.ROOT)),
+                Integer.parseInt(fields[2]),
+                Long.parseLong(fields[3]));
     }
 }
--- a/src/main/java/passhatch/lab/fleet/FleetSim.java
+++ b/src/main/java/passhatch/lab/fleet/FleetSim.java
@@ -28,110 +28,112 @@
 public final class FleetSim {
 
     /** Datagrams that wait at a process that does not read them, at most; then they are lost. */
-    private static final int SOCKET_BUFFER = 256;
+    private static final int SOCKET_BUFFER_DATAGRAMS = 256;
 
     /** That a process sends at most when nothing is configured. */
-    public static final long BYTES_PER_SECOND = 16_384;
+    public static final long DEFAULT_BYTES_PER_SECOND = 16_384;
 
     /**
      * What happens to datagrams; times in microseconds.
      *
-     * @param lost share that never arrives
-     * @param doubled share that arrives twice
+     * @param loss share that never arrives
+     * @param duplication share that arrives twice
      * @param late share that takes a hundred times as long
-     * @param delayUs that each takes at least
+     * @param minDelayUs that each takes at least
      * @param jitterUs and up to so much more
      */
-    public record Network(double lost, double doubled, double late, long delayUs, long jitterUs) {
+    public record NetworkConditions(
+            double loss, double duplication, double late, long minDelayUs, long jitterUs) {
         /** A local network on which all is well. */
-        public static final Network FAIR = new Network(0, 0, 0, 200, 800);
+        public static final NetworkConditions RELIABLE = new NetworkConditions(0, 0, 0, 200, 800);
 
         /** The same, losing three in ten. */
-        public static final Network LOSSY = new Network(0.3, 0, 0, 200, 800);
+        public static final NetworkConditions LOSSY = new NetworkConditions(0.3, 0, 0, 200, 800);
     }
 
     /** Hears whatever a process comes to think of a member. */
-    public interface Watcher {
+    public interface StatusListener {
         /** At a time of the simulation, process {@code observer} has changed its mind. */
-        void changed(long us, int observer, Status before, MemberInfo after);
+        void statusChanged(long atUs, int observer, Status before, MemberInfo after);
     }
 
-    private record Event(long us, long order, int to, int from, byte[] datagram, Runnable action) {}
+    private record Event(
+            long atUs, long sequenceNumber, int to, int from, byte[] datagram, Runnable action) {}
 
     /** One process and its machine. */
     private final class Node implements FleetActions {
-        private final int number;
+        private final int index;
         private final FleetSettings settings;
-        private final Queue<Event> waiting = new ArrayDeque<>();
+        private final Queue<Event> receiveBuffer = new ArrayDeque<>();
         private Membership membership;
         private boolean stopped;
-        private long epoch;
-        private long clockUs;
-        private long wakeUs;
-        private long lives;
+        private long persistedEpoch;
+        private long clockOffsetUs;
+        private long timerAtUs;
+        private long startCount;
 
-        Node(int number, FleetSettings settings) {
-            this.number = number;
+        Node(int index, FleetSettings settings) {
+            this.index = index;
             this.settings = settings;
         }
 
-        boolean takesPart() {
+        boolean participates() {
             return membership != null && !stopped && !membership.superseded();
         }
 
-        long localUs() {
-            return nowUs + clockUs;
+        long localTimeUs() {
+            return nowUs + clockOffsetUs;
         }
 
         @Override
-        public void send(int address, byte[] datagram) {
-            FleetSim.this.send(number, address, datagram);
+        public void send(int addressIndex, byte[] datagram) {
+            FleetSim.this.send(index, addressIndex, datagram);
         }
 
         @Override
-        public boolean persistEpoch(long newer) {
-            epoch = newer;
+        public boolean persistEpoch(long epoch) {
+            persistedEpoch = epoch;
             return true;
         }
 
         @Override
         public void memberChanged(Status before, MemberInfo after) {
-            watcher.changed(nowUs, number, before, after);
+            statusListener.statusChanged(nowUs, index, before, after);
         }
 
         @Override
         public void warn(String text) {
-            notes.add(nowUs / 1000 + " ms: process " + number + ": " + text);
+            warnings.add(nowUs / 1000 + " ms: process " + index + ": " + text);
         }
 
-        void plan() {
-            long at = Math.max(nowUs, membership.wakeAtUs() - clockUs);
-            if (wakeUs <= nowUs || at < wakeUs) {
-                wakeUs = at;
-                events.add(new Event(at, order++, number, -1, null, null));
+        void scheduleTimer() {
+            long atUs = Math.max(nowUs, membership.wakeAtUs() - clockOffsetUs);
+            if (timerAtUs <= nowUs || atUs < timerAtUs) {
+                timerAtUs = atUs;
+                events.add(new Event(atUs, nextSequenceNumber++, index, -1, null, null));
             }
         }
 
-        void wake(Event event) {
-            if (membership != null && !stopped && event.us() == wakeUs) {
-                wakeUs = 0;
-                membership.timer(localUs());
-                plan();
+        void onTimer(Event event) {
+            if (membership != null && !stopped && event.atUs() == timerAtUs) {
+                timerAtUs = 0;
+                membership.timer(localTimeUs());
+                scheduleTimer();
             }
         }
 
-        void arrive(Event event) {
+        void onDatagram(Event event) {
             if (membership == null) {
                 return;
             }
             if (stopped) {
-                if (waiting.size() < SOCKET_BUFFER) {
-                    waiting.add(event);
+                if (receiveBuffer.size() < SOCKET_BUFFER_DATAGRAMS) {
+                    receiveBuffer.add(event);
                 }
                 return;
             }
-            membership.receive(localUs(), event.from(), event.datagram());
-            plan();
+            membership.receive(localTimeUs(), event.from(), event.datagram());
+            scheduleTimer();
         }
     }
 
@@ -140,16 +142,16 @@
     private final List<Node> nodes = new ArrayList<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Event::us).thenComparingLong(Event::order));
-    private final List<String> notes = new ArrayList<>();
-    private Network network = Network.FAIR;
-    private BiPredicate<Integer, Integer> passes = (a, b) -> true;
-    private Watcher watcher = (us, observer, before, after) -> {};
+                    Comparator.comparingLong(Event::atUs).thenComparingLong(Event::sequenceNumber));
+    private final List<String> warnings = new ArrayList<>();
+    private NetworkConditions networkConditions = NetworkConditions.RELIABLE;
+    private BiPredicate<Integer, Integer> connectivity = (a, b) -> true;
+    private StatusListener statusListener = (delayUs, observer, before, after) -> {};
     private long nowUs = 1_000_000;
-    private long order;
-    private long datagrams;
-    private long bytes;
-    private long steps;
+    private long nextSequenceNumber;
+    private long sentDatagrams;
+    private long sentBytes;
+    private long processedEvents;
 
     /** No process runs yet; process i has the i-th of these settings. */
     public FleetSim(long seed, List<FleetSettings> settings) {
@@ -161,23 +163,23 @@
     }
 
     /** Settings as they are when nothing is configured, for a process of a fleet of this size. */
-    public static FleetSettings settings(int number, int members) {
-        return settings("n" + number, number, members);
+    public static FleetSettings settings(int index, int members) {
+        return settings("n" + index, index, members);
     }
 
     /** The same for a name of one's own. */
-    public static FleetSettings settings(String name, int number, int members) {
-        return settings(name, number, members, BYTES_PER_SECOND);
+    public static FleetSettings settings(String name, int index, int members) {
+        return settings(name, index, members, DEFAULT_BYTES_PER_SECOND);
     }
 
     private static FleetSettings settings(
-            String name, int number, int members, long bytesPerSecond) {
+            String name, int index, int members, long bytesPerSecond) {
         return new FleetSettings(
                 "jackson",
                 name,
                 "0.1.0",
                 "proxy",
-                number,
+                index,
                 members,
                 500_000,
                 bytesPerSecond,
@@ -186,29 +188,29 @@
 
     /** All processes of a fleet, each with a name of its own. */
     public static FleetSim fleet(long seed, int members) {
-        return fleet(seed, members, BYTES_PER_SECOND);
+        return fleet(seed, members, DEFAULT_BYTES_PER_SECOND);
     }
 
     /** The same with another limit on what each may send. */
     public static FleetSim fleet(long seed, int members, long bytesPerSecond) {
-        List<FleetSettings> all = new ArrayList<>();
+        List<FleetSettings> settings = new ArrayList<>();
         for (int i = 0; i < members; i++) {
-            all.add(settings("n" + i, i, members, bytesPerSecond));
+            settings.add(settings("n" + i, i, members, bytesPerSecond));
         }
-        return new FleetSim(seed, all);
+        return new FleetSim(seed, settings);
     }
 
-    public void network(Network now) {
-        network = now;
+    public void setNetworkConditions(NetworkConditions conditions) {
+        networkConditions = conditions;
     }
 
     /** Whether a datagram from one process to another passes, from now on. */
-    public void connected(BiPredicate<Integer, Integer> now) {
-        passes = now;
+    public void setConnectivity(BiPredicate<Integer, Integer> fromTo) {
+        connectivity = fromTo;
     }
 
-    public void watcher(Watcher now) {
-        watcher = now;
+    public void setStatusListener(StatusListener listener) {
+        statusListener = listener;
     }
 
     /** Microseconds since the beginning. */
@@ -221,42 +223,42 @@
     }
 
     /** Lines that processes wrote for those on call. */
-    public List<String> notes() {
-        return notes;
+    public List<String> warnings() {
+        return warnings;
     }
 
     /** Datagrams that were sent so far. */
-    public long datagrams() {
-        return datagrams;
+    public long sentDatagrams() {
+        return sentDatagrams;
     }
 
     /** Bytes of those. */
-    public long bytes() {
-        return bytes;
+    public long sentBytes() {
+        return sentBytes;
     }
 
     /** Events that were played so far. */
-    public long steps() {
-        return steps;
+    public long processedEvents() {
+        return processedEvents;
     }
 
     /** Starts a process that does not run; its disk has kept the epoch. */
-    public void start(int number) {
-        Node node = nodes.get(number);
+    public void start(int index) {
+        Node node = nodes.get(index);
         if (node.membership == null) {
-            node.epoch++;
+            node.persistedEpoch++;
             node.stopped = false;
-            node.wakeUs = 0;
+            node.timerAtUs = 0;
             node.membership =
                     new Membership(
                             node.settings,
-                            node.localUs(),
-                            node.epoch,
+                            node.localTimeUs(),
+                            node.persistedEpoch,
                             new SplittableRandom(
-                                    seeds.stream("process-" + number + "-" + node.lives++)
+                                    seeds.stream("process-" + index + "-" + node.startCount++)
                                             .nextLong()),
                             node);
-            node.plan();
+            node.scheduleTimer();
         }
     }
 
@@ -267,177 +269,183 @@
     }
 
     /** Starts all processes, each of which knows all others from the beginning. */
-    public void startAllAgreed() {
+    public void startAllConverged() {
         startAll();
         Membership.Snapshot all =
                 Membership.snapshot(nodes.stream().map(n -> n.membership).toList(), nodes.size());
         for (Node node : nodes) {
             node.membership.adopt(all);
-            node.plan();
+            node.scheduleTimer();
         }
     }
 
     /** How many members a running process sees as present, itself and suspects among them. */
-    public int present(int number) {
-        return nodes.get(number).membership.presentCount();
+    public int presentCount(int index) {
+        return nodes.get(index).membership.presentCount();
     }
 
     /** Ends a process without a word. */
-    public void kill(int number) {
-        nodes.get(number).membership = null;
-        nodes.get(number).waiting.clear();
+    public void kill(int index) {
+        nodes.get(index).membership = null;
+        nodes.get(index).receiveBuffer.clear();
     }
 
     /** Has a process say that it goes, and ends it a second later. */
-    public void leave(int number) {
-        Node node = nodes.get(number);
+    public void leave(int index) {
+        Node node = nodes.get(index);
         if (node.membership != null) {
             Membership leaving = node.membership;
-            leaving.leave(node.localUs());
-            node.plan();
+            leaving.leave(node.localTimeUs());
+            node.scheduleTimer();
             after(
                     1_000_000,
                     () -> {
                         if (node.membership == leaving) {
-                            kill(number);
+                            kill(index);
                         }
                     });
         }
     }
 
     /** Does something at a time from now on, in microseconds. */
-    public void after(long us, Runnable action) {
-        events.add(new Event(nowUs + us, order++, -1, -1, null, action));
+    public void after(long delayUs, Runnable action) {
+        events.add(new Event(nowUs + delayUs, nextSequenceNumber++, -1, -1, null, action));
     }
 
     /** As SIGSTOP: it does nothing, and datagrams wait for it. */
-    public void stop(int number) {
-        nodes.get(number).stopped = true;
+    public void stop(int index) {
+        nodes.get(index).stopped = true;
     }
 
     /** As SIGCONT. */
-    public void cont(int number) {
-        Node node = nodes.get(number);
+    public void cont(int index) {
+        Node node = nodes.get(index);
         if (node.stopped) {
             node.stopped = false;
-            List<Event> waiting = new ArrayList<>(node.waiting);
-            node.waiting.clear();
-            waiting.forEach(node::arrive);
+            List<Event> buffered = new ArrayList<>(node.receiveBuffer);
+            node.receiveBuffer.clear();
+            buffered.forEach(node::onDatagram);
             if (node.membership != null) {
-                node.wakeUs = 0;
-                node.plan();
+                node.timerAtUs = 0;
+                node.scheduleTimer();
             }
         }
     }
 
     /** A process's clock moves on by so much in one piece, or back. */
-    public void jump(int number, long us) {
-        Node node = nodes.get(number);
-        node.clockUs += us;
+    public void jumpClock(int index, long offsetUs) {
+        Node node = nodes.get(index);
+        node.clockOffsetUs += offsetUs;
         if (node.membership != null && !node.stopped) {
-            node.wakeUs = 0;
-            node.plan();
+            node.timerAtUs = 0;
+            node.scheduleTimer();
         }
     }
 
     /** A machine's disk is set back by so many starts of its process. */
-    public void setBack(int number, int starts) {
-        nodes.get(number).epoch = Math.max(0, nodes.get(number).epoch - starts);
+    public void rollBackDisk(int index, int starts) {
+        nodes.get(index).persistedEpoch = Math.max(0, nodes.get(index).persistedEpoch - starts);
     }
 
     /**
      * Makes a process slow for good: it is held for a while, works for a while, held again, and so
      * on.
      */
-    public void slow(int number, long mostHeldUs, long mostFreeUs) {
-        UniformRandomProvider own = seeds.stream("slow-" + number);
-        slowAgain(number, mostHeldUs, mostFreeUs, own);
+    public void stopRepeatedly(int index, long maxStoppedUs, long maxRunningUs) {
+        UniformRandomProvider stopRandom = seeds.stream("slow-" + index);
+        scheduleNextStop(index, maxStoppedUs, maxRunningUs, stopRandom);
     }
 
-    private void slowAgain(
-            int number, long mostHeldUs, long mostFreeUs, UniformRandomProvider own) {
+    private void scheduleNextStop(
+            int index, long maxStoppedUs, long maxRunningUs, UniformRandomProvider stopRandom) {
         after(
-                1 + own.nextLong(mostFreeUs),
+                1 + stopRandom.nextLong(maxRunningUs),
                 () -> {
-                    stop(number);
+                    stop(index);
                     after(
-                            1 + own.nextLong(mostHeldUs),
+                            1 + stopRandom.nextLong(maxStoppedUs),
                             () -> {
-                                cont(number);
-                                slowAgain(number, mostHeldUs, mostFreeUs, own);
+                                cont(index);
+                                scheduleNextStop(index, maxStoppedUs, maxRunningUs, stopRandom);
                             });
                 });
     }
 
     /** Plays so much more time. */
-    public void run(long us) {
-        long end = nowUs + us;
-        while (!events.isEmpty() && events.peek().us() <= end) {
+    public void runFor(long durationUs) {
+        long endUs = nowUs + durationUs;
+        while (!events.isEmpty() && events.peek().atUs() <= endUs) {
             Event event = events.poll();
-            nowUs = Math.max(nowUs, event.us());
-            steps++;
+            nowUs = Math.max(nowUs, event.atUs());
+            processedEvents++;
             if (event.action() != null) {
                 event.action().run();
             } else if (event.datagram() != null) {
-                nodes.get(event.to()).arrive(event);
+                nodes.get(event.to()).onDatagram(event);
             } else {
-                nodes.get(event.to()).wake(event);
+                nodes.get(event.to()).onTimer(event);
             }
         }
-        nowUs = end;
+        nowUs = endUs;
     }
 
     private void send(int from, int to, byte[] datagram) {
-        datagrams++;
-        bytes += datagram.length;
-        if (!passes.test(from, to) || random.nextDouble() < network.lost()) {
+        sentDatagrams++;
+        sentBytes += datagram.length;
+        if (!connectivity.test(from, to) || random.nextDouble() < networkConditions.loss()) {
             return;
         }
-        int copies = network.doubled() > 0 && random.nextDouble() < network.doubled() ? 2 : 1;
+        int copies =
+                networkConditions.duplication() > 0
+                                && random.nextDouble() < networkConditions.duplication()
+                        ? 2
+                        : 1;
         for (int i = 0; i < copies; i++) {
-            long us = network.delayUs() + random.nextLong(network.jitterUs() + 1);
-            if (network.late() > 0 && random.nextDouble() < network.late()) {
-                us *= 100;
+            long delayUs =
+                    networkConditions.minDelayUs()
+                            + random.nextLong(networkConditions.jitterUs() + 1);
+            if (networkConditions.late() > 0 && random.nextDouble() < networkConditions.late()) {
+                delayUs *= 100;
             }
-            events.add(new Event(nowUs + us, order++, to, from, datagram, null));
+            events.add(new Event(nowUs + delayUs, nextSequenceNumber++, to, from, datagram, null));
         }
     }
 
     /** Whether a process runs, be it held or not. */
-    public boolean runs(int number) {
-        return nodes.get(number).membership != null;
+    public boolean isRunning(int index) {
+        return nodes.get(index).membership != null;
     }
 
-    public boolean stopped(int number) {
-        return nodes.get(number).stopped;
+    public boolean isStopped(int index) {
+        return nodes.get(index).stopped;
     }
 
     /** What a running process thinks. */
-    public List<MemberInfo> view(int number) {
-        return nodes.get(number).membership.members();
+    public List<MemberInfo> view(int index) {
+        return nodes.get(index).membership.members();
     }
 
     /** What a running process thinks of a member; null where it knows none of that name. */
-    public Status says(int number, String name) {
-        return view(number).stream()
+    public Status statusInView(int index, String name) {
+        return view(index).stream()
                 .filter(m -> m.name().equals(name))
                 .map(MemberInfo::status)
                 .findAny()
                 .orElse(null);
     }
 
-    public Incarnation incarnation(int number) {
-        return nodes.get(number).membership.incarnation();
+    public Incarnation incarnation(int index) {
+        return nodes.get(index).membership.incarnation();
     }
 
-    public boolean givenWay(int number) {
-        return nodes.get(number).membership.superseded();
+    public boolean isSuperseded(int index) {
+        return nodes.get(index).membership.superseded();
     }
 
     /** Whether all processes that run and are not held have the same view, but for suspicion. */
-    public boolean agree() {
+    public boolean viewsAgree() {
         return nodes.stream()
-                        .filter(Node::takesPart)
+                        .filter(Node::participates)
                         .map(n -> n.membership.digest())
                         .distinct()
                         .count()
@@ -448,14 +456,14 @@
      * Whether each process that runs and is not held sees just those as present, and itself among
      * them.
      */
-    public boolean settled() {
+    public boolean viewsAreAccurate() {
         Set<String> running =
                 nodes.stream()
-                        .filter(Node::takesPart)
+                        .filter(Node::participates)
                         .map(n -> n.settings.name())
                         .collect(Collectors.toSet());
         return nodes.stream()
-                .filter(Node::takesPart)
+                .filter(Node::participates)
                 .allMatch(n -> n.membership.hasExactlyPresent(running));
     }
 
@@ -463,24 +471,24 @@
      * Plays on until something holds, looking every so often; microseconds it took, or -1 if it did
      * not.
      */
-    public long until(BooleanSupplier holds, long everyUs, long mostUs) {
-        long begun = nowUs;
-        while (!holds.getAsBoolean()) {
-            if (nowUs - begun >= mostUs) {
+    public long runUntil(BooleanSupplier condition, long checkIntervalUs, long timeoutUs) {
+        long startUs = nowUs;
+        while (!condition.getAsBoolean()) {
+            if (nowUs - startUs >= timeoutUs) {
                 return -1;
             }
-            run(everyUs);
+            runFor(checkIntervalUs);
         }
-        return nowUs - begun;
+        return nowUs - startUs;
     }
 
     /** Datagrams and bytes that a process has sent, and what it did not take. */
-    public Membership.Metrics figures(int number) {
-        return nodes.get(number).membership.metrics();
+    public Membership.Metrics metrics(int index) {
+        return nodes.get(index).membership.metrics();
     }
 
     /** Datagrams that a process has dropped for a reason. */
-    public long dropped(int number, DropReason why) {
-        return figures(number).dropped().getOrDefault(why, 0L);
+    public long dropped(int index, DropReason reason) {
+        return metrics(index).dropped().getOrDefault(reason, 0L);
     }
 }
--- a/src/main/java/passhatch/lab/scale/DistributionMeter.java
+++ b/src/main/java/passhatch/lab/scale/DistributionMeter.java
@@ -74,7 +74,7 @@
      * version of the node alone does not count.
      */
     @Override
-    public void inForce(Node node, long epoch, long version) {
+    public void versionApplied(Node node, long epoch, long version) {
         TreeMap<Long, ExpectedChange> expectedByVersion =
                 node.role() == Role.SUBSCRIBER ? pending.get(node) : null;
         if (expectedByVersion == null) {
--- a/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
@@ -19,9 +19,9 @@
 import passhatch.distribution.InvalidChangeException;
 import passhatch.lab.Seeds;
 import passhatch.lab.distribution.Fleet;
-import passhatch.lab.distribution.LeaseStandIn;
 import passhatch.lab.distribution.Network;
 import passhatch.lab.distribution.Node;
+import passhatch.lab.distribution.SimulatedLease;
 import passhatch.lab.distribution.Simulation;
 
 /**
@@ -65,7 +65,7 @@
     private final Fleet fleet;
     private final Simulation simulation;
     private final DistributionMeter meter = new DistributionMeter();
-    private final LeaseStandIn lease;
+    private final SimulatedLease lease;
     private final UniformRandomProvider random;
     private final int changesPerEvent;
     private final Map<String, List<Node>> subscribersByService = new HashMap<>();
@@ -93,13 +93,13 @@
                         seeds.stream("network"), regions, new Network.Quality(LOSS_RATIO, 0, 0));
         simulation = new Simulation(seed, network, Simulation.Fidelity.SAMPLED, meter);
         meter.setClock(simulation::nowUs);
-        fleet.addTo(simulation);
+        fleet.addNodesTo(simulation);
         lease =
-                new LeaseStandIn(
+                new SimulatedLease(
                         simulation,
                         simulation.nodes(Role.REPLICA),
                         seeds.stream("lease"),
-                        Fleet.FIRST_TERM);
+                        Fleet.INITIAL_TERM);
         for (Node node : simulation.nodes(Role.SUBSCRIBER)) {
             for (String service : node.settings().services()) {
                 subscribersByService.computeIfAbsent(service, any -> new ArrayList<>()).add(node);
@@ -110,7 +110,7 @@
     /** Runs events in the order of the enum, and returns figures by name. */
     Map<String, Double> run(Set<DistributionEvent> events) {
         for (Node node : simulation.nodes()) {
-            node.setDisk(fleet.diskOf(node));
+            node.setDisk(fleet.initialDisk(node));
             node.start();
             if (node.role() != Role.REPLICA) {
                 node.setDisk(List.of());
@@ -229,7 +229,7 @@
         String key = "service/" + change.service() + "/deadline_ms";
         AtomicLong version = new AtomicLong();
         lease.holder()
-                .run(
+                .invoke(
                         participant -> {
                             try {
                                 version.set(
@@ -260,7 +260,7 @@
     private void measureRelayKill() {
         Node relay = simulation.nodes(Role.RELAY).get(0);
         measureChanges("relay_killed", relay::kill);
-        relay.setDisk(fleet.diskOf(relay));
+        relay.setDisk(fleet.initialDisk(relay));
         relay.start();
         relay.setDisk(List.of());
         advance(SETTLE_TIME_US);
@@ -281,7 +281,7 @@
                     leader.kill();
                 });
         figures.put(phase + ".longest_wait_for_leader_s", maxLeaderWaitUs * 1e-6);
-        lease.setLeaseUs(LeaseStandIn.DEFAULT_LEASE_US);
+        lease.setLeaseUs(SimulatedLease.DEFAULT_LEASE_US);
         leader.start();
         leader.setDisk(List.of());
         advance(SETTLE_TIME_US);
--- a/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
@@ -58,7 +58,7 @@
 
     @Option(
             names = "--bytes-per-second",
-            defaultValue = "" + FleetSim.BYTES_PER_SECOND,
+            defaultValue = "" + FleetSim.DEFAULT_BYTES_PER_SECOND,
             description = "Send limit of each process; default: ${DEFAULT-VALUE}.")
     private long bytesPerSecond;
 
--- a/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
@@ -138,10 +138,12 @@
     }
 
     private List<Figure> measureLoss(MembershipTrial trial) throws TimeoutException {
-        FleetSim.Network lossless = FleetSim.Network.FAIR;
+        FleetSim.NetworkConditions lossless = FleetSim.NetworkConditions.RELIABLE;
         FalseAlarms falseAlarms = countFalseAlarms(trial.sim(), 0, 0);
         trial.sim()
-                .network(new FleetSim.Network(loss, 0, 0, lossless.delayUs(), lossless.jitterUs()));
+                .setNetworkConditions(
+                        new FleetSim.NetworkConditions(
+                                loss, 0, 0, lossless.minDelayUs(), lossless.jitterUs()));
         Traffic traffic = trial.measureTraffic(simulatedSeconds);
         return List.of(
                 new Figure("false failures with loss", "in all views", falseAlarms.falseFailures),
@@ -154,32 +156,35 @@
             throws TimeoutException {
         FleetSim sim = trial.sim();
         FalseAlarms falseAlarms = countFalseAlarms(sim, 0, count);
-        long bytesBefore = sim.bytes();
+        long bytesBefore = sim.sentBytes();
         for (int i = 0; i < count; i++) {
             sim.kill(i);
         }
         double elapsedSeconds = trial.advanceUntil(() -> trial.allViewsHave(members - count));
         return recoveryFigures(
-                label + ", until all know", elapsedSeconds, falseAlarms, sim.bytes() - bytesBefore);
+                label + ", until all know",
+                elapsedSeconds,
+                falseAlarms,
+                sim.sentBytes() - bytesBefore);
     }
 
     private List<Figure> measureRejoin(MembershipTrial trial) throws TimeoutException {
         FleetSim sim = trial.sim();
         restart(sim, 0);
-        trial.advanceUntil(() -> !sim.runs(0));
-        trial.advanceUntil(() -> sim.runs(0));
-        double elapsedSeconds = trial.advanceUntil(() -> sim.present(0) == members);
+        trial.advanceUntil(() -> !sim.isRunning(0));
+        trial.advanceUntil(() -> sim.isRunning(0));
+        double elapsedSeconds = trial.advanceUntil(() -> sim.presentCount(0) == members);
         return List.of(
                 new Figure("restart, until it knows all", "s", elapsedSeconds),
                 new Figure(
-                        "restart, its own bytes meanwhile", "bytes", sim.figures(0).sentBytes()));
+                        "restart, its own bytes meanwhile", "bytes", sim.metrics(0).sentBytes()));
     }
 
     private List<Figure> measureMassRestart(MembershipTrial trial) throws TimeoutException {
         FleetSim sim = trial.sim();
         int count = Math.max(1, members / RESTARTED_DIVISOR);
         FalseAlarms falseAlarms = countFalseAlarms(sim, 0, count);
-        long bytesBefore = sim.bytes();
+        long bytesBefore = sim.sentBytes();
         for (int i = 0; i < count; i++) {
             int number = i;
             sim.kill(number);
@@ -187,29 +192,29 @@
         }
         trial.advance(RESTART_DOWNTIME_US + SECOND_US);
         double elapsedSeconds =
-                1 + trial.advanceUntil(() -> trial.allViewsHave(members) && sim.agree());
+                1 + trial.advanceUntil(() -> trial.allViewsHave(members) && sim.viewsAgree());
         return recoveryFigures(
                 "a tenth restarted, until views agree",
                 elapsedSeconds,
                 falseAlarms,
-                sim.bytes() - bytesBefore);
+                sim.sentBytes() - bytesBefore);
     }
 
     private List<Figure> measureRegionPartition(MembershipTrial trial) throws TimeoutException {
         FleetSim sim = trial.sim();
         int count = Math.max(1, members / REGIONS);
         FalseAlarms falseAlarms = countFalseAlarms(sim, count, 0);
-        sim.connected((a, b) -> a < count == b < count);
+        sim.setConnectivity((a, b) -> a < count == b < count);
         trial.advance(partitionSeconds * SECOND_US);
-        sim.connected((a, b) -> true);
-        long bytesBefore = sim.bytes();
+        sim.setConnectivity((a, b) -> true);
+        long bytesBefore = sim.sentBytes();
         double elapsedSeconds =
-                trial.advanceUntil(() -> trial.allViewsHave(members) && sim.agree());
+                trial.advanceUntil(() -> trial.allViewsHave(members) && sim.viewsAgree());
         return recoveryFigures(
                 "region back, until views agree",
                 elapsedSeconds,
                 falseAlarms,
-                sim.bytes() - bytesBefore);
+                sim.sentBytes() - bytesBefore);
     }
 
     private List<Figure> recoveryFigures(
@@ -232,7 +237,7 @@
     private static FalseAlarms countFalseAlarms(
             FleetSim sim, int partitionedCount, int killedCount) {
         FalseAlarms falseAlarms = new FalseAlarms();
-        sim.watcher(
+        sim.setStatusListener(
                 (us, observer, before, after) -> {
                     int member = Integer.parseInt(after.name().substring(1));
                     boolean expected =
--- a/src/main/java/passhatch/lab/scale/MembershipTrial.java
+++ b/src/main/java/passhatch/lab/scale/MembershipTrial.java
@@ -30,7 +30,7 @@
         this.members = members;
         this.deadlineNs = System.nanoTime() + maxWallSeconds * 1_000_000_000L;
         this.sim = FleetSim.fleet(seed, members, bytesPerSecond);
-        sim.startAllAgreed();
+        sim.startAllConverged();
         advance(WARM_UP_US);
     }
 
@@ -47,7 +47,7 @@
         long endUs = sim.nowUs() + durationUs;
         while (sim.nowUs() < endUs) {
             checkDeadline();
-            sim.run(Math.min(STEP_US, endUs - sim.nowUs()));
+            sim.runFor(Math.min(STEP_US, endUs - sim.nowUs()));
         }
     }
 
@@ -56,28 +56,28 @@
         long startUs = sim.nowUs();
         while (!condition.getAsBoolean()) {
             checkDeadline();
-            sim.run(STEP_US);
+            sim.runFor(STEP_US);
         }
         return (double) (sim.nowUs() - startUs) / SECOND_US;
     }
 
     /** Runs the fleet for simulated seconds, and measures the traffic of an average member. */
     Traffic measureTraffic(int seconds) throws TimeoutException {
-        long bytesBefore = sim.bytes();
-        long datagramsBefore = sim.datagrams();
+        long bytesBefore = sim.sentBytes();
+        long datagramsBefore = sim.sentDatagrams();
         long processorNsBefore = processorNs();
         advance(seconds * SECOND_US);
         double memberSeconds = (double) members * seconds;
         return new Traffic(
-                (sim.bytes() - bytesBefore) / memberSeconds,
-                (sim.datagrams() - datagramsBefore) / memberSeconds,
+                (sim.sentBytes() - bytesBefore) / memberSeconds,
+                (sim.sentDatagrams() - datagramsBefore) / memberSeconds,
                 (processorNs() - processorNsBefore) / 1e3 / memberSeconds);
     }
 
     /** Returns whether each running process sees exactly this number of members as present. */
     boolean allViewsHave(int present) {
         for (int i = 0; i < members; i++) {
-            if (sim.runs(i) && sim.present(i) != present) {
+            if (sim.isRunning(i) && sim.presentCount(i) != present) {
                 return false;
             }
         }
--- a/src/test/java/passhatch/lab/distribution/CheckerCatchesTest.java
+++ b/src/test/java/passhatch/lab/distribution/ConsistencyCheckerTest.java
@@ -12,33 +12,33 @@
 import passhatch.distribution.Message.Delta;
 
 /** The checker finds deliberate faults: what it passes means something. */
-final class CheckerCatchesTest {
+final class ConsistencyCheckerTest {
 
     private static final String KEY = "service/service-0/deadline_ms";
 
     @Test
-    void catchesReplicasThatConfirmBeforeForcing() {
+    void detectsReplicasThatConfirmBeforeForcing() {
         ScriptedRun run = new ScriptedRun(3);
         run.start();
-        run.lead(0);
+        run.makeLeader(0);
         run.replica(1).setDiskMode(Node.DiskMode.LYING);
         run.replica(2).setDiskMode(Node.DiskMode.LYING);
-        requireCaught(() -> run.submitAndWait(0, KEY, "7"), "disks have");
+        assertViolation(() -> run.submitAndRun(0, KEY, "7"), "disks have");
     }
 
     @Test
-    void catchesFollowerThatTakesAnOlderValueForANewerOne() {
+    void detectsAFollowerThatTakesAnOlderValueForANewerOne() {
         ScriptedRun run = new ScriptedRun(3);
         run.start();
-        run.lead(0);
-        LogEntry old = run.fleet().entries().get(0);
+        run.makeLeader(0);
+        LogEntry old = run.fleet().initialEntries().get(0);
         run.simulation()
-                .setTamper(
+                .setInterceptor(
                         (from, to, message) ->
                                 message instanceof Delta delta && !delta.entries().isEmpty()
                                         ? withEntry(delta, old)
                                         : message);
-        requireCaught(() -> run.submitAndWait(0, old.key(), "7"), "committed is");
+        assertViolation(() -> run.submitAndRun(0, old.key(), "7"), "committed is");
     }
 
     private static Message withEntry(Delta delta, LogEntry old) {
@@ -57,75 +57,76 @@
      * faulty leader commits it by that count. A log with a higher last term then replaces it.
      */
     @Test
-    void catchesLeaderThatCommitsAnEntryOfAnOlderTermByCount() {
-        requireCaught(() -> playFigureEight(true), "committed");
+    void detectsALeaderThatCommitsAnEntryOfAnOlderTermByCount() {
+        assertViolation(() -> runFigureEight(true), "committed");
     }
 
     @Test
-    void correctLeaderPassesTheSameRun() {
-        playFigureEight(false);
+    void aCorrectLeaderPassesTheSameRun() {
+        runFigureEight(false);
     }
 
-    private static void playFigureEight(boolean faulty) {
+    private static void runFigureEight(boolean faulty) {
         ScriptedRun run = new ScriptedRun(5);
         run.start();
-        long disputed = run.fleet().entries().size() + 1;
-        run.reachable(0, List.of(1));
-        leadWith(run, 0, List.of(1, 2), List.of(1));
+        long disputed = run.fleet().initialEntries().size() + 1;
+        run.connectOnly(0, List.of(1));
+        makeLeaderReaching(run, 0, List.of(1, 2), List.of(1));
         run.replica(0).kill();
-        leadWith(run, 4, List.of(2, 3), List.of());
+        makeLeaderReaching(run, 4, List.of(2, 3), List.of());
         run.replica(4).kill();
         run.replica(0).start();
         run.simulation()
-                .setTamper(
+                .setInterceptor(
                         (from, to, message) ->
                                 from == run.replica(0) && message instanceof Append append
                                         ? onlyUpTo(append, disputed, faulty)
                                         : message);
-        run.reachable(0, List.of(1, 2));
-        run.grant(0);
-        run.wait(3);
+        run.connectOnly(0, List.of(1, 2));
+        run.grantLease(0);
+        run.runFor(3);
         run.replica(0).kill();
         run.replica(4).start();
-        run.simulation().setTamper((from, to, message) -> message);
-        run.reachable(4, List.of(1, 2, 3));
-        run.grant(4);
-        run.wait(5);
+        run.simulation().setInterceptor((from, to, message) -> message);
+        run.connectOnly(4, List.of(1, 2, 3));
+        run.grantLease(4);
+        run.runFor(5);
         assertTrue(run.replica(4).participant().isLeading());
     }
 
     /** Has a replica lead among some, and lets its first entry reach only a part of them. */
-    private static void leadWith(ScriptedRun run, int leader, List<Integer> all, List<Integer> to) {
-        run.reachable(leader, all);
+    private static void makeLeaderReaching(
+            ScriptedRun run, int leader, List<Integer> peers, List<Integer> receivers) {
+        run.connectOnly(leader, peers);
         run.simulation()
-                .setTamper(
+                .setInterceptor(
                         (from, peer, message) ->
                                 message instanceof Append append
-                                                && to.stream()
+                                                && receivers.stream()
                                                         .noneMatch(i -> run.replica(i) == peer)
                                                 && !append.entries().isEmpty()
                                         ? null
                                         : message);
-        run.grant(leader);
-        run.wait(2);
+        run.grantLease(leader);
+        run.runFor(2);
     }
 
-    private static Append onlyUpTo(Append append, long most, boolean faulty) {
+    private static Append onlyUpTo(Append append, long lastVersion, boolean faulty) {
         List<LogEntry> entries = new ArrayList<>(append.entries());
-        entries.removeIf(entry -> entry.version() > most);
-        boolean hasAll = append.previousVersion() + entries.size() >= most;
+        entries.removeIf(entry -> entry.version() > lastVersion);
+        boolean hasAll = append.previousVersion() + entries.size() >= lastVersion;
         return new Append(
                 append.epoch(),
                 append.term(),
-                faulty && hasAll ? most : append.committed(),
+                faulty && hasAll ? lastVersion : append.committed(),
                 append.ageUs(),
-                Math.min(append.previousVersion(), most),
-                append.previousVersion() > most ? 2 : append.previousTerm(),
+                Math.min(append.previousVersion(), lastVersion),
+                append.previousVersion() > lastVersion ? 2 : append.previousTerm(),
                 entries);
     }
 
-    private static void requireCaught(Runnable run, String expected) {
-        BrokenPromise caught = assertThrows(BrokenPromise.class, run::run);
-        assertTrue(caught.getMessage().contains(expected), caught.getMessage());
+    private static void assertViolation(Runnable scenario, String expected) {
+        BrokenPromise violation = assertThrows(BrokenPromise.class, scenario::run);
+        assertTrue(violation.getMessage().contains(expected), violation.getMessage());
     }
 }
--- a/src/test/java/passhatch/lab/distribution/HardCasesTest.java
+++ b/src/test/java/passhatch/lab/distribution/DistributionFaultsTest.java
@@ -12,65 +12,73 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** The cases of the table in docs/distribution.md, each with the checker running. */
-final class HardCasesTest {
+final class DistributionFaultsTest {
 
     private static final String KEY = "fleet/deadline_ms";
 
     static Stream<Arguments> cases() {
         return Stream.of(
-                named("leader killed in the middle of a change", HardCasesTest::leaderKilled),
-                named("two replicas lead after a partition", HardCasesTest::twoLead),
-                named("paused leader goes on with an old term", HardCasesTest::pausedLeader),
-                named("half of the replicas lost", HardCasesTest::majorityLost),
-                named("replica with an empty disk", HardCasesTest::emptyDisk),
-                named("replica away for longer than the log", HardCasesTest::longAway),
-                named("relay of a zone killed", HardCasesTest::relayKilled),
-                named("zone cut off during a change", HardCasesTest::zoneCut),
-                named("agent off for a day", HardCasesTest::agentOff),
-                named("1,000 changes in a minute", HardCasesTest::manyChanges),
-                named("failing disk of the leader", HardCasesTest::leaderDiskFails),
-                named("failing disk of a follower", HardCasesTest::followerDiskFails));
-    }
-
-    private static Arguments named(String name, Consumer<ScriptedRun> play) {
-        return Arguments.of(name, play);
+                testCase(
+                        "leader killed in the middle of a change",
+                        DistributionFaultsTest::leaderKilled),
+                testCase("two replicas lead after a partition", DistributionFaultsTest::twoLeaders),
+                testCase(
+                        "paused leader goes on with an old term",
+                        DistributionFaultsTest::pausedLeader),
+                testCase("half of the replicas lost", DistributionFaultsTest::majorityLost),
+                testCase("replica with an empty disk", DistributionFaultsTest::emptyDisk),
+                testCase(
+                        "replica away for longer than the log",
+                        DistributionFaultsTest::replicaDownForLong),
+                testCase("relay of a zone killed", DistributionFaultsTest::relayKilled),
+                testCase("zone cut off during a change", DistributionFaultsTest::zonePartitioned),
+                testCase("agent off for a day", DistributionFaultsTest::agentDown),
+                testCase("1,000 changes in a minute", DistributionFaultsTest::manyChanges),
+                testCase("failing disk of the leader", DistributionFaultsTest::leaderDiskFails),
+                testCase("failing disk of a follower", DistributionFaultsTest::followerDiskFails));
+    }
+
+    private static Arguments testCase(String name, Consumer<ScriptedRun> scenario) {
+        return Arguments.of(name, scenario);
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("cases")
-    void holds(String name, Consumer<ScriptedRun> play) {
+    void invariantsHoldAndStateConverges(String name, Consumer<ScriptedRun> scenario) {
         ScriptedRun run = new ScriptedRun(3);
         run.start();
-        run.lead(0);
-        play.accept(run);
-        run.wait(10);
-        run.requireConverged(Fleet.EPOCH);
+        run.makeLeader(0);
+        scenario.accept(run);
+        run.runFor(10);
+        run.requireConverged(Fleet.INITIAL_EPOCH);
     }
 
     private static void leaderKilled(ScriptedRun run) {
         run.submit(0, KEY, "7");
         run.replica(0).kill();
-        run.lead(1);
-        run.submitAndWait(1, KEY, "8");
+        run.makeLeader(1);
+        run.submitAndRun(1, KEY, "8");
         run.replica(0).start();
     }
 
-    private static void twoLead(ScriptedRun run) {
-        Node old = run.replica(0);
-        run.cut((from, to) -> from == old ^ to == old);
-        run.lead(1);
-        long unheard = run.submit(0, KEY, "7");
-        run.submitAndWait(1, KEY, "8");
-        assertTrue(old.participant().isLeading(), "both lead");
-        assertTrue(old.participant().version() < unheard, "commits nothing without a majority");
-        run.heal();
+    private static void twoLeaders(ScriptedRun run) {
+        Node oldLeader = run.replica(0);
+        run.block((from, to) -> from == oldLeader ^ to == oldLeader);
+        run.makeLeader(1);
+        long uncommitted = run.submit(0, KEY, "7");
+        run.submitAndRun(1, KEY, "8");
+        assertTrue(oldLeader.participant().isLeading(), "both lead");
+        assertTrue(
+                oldLeader.participant().version() < uncommitted,
+                "commits nothing without a majority");
+        run.unblock();
     }
 
     private static void pausedLeader(ScriptedRun run) {
-        run.replica(0).pause(5 * ScriptedRun.SECOND);
-        run.lead(1);
-        run.submitAndWait(1, KEY, "8");
-        run.wait(3);
+        run.replica(0).pause(5 * ScriptedRun.SECOND_US);
+        run.makeLeader(1);
+        run.submitAndRun(1, KEY, "8");
+        run.runFor(3);
         assertFalse(run.replica(0).participant().isLeading(), "steps down");
     }
 
@@ -78,7 +86,7 @@
         run.replica(1).kill();
         run.replica(2).kill();
         long before = run.replica(0).participant().version();
-        run.submitAndWait(0, KEY, "7");
+        run.submitAndRun(0, KEY, "7");
         assertEquals(before, run.replica(0).participant().version());
         assertEquals("1", run.subscriber(0).participant().values().get(KEY));
         run.replica(1).start();
@@ -87,11 +95,11 @@
 
     private static void emptyDisk(ScriptedRun run) {
         loseDisk(run, 2);
-        run.wait(5);
-        run.submitAndWait(0, KEY, "7");
+        run.runFor(5);
+        run.submitAndRun(0, KEY, "7");
         run.replica(1).kill();
         long before = run.replica(0).participant().version();
-        run.submitAndWait(0, KEY, "8");
+        run.submitAndRun(0, KEY, "8");
         assertEquals(before, run.replica(0).participant().version(), "does not count");
         run.replica(1).start();
     }
@@ -103,7 +111,7 @@
         run.replica(replica).start();
     }
 
-    private static void longAway(ScriptedRun run) {
+    private static void replicaDownForLong(ScriptedRun run) {
         run.replica(2).kill();
         for (int i = 0; i < 2_400; i++) {
             run.submit(0, KEY, Integer.toString(1 + i));
@@ -114,25 +122,25 @@
 
     private static void relayKilled(ScriptedRun run) {
         run.relay(0).kill();
-        run.wait(3);
-        run.submitAndWait(0, KEY, "7");
+        run.runFor(3);
+        run.submitAndRun(0, KEY, "7");
         assertEquals("7", run.subscriber(0).participant().values().get(KEY));
         run.relay(0).start();
     }
 
-    private static void zoneCut(ScriptedRun run) {
-        run.cut((from, to) -> from.location().zone() == 3 ^ to.location().zone() == 3);
-        run.submitAndWait(0, KEY, "7");
+    private static void zonePartitioned(ScriptedRun run) {
+        run.block((from, to) -> from.location().zone() == 3 ^ to.location().zone() == 3);
+        run.submitAndRun(0, KEY, "7");
         assertEquals("1", run.subscriber(3).participant().values().get(KEY));
-        run.heal();
-        run.wait(3);
+        run.unblock();
+        run.runFor(3);
         assertEquals("7", run.subscriber(3).participant().values().get(KEY));
     }
 
-    private static void agentOff(ScriptedRun run) {
+    private static void agentDown(ScriptedRun run) {
         run.subscriber(0).kill();
         for (String value : List.of("7", "8", "9")) {
-            run.submitAndWait(0, KEY, value);
+            run.submitAndRun(0, KEY, value);
         }
         run.subscriber(0).start();
         assertEquals("1", run.subscriber(0).participant().values().get(KEY));
@@ -150,8 +158,8 @@
         run.replica(0).setDiskMode(Node.DiskMode.FAILING);
         run.submit(0, KEY, "7");
         assertFalse(run.replica(0).participant().isLeading(), "steps down");
-        run.lead(1);
-        run.submitAndWait(1, KEY, "8");
+        run.makeLeader(1);
+        run.submitAndRun(1, KEY, "8");
         run.replica(0).kill();
         run.replica(0).setDiskMode(Node.DiskMode.WORKING);
         run.replica(0).start();
@@ -159,7 +167,7 @@
 
     private static void followerDiskFails(ScriptedRun run) {
         run.subscriber(0).setDiskMode(Node.DiskMode.FAILING);
-        run.submitAndWait(0, KEY, "7");
+        run.submitAndRun(0, KEY, "7");
         assertEquals("7", run.subscriber(0).participant().values().get(KEY));
         assertTrue(run.subscriber(0).participant().diskFailed());
     }
--- a/src/test/java/passhatch/lab/distribution/RandomRunTest.java
+++ b/src/test/java/passhatch/lab/distribution/RandomRunTest.java
@@ -13,11 +13,12 @@
     private static final int SEEDS = 24;
 
     @Test
-    void allPromisesHoldOverManySeeds() {
-        List<RandomRun.Outcome> all =
-                LongStream.range(0, SEEDS).parallel().mapToObj(RandomRun::play).toList();
-        List<RandomRun.Outcome> broken = all.stream().filter(run -> run.broken() != null).toList();
-        assertEquals(List.of(), broken, SEEDS + " seeds");
-        assertTrue(all.stream().allMatch(run -> run.reported() > 0), "changes in each run");
+    void invariantsHoldForManySeeds() {
+        List<RandomRun.Outcome> outcomes =
+                LongStream.range(0, SEEDS).parallel().mapToObj(RandomRun::run).toList();
+        List<RandomRun.Outcome> failed =
+                outcomes.stream().filter(run -> run.violation() != null).toList();
+        assertEquals(List.of(), failed, SEEDS + " seeds");
+        assertTrue(outcomes.stream().allMatch(run -> run.reported() > 0), "changes in each run");
     }
 }
--- a/src/test/java/passhatch/lab/distribution/ScaleInputTest.java
+++ b/src/test/java/passhatch/lab/distribution/ScaleInputTest.java
@@ -23,7 +23,7 @@
                 "--seed=-1",
                 "--events=changes,nothing"
             })
-    void refusesInOneLine(String option) {
+    void invalidOptionsAreReportedInOneLine(String option) {
         StringWriter err = new StringWriter();
         CommandLine line = Commands.oneLineErrors(ScaleCommand.line());
         line.setErr(new PrintWriter(err));
--- a/src/test/java/passhatch/lab/distribution/ScriptedRun.java
+++ b/src/test/java/passhatch/lab/distribution/ScriptedRun.java
@@ -11,13 +11,13 @@
 /** A small fleet without faults by chance, for tests that say what happens. */
 final class ScriptedRun {
 
-    static final long SECOND = 1_000_000;
+    static final long SECOND_US = 1_000_000;
 
     private final ConsistencyChecker checker;
     private final Simulation simulation;
     private final Fleet fleet;
-    private long term = Fleet.FIRST_TERM;
-    private BiPredicate<Node, Node> cut;
+    private long term = Fleet.INITIAL_TERM;
+    private BiPredicate<Node, Node> blocked;
 
     ScriptedRun(int replicas) {
         fleet = new Fleet(new Fleet.Shape(replicas, 2, 4, 8, 40, 4, 30), 1);
@@ -26,9 +26,9 @@
                 new Network(
                         new Seeds(1).stream("network"), 2, new Network.Quality(0.01, 0.01, 0.01));
         simulation = new Simulation(1, network, Simulation.Fidelity.FULL, checker);
-        fleet.addTo(simulation);
-        checker.preload(Fleet.EPOCH, fleet.entries());
-        simulation.setOnStepDown((node, ofTerm) -> node.run(p -> p.leaseLost()));
+        fleet.addNodesTo(simulation);
+        checker.preload(Fleet.INITIAL_EPOCH, fleet.initialEntries());
+        simulation.setStepDownListener((node, endedTerm) -> node.invoke(p -> p.leaseLost()));
     }
 
     Fleet fleet() {
@@ -57,51 +57,51 @@
 
     void start() {
         for (Node node : simulation.nodes()) {
-            node.setDisk(fleet.diskOf(node));
+            node.setDisk(fleet.initialDisk(node));
             node.start();
         }
     }
 
-    void wait(int seconds) {
-        simulation.runUntil(simulation.nowUs() + seconds * SECOND);
+    void runFor(int seconds) {
+        simulation.runUntil(simulation.nowUs() + seconds * SECOND_US);
     }
 
-    void grant(int index) {
-        long granted = ++term;
-        checker.granted(replica(index));
-        replica(index).run(p -> p.leaseGranted(simulation.nowUs(), granted));
+    void grantLease(int index) {
+        long newTerm = ++term;
+        checker.leaseGranted(replica(index));
+        replica(index).invoke(p -> p.leaseGranted(simulation.nowUs(), newTerm));
     }
 
-    void lead(int index) {
-        grant(index);
-        wait(3);
+    void makeLeader(int index) {
+        grantLease(index);
+        runFor(3);
         if (!replica(index).participant().isLeading()) {
             throw new IllegalStateException("does not lead");
         }
     }
 
     /** Lets a replica exchange datagrams with these replicas only, and the others with none. */
-    void reachable(int index, List<Integer> others) {
-        heal();
-        Node one = replica(index);
-        List<Node> rest = others.stream().map(this::replica).toList();
-        cut =
+    void connectOnly(int index, List<Integer> others) {
+        unblock();
+        Node replica = replica(index);
+        List<Node> peers = others.stream().map(this::replica).toList();
+        blocked =
                 (from, to) ->
                         Stream.of(from, to).allMatch(n -> n.role() == Role.REPLICA)
-                                && !(from == one && rest.contains(to)
-                                        || to == one && rest.contains(from));
-        simulation.network().block(cut);
+                                && !(from == replica && peers.contains(to)
+                                        || to == replica && peers.contains(from));
+        simulation.network().block(blocked);
     }
 
-    void cut(BiPredicate<Node, Node> fromTo) {
-        heal();
-        cut = fromTo;
-        simulation.network().block(cut);
+    void block(BiPredicate<Node, Node> fromTo) {
+        unblock();
+        blocked = fromTo;
+        simulation.network().block(blocked);
     }
 
-    void heal() {
-        if (cut != null) {
-            simulation.network().unblock(cut);
+    void unblock() {
+        if (blocked != null) {
+            simulation.network().unblock(blocked);
         }
     }
 
@@ -109,11 +109,11 @@
     long submit(int index, String key, String value) {
         AtomicLong version = new AtomicLong();
         replica(index)
-                .run(
+                .invoke(
                         p -> {
                             try {
                                 version.set(p.submit(simulation.nowUs(), key, value, -1));
-                            } catch (InvalidChangeException refused) {
+                            } catch (InvalidChangeException rejected) {
                                 version.set(0);
                             }
                         });
@@ -123,9 +123,9 @@
         return version.get();
     }
 
-    void submitAndWait(int index, String key, String value) {
+    void submitAndRun(int index, String key, String value) {
         submit(index, key, value);
-        wait(3);
+        runFor(3);
     }
 
     void requireConverged(long epoch) {
--- a/src/test/java/passhatch/lab/fleet/FleetExplorerTest.java
+++ b/src/test/java/passhatch/lab/fleet/FleetExplorerTest.java
@@ -11,7 +11,7 @@
 class FleetExplorerTest {
 
     @Test
-    void whatMustHoldHoldsForRandomFaults() {
+    void invariantsHoldUnderRandomFaults() {
         for (int members : new int[] {2, 3, 7, 20}) {
             FleetExplorer explorer = new FleetExplorer(members);
             assertEquals(
@@ -20,15 +20,16 @@
                             .parallel()
                             .mapToObj(
                                     seed -> {
-                                        String broken =
-                                                explorer.play(seed, explorer.draw(seed)).broken();
-                                        return broken == null
+                                        String violation =
+                                                explorer.run(seed, explorer.drawFaults(seed))
+                                                        .violation();
+                                        return violation == null
                                                 ? null
                                                 : members
                                                         + " members, seed "
                                                         + seed
                                                         + ": "
-                                                        + broken;
+                                                        + violation;
                                     })
                             .filter(b -> b != null)
                             .toList());
@@ -38,25 +39,26 @@
     @Test
     void theSameSeedGivesTheSameRun() {
         FleetExplorer explorer = new FleetExplorer(12);
-        assertEquals(explorer.play(5, explorer.draw(5)), explorer.play(5, explorer.draw(5)));
+        assertEquals(
+                explorer.run(5, explorer.drawFaults(5)), explorer.run(5, explorer.drawFaults(5)));
         FleetSim one = FleetSim.fleet(5, 12);
         FleetSim other = FleetSim.fleet(5, 12);
         for (FleetSim sim : List.of(one, other)) {
-            sim.network(new FleetSim.Network(0.3, 0.1, 0.1, 200, 2_000));
+            sim.setNetworkConditions(new FleetSim.NetworkConditions(0.3, 0.1, 0.1, 200, 2_000));
             sim.startAll();
-            sim.run(60_000_000);
+            sim.runFor(60_000_000);
         }
-        assertEquals(one.steps(), other.steps());
+        assertEquals(one.processedEvents(), other.processedEvents());
         assertEquals(one.view(3), other.view(3));
     }
 
     /** So that a failing run can be kept and played again. */
     @Test
-    void aFaultIsWrittenAndReadAgain() {
+    void faultsCanBeParsedFromTheirText() {
         FleetExplorer explorer = new FleetExplorer(10);
-        List<FleetFault> faults = explorer.draw(3);
-        List<FleetFault> read = faults.stream().map(f -> FleetFault.parse(f.toString())).toList();
-        assertEquals(faults, read);
-        assertNull(explorer.play(3, read).broken());
+        List<FleetFault> faults = explorer.drawFaults(3);
+        List<FleetFault> parsed = faults.stream().map(f -> FleetFault.parse(f.toString())).toList();
+        assertEquals(faults, parsed);
+        assertNull(explorer.run(3, parsed).violation());
     }
 }
