--- a/src/main/java/passhatch/lab/distribution/BrokenPromise.java
+++ b/src/main/java/passhatch/lab/distribution/BrokenPromise.java
@@ -1,6 +1,6 @@
 package passhatch.lab.distribution;
 
-/** Something that has to hold of the distribution of changes does not. */
+/** Thrown when an invariant of the distribution of changes does not hold. */
 public final class BrokenPromise extends RuntimeException {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/passhatch/lab/distribution/ConsistencyChecker.java
+++ b/src/main/java/passhatch/lab/distribution/ConsistencyChecker.java
@@ -14,12 +14,13 @@
 import passhatch.distribution.LogEntry;
 
 /**
- * Checks at every event what docs/distribution.md promises. It goes by the records that were forced
- * and by what processes say is in force, not by the state machines' own bookkeeping.
+ * Checks the invariants of docs/distribution.md at every event. It relies on the records forced to
+ * disk and the versions that processes report as applied, not on the state machines' own
+ * bookkeeping.
  */
 public final class ConsistencyChecker implements Observer {
 
-    /** What one process has shown since its start. */
+    /** The epoch and versions that one process has reported since its start. */
     private static final class AppliedState {
         private long epoch;
         private long version;
@@ -36,42 +37,45 @@
     private final Map<Submitted, LogEntry> submitted = new HashMap<>();
     private long reportedChanges;
 
-    /** A checker of runs in which only these keys are changed. */
+    /** Creates a checker for runs in which only these keys are changed. */
     public ConsistencyChecker(Set<String> keys) {
         this.keys = Set.copyOf(keys);
     }
 
-    /** Entries that are committed when the run begins. */
+    /** Adds entries that are committed when the run begins. */
     public void preload(long epoch, List<LogEntry> entries) {
         entries.forEach(entry -> committedEntries(epoch).put(entry.version(), entry));
     }
 
-    /** The operator has raised the epoch; the log of the most complete replica left goes on. */
+    /**
+     * Records that the operator has raised the epoch. The log of the most complete remaining
+     * replica, up to and including {@code lastVersion}, continues in the new epoch.
+     */
     public void raiseEpoch(long from, long to, long lastVersion) {
         committedEntries(to).putAll(committedEntries(from).headMap(lastVersion, true));
     }
 
-    /** A replica's disk is empty from now on. */
+    /** Records that a replica's disk has been emptied. */
     public void diskLost(Node node) {
         lostDisks.add(node);
     }
 
-    /** A change was submitted to a leader and has got a version. */
+    /** Records that a leader has accepted a change and assigned it a version. */
     public void submitted(Node leader, long version, String key, String value) {
         submitted.put(new Submitted(leader, version), new LogEntry(version, 0, key, value));
     }
 
-    /** How many changes were reported to be made. */
+    /** Returns how many submitted changes were reported as committed. */
     public long reportedChanges() {
         return reportedChanges;
     }
 
-    /** The newest committed version of an epoch. */
+    /** Returns the newest committed version of an epoch, or 0 if there is none. */
     public long lastCommitted(long epoch) {
         return committedEntries(epoch).isEmpty() ? 0 : committedEntries(epoch).lastKey();
     }
 
-    /** The value of each key after all committed changes of an epoch. */
+    /** Returns the value of each key after all committed changes of an epoch. */
     public Map<String, String> committedValues(long epoch) {
         Map<String, String> values = new TreeMap<>();
         for (LogEntry entry : committedEntries(epoch).values()) {
@@ -221,13 +225,13 @@
         require(same, node, "reports " + expected + " as made; committed is " + entry);
     }
 
-    /** What was submitted to it in an earlier term may be made or not. */
+    /** The outcome of changes submitted to this leader in an earlier term is unknown. */
     @Override
     public void leaseGranted(Node leader) {
         submitted.keySet().removeIf(change -> change.leader() == leader);
     }
 
-    /** Checks that a node holds the newest state of the keys that it wants. */
+    /** Checks that a node holds the newest state of the keys that it subscribes to. */
     public void requireConverged(Node node, long epoch) {
         require(node.isUp(), node, "does not run");
         Map<String, String> expected = committedValues(epoch);
--- a/src/main/java/passhatch/lab/distribution/DistributionCommand.java
+++ b/src/main/java/passhatch/lab/distribution/DistributionCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command {@code distribution}: plays changes with random faults, by seed. */
+/** The command {@code distribution}, which simulates changes with random faults, by seed. */
 @Command(
         name = "distribution",
         mixinStandardHelpOptions = true,
--- a/src/main/java/passhatch/lab/distribution/Fleet.java
+++ b/src/main/java/passhatch/lab/distribution/Fleet.java
@@ -14,28 +14,28 @@
 import passhatch.distribution.LogEntry;
 import passhatch.lab.Seeds;
 
-/** Builds the nodes of a fleet and what their disks have at the start. */
+/** Builds the nodes of a fleet and the initial contents of their disks. */
 public final class Fleet {
 
-    /** The epoch with which a simulation begins. */
+    /** The epoch in which a simulation starts. */
     public static final long INITIAL_EPOCH = 1;
 
-    /** The term of what is on disks at the start. */
+    /** The term of the entries that are on disks at the start. */
     public static final long INITIAL_TERM = 1;
 
     private static final List<String> SETTING_NAMES =
             List.of("deadline_ms", "max_attempts", "calls_per_second", "max_connections");
 
     /**
-     * How a fleet is made up.
+     * The size and structure of a fleet.
      *
-     * @param replicas how many
-     * @param regions how many; replicas stand in different ones as far as there are enough
-     * @param zones how many over all regions; each has one relay
-     * @param subscribers how many over all zones
-     * @param services how many
-     * @param settingsPerService keys of each service, 1 to 4
-     * @param servicesPerSubscriber how many each subscriber subscribes to
+     * @param replicas number of replicas
+     * @param regions number of regions; replicas are in different ones as far as there are enough
+     * @param zones number of zones over all regions; each has one relay
+     * @param subscribers number of subscribers over all zones
+     * @param services number of services
+     * @param settingsPerService number of keys of each service, 1 to 4
+     * @param servicesPerSubscriber number of services that each subscriber subscribes to
      */
     public record Shape(
             int replicas,
@@ -51,7 +51,7 @@
     private final List<String> replicaNames;
     private final List<LogEntry> initialEntries = new ArrayList<>();
 
-    /** A fleet whose subscriptions are drawn by seed; each key has been set once. */
+    /** Creates a fleet whose subscriptions are drawn by seed; each key has been set once. */
     public Fleet(Shape shape, long seed) {
         this.shape = shape;
         random = new Seeds(seed).stream("subscriptions");
@@ -61,12 +61,12 @@
         }
     }
 
-    /** Its shape. */
+    /** Returns its shape. */
     public Shape shape() {
         return shape;
     }
 
-    /** All keys. */
+    /** Returns all keys. */
     public Set<String> keys() {
         Set<String> keys = new TreeSet<>();
         for (int service = 0; service < shape.services(); service++) {
@@ -78,15 +78,16 @@
         return keys;
     }
 
-    /** What is committed at the start. */
+    /** Returns the entries that are committed at the start. */
     public List<LogEntry> initialEntries() {
         return initialEntries;
     }
 
-    /** Adds all nodes; they do not run yet. */
+    /** Adds all nodes to a simulation; they do not run yet. */
     public void addNodesTo(Simulation simulation) {
         for (int i = 0; i < shape.replicas(); i++) {
-            // Zones are dealt to the regions in turn, so the first ones are in different regions.
+            // Zones are assigned to the regions in turn, so the first ones are in different
+            // regions.
             addNode(
                     simulation,
                     Role.REPLICA,
@@ -127,7 +128,7 @@
         simulation.add(location, settings);
     }
 
-    /** All replicas, one after the other, beginning with one of the region if there is one. */
+    /** Returns all replicas in order, starting with one in the zone's region if there is one. */
     private List<String> replicasForRelay(int zone) {
         List<String> ordered = new ArrayList<>();
         for (int i = 0; i < replicaNames.size(); i++) {
@@ -140,7 +141,7 @@
         return "relay-" + zone;
     }
 
-    /** Another zone of the same region, if there is one. */
+    /** Returns another zone of the same region, or the zone itself if there is none. */
     private int neighbourZone(int zone) {
         int next = zone + shape.regions();
         return next < shape.zones() ? next : zone % shape.regions();
@@ -158,7 +159,7 @@
         return "service-" + service;
     }
 
-    /** What a disk has that holds all entries which a node wants. */
+    /** Returns the records of a disk that holds all initial entries the node subscribes to. */
     public List<DiskRecord> initialDisk(Node node) {
         List<DiskRecord> records = new ArrayList<>();
         if (node.role() == Role.REPLICA) {
@@ -174,7 +175,7 @@
         return records;
     }
 
-    /** Whether a subscriber subscribes to a key. */
+    /** Returns whether a subscriber subscribes to a key. */
     public static boolean subscribesTo(Node subscriber, String key) {
         String service = ConfigKey.serviceOf(key);
         return service == null || subscriber.settings().services().contains(service);
--- a/src/main/java/passhatch/lab/distribution/Location.java
+++ b/src/main/java/passhatch/lab/distribution/Location.java
@@ -1,7 +1,7 @@
 package passhatch.lab.distribution;
 
 /**
- * Where a machine stands.
+ * The location of a machine.
  *
  * @param region index of the region
  * @param zone index of the zone, unique over all regions
--- a/src/main/java/passhatch/lab/distribution/Network.java
+++ b/src/main/java/passhatch/lab/distribution/Network.java
@@ -5,7 +5,7 @@
 import java.util.function.BiPredicate;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Decides of each datagram whether it arrives, how often and when. */
+/** Decides for each datagram whether it arrives, how often and when. */
 public final class Network {
 
     private static final long SAME_ZONE_LATENCY_US = 500;
@@ -16,11 +16,11 @@
     private static final long MAX_EXTRA_DELAY_US = 1_500_000;
 
     /**
-     * What happens to datagrams by chance.
+     * Random loss, duplication and delay of datagrams.
      *
-     * @param loss share of datagrams that get lost
-     * @param duplication share that arrives twice
-     * @param late share that comes late, and so after later ones
+     * @param loss fraction of datagrams that are lost
+     * @param duplication fraction of datagrams that arrive twice
+     * @param late fraction of datagrams that are delayed, so that later ones may overtake them
      */
     public record Quality(double loss, double duplication, double late) {}
 
@@ -29,7 +29,7 @@
     private final Set<BiPredicate<Node, Node>> blocked = new HashSet<>();
     private Quality quality;
 
-    /** A network with a latency between each two regions, drawn once. */
+    /** Creates a network; the latency between each two regions is drawn once. */
     public Network(UniformRandomProvider random, int regions, Quality quality) {
         this.random = random;
         this.quality = quality;
@@ -46,12 +46,12 @@
         }
     }
 
-    /** Loss, duplication and delay from now on. */
+    /** Sets loss, duplication and delay from now on. */
     public void setQuality(Quality quality) {
         this.quality = quality;
     }
 
-    /** Drops all datagrams from the first to the second that match, until {@link #unblock}. */
+    /** Drops all datagrams whose sender and receiver match, until {@link #unblock}. */
     public void block(BiPredicate<Node, Node> fromTo) {
         blocked.add(fromTo);
     }
@@ -66,7 +66,7 @@
         blocked.clear();
     }
 
-    /** Whether no partition is between two nodes, in this direction. */
+    /** Returns whether no block applies to datagrams from one node to another. */
     public boolean connects(Node from, Node to) {
         for (BiPredicate<Node, Node> block : blocked) {
             if (block.test(from, to)) {
--- a/src/main/java/passhatch/lab/distribution/Node.java
+++ b/src/main/java/passhatch/lab/distribution/Node.java
@@ -11,20 +11,20 @@
 import passhatch.distribution.Message;
 import passhatch.distribution.Participant;
 
-/** One simulated process with its disk. */
+/** A simulated process with its disk. */
 public final class Node implements DistributionActions {
 
-    /** What the disk does with records that are to be forced. */
+    /** How the disk handles records that are to be forced. */
     public enum DiskMode {
-        /** They are there. */
+        /** The records are stored. */
         WORKING,
-        /** They are not there, and the process learns it. */
+        /** The records are not stored, and the process gets an error. */
         FAILING,
-        /** They are not there, and the process is told that they are. */
+        /** The records are not stored, but the process gets a success. */
         LYING,
-        /** The process is killed before they are there. */
+        /** The process is killed before the records are stored. */
         CRASH_BEFORE,
-        /** The process is killed once they are there. */
+        /** The process is killed after the records are stored. */
         CRASH_AFTER
     }
 
@@ -51,52 +51,52 @@
         this.random = random;
     }
 
-    /** Its address, which is unique. */
+    /** Returns its address, which is unique. */
     public String address() {
         return settings.self();
     }
 
-    /** Its settings. */
+    /** Returns its settings. */
     public DistributionSettings settings() {
         return settings;
     }
 
-    /** Settings with which it starts the next time. */
+    /** Sets the settings used at its next start. */
     public void setSettings(DistributionSettings settings) {
         this.settings = settings;
     }
 
-    /** Its role. */
+    /** Returns its role. */
     public Role role() {
         return settings.role();
     }
 
-    /** Where it stands. */
+    /** Returns its location. */
     public Location location() {
         return location;
     }
 
-    /** What is on its disk. */
+    /** Returns the records on its disk. */
     public List<DiskRecord> disk() {
         return disk;
     }
 
-    /** Replaces what is on its disk. */
+    /** Replaces the records on its disk. */
     public void setDisk(List<DiskRecord> records) {
         disk = new ArrayList<>(records);
     }
 
-    /** What its disk does from now on. */
+    /** Sets how its disk handles records from now on. */
     public void setDiskMode(DiskMode mode) {
         diskMode = mode;
     }
 
-    /** Its state machine; null while the process does not run. */
+    /** Returns its state machine; null while the process does not run. */
     public Participant participant() {
         return participant;
     }
 
-    /** Whether the process runs; it may be paused. */
+    /** Returns whether the process runs; it may be paused. */
     public boolean isUp() {
         return participant != null;
     }
@@ -105,12 +105,12 @@
         return simulation.nowUs() < pausedUntilUs;
     }
 
-    /** Time that the state machine has taken of a processor. */
+    /** Returns the time spent in calls to the state machine, in nanoseconds. */
     public long busyNanos() {
         return busyNanos;
     }
 
-    /** Starts the process from what is on its disk. */
+    /** Starts the process from the records on its disk. */
     public void start() {
         if (participant != null) {
             throw new IllegalStateException(address() + " runs already");
@@ -129,7 +129,7 @@
         scheduleTimer();
     }
 
-    /** Ends the process; the disk stays. */
+    /** Kills the process; the records on its disk remain. */
     public void kill() {
         participant = null;
         timerGeneration++;
@@ -138,19 +138,24 @@
         }
     }
 
-    /** Stops the process for a while; datagrams wait for it, timers are late. */
+    /**
+     * Pauses the process for this time, in microseconds. Datagrams and timers wait until it ends.
+     */
     public void pause(long durationUs) {
         pausedUntilUs = simulation.nowUs() + durationUs;
     }
 
-    /** Replaces the records on disk by those of the snapshot. */
+    /**
+     * Replaces the records on its disk by those of a snapshot, if the process runs and the disk
+     * works.
+     */
     public void compact() {
         if (participant != null && diskMode == DiskMode.WORKING && !participant.diskFailed()) {
             disk = new ArrayList<>(participant.snapshot());
         }
     }
 
-    /** Calls the state machine, if the process runs. */
+    /** Invokes an action on the state machine, if the process runs. */
     public void invoke(Consumer<Participant> action) {
         if (participant == null) {
             return;
--- a/src/main/java/passhatch/lab/distribution/Observer.java
+++ b/src/main/java/passhatch/lab/distribution/Observer.java
@@ -3,27 +3,27 @@
 import java.util.List;
 import passhatch.distribution.DiskRecord;
 
-/** Is told what happens in a simulation, in order. */
+/** Observes the events of a simulation, in order. */
 public interface Observer {
 
-    /** A process starts, or starts again from its disk. */
+    /** Called when a process has started or restarted from its disk. */
     default void started(Node node) {}
 
-    /** A replica is to lead in a new term. */
+    /** Called before a replica is granted the lease in a new term. */
     default void leaseGranted(Node node) {}
 
-    /** Records are on a node's disk. */
+    /** Called when records have been forced to a node's disk. */
     default void recordsForced(Node node, List<DiskRecord> records) {}
 
-    /** The state in force at a node has reached a version. */
+    /** Called when the state applied at a node has reached a version. */
     default void versionApplied(Node node, long epoch, long version) {}
 
-    /** A leader has told that a change which was submitted to it is made. */
+    /** Called when a leader reports a change submitted to it as committed. */
     default void commitReported(Node node, long version) {}
 
-    /** A datagram is sent. */
+    /** Called when a datagram is sent. */
     default void sent(Node from, int bytes) {}
 
-    /** A datagram arrives. */
+    /** Called when a datagram arrives. */
     default void received(Node to, int bytes) {}
 }
--- a/src/main/java/passhatch/lab/distribution/RandomRun.java
+++ b/src/main/java/passhatch/lab/distribution/RandomRun.java
@@ -7,17 +7,22 @@
 import passhatch.distribution.InvalidChangeException;
 import passhatch.lab.Seeds;
 
-/** A small fleet with changes and random faults, all by seed, that has to converge afterwards. */
+/**
+ * A run of a small fleet with changes and random faults, all by seed, after which it has to
+ * converge.
+ */
 public final class RandomRun {
 
     private static final long SECOND_US = 1_000_000;
     private static final long FAULT_PERIOD_US = 40 * SECOND_US;
     private static final long CHANGE_PERIOD_US = FAULT_PERIOD_US + 10 * SECOND_US;
 
-    /** From the last change to the same state everywhere; longer than the lease by much. */
+    /**
+     * Time from the last change until all nodes have the same state; much longer than the lease.
+     */
     private static final long CONVERGENCE_TIMEOUT_US = 15 * SECOND_US;
 
-    /** Several times what a run sends. */
+    /** Several times the number of datagrams that a run sends. */
     private static final long MAX_DATAGRAMS = 400_000;
 
     private static final long MEAN_CHANGE_INTERVAL_US = 150_000;
@@ -26,11 +31,11 @@
     private static final int DELETE_ONE_IN = 6;
 
     /**
-     * What came of a run.
+     * The outcome of a run.
      *
-     * @param violation what did not hold, or null
-     * @param submitted changes that a leader took
-     * @param reported changes that were reported to be made
+     * @param violation the invariant that did not hold, or null
+     * @param submitted number of changes that a leader accepted
+     * @param reported number of changes that were reported as committed
      */
     public record Outcome(long seed, String violation, long submitted, long reported) {}
 
@@ -123,7 +128,7 @@
                     try {
                         versions.add(p.submit(simulation.nowUs(), key, value, -1));
                     } catch (InvalidChangeException rejected) {
-                        // Allowed at any time: it leads no longer, or too many changes wait.
+                        // Allowed at any time: the node leads no longer, or too many changes wait.
                     }
                 });
         for (long version : versions) {
--- a/src/main/java/passhatch/lab/distribution/ReplicaDiskView.java
+++ b/src/main/java/passhatch/lab/distribution/ReplicaDiskView.java
@@ -5,13 +5,15 @@
 import passhatch.distribution.DiskRecord;
 import passhatch.distribution.LogEntry;
 
-/** The log on a replica's disk, from the records that were forced, without the product's code. */
+/**
+ * The log on a replica's disk, derived from the forced records independently of the product's code.
+ */
 final class ReplicaDiskView {
 
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private long baseVersion;
 
-    /** Takes a record in; the entries that it removes from the log. */
+    /** Applies a record. Returns the entries that it removes from the log. */
     NavigableMap<Long, LogEntry> apply(DiskRecord record) {
         NavigableMap<Long, LogEntry> removed = new TreeMap<>();
         if (record instanceof DiskRecord.Appended of) {
@@ -27,7 +29,7 @@
         return removed;
     }
 
-    /** Whether an entry at a version is part of the state at which the log begins. */
+    /** Returns whether a version is part of the state at which the log begins. */
     boolean isInBase(long version) {
         return version <= baseVersion;
     }
--- a/src/main/java/passhatch/lab/distribution/SimulatedCrash.java
+++ b/src/main/java/passhatch/lab/distribution/SimulatedCrash.java
@@ -1,6 +1,6 @@
 package passhatch.lab.distribution;
 
-/** Ends a simulated process in the middle of what it does. */
+/** Thrown to end a simulated process in the middle of an operation. */
 final class SimulatedCrash extends RuntimeException {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/passhatch/lab/distribution/SimulatedLease.java
+++ b/src/main/java/passhatch/lab/distribution/SimulatedLease.java
@@ -4,15 +4,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Stands in for the lease of the duty {@code changes}: has one replica lead, and another one if it
- * is down or does not get on. Terms strictly grow. A faulty lease can be had by {@link
- * #grantWithoutRevoking}: the former holder is not told.
+ * Simulates the lease of the duty {@code changes}: it makes one replica the leader, and another one
+ * if the first is down or makes no progress. Terms strictly increase. {@link #grantWithoutRevoking}
+ * simulates a faulty lease: the previous holder is not notified.
  */
 public final class SimulatedLease {
 
     private static final long CHECK_INTERVAL_US = 200_000;
 
-    /** How long a lease lasts unless {@link #setLeaseUs} says otherwise. */
+    /** The default lease duration, which {@link #setLeaseUs} changes. */
     public static final long DEFAULT_LEASE_US = 4_000_000;
 
     private final Simulation simulation;
@@ -23,7 +23,7 @@
     private long term;
     private long stalledSinceUs = Long.MAX_VALUE;
 
-    /** Leases among replicas, the first granted at once. */
+    /** Creates a lease for these replicas; the terms that it grants start after {@code term}. */
     public SimulatedLease(
             Simulation simulation, List<Node> replicas, UniformRandomProvider random, long term) {
         this.simulation = simulation;
@@ -33,22 +33,22 @@
         simulation.setStepDownListener(this::steppedDown);
     }
 
-    /** Starts to grant leases. */
+    /** Grants the first lease and starts checking its holder. */
     public void start() {
         checkHolder();
     }
 
-    /** Leases last this long from now on. */
+    /** Sets the lease duration from now on, in microseconds. */
     public void setLeaseUs(long durationUs) {
         leaseUs = durationUs;
     }
 
-    /** Who holds the lease; null for nobody. */
+    /** Returns the holder of the lease, or null if there is none. */
     public Node holder() {
         return holder;
     }
 
-    /** Has a replica lead though another one may hold the lease. */
+    /** Grants the next term to a replica, although another one may hold the lease. */
     public void grantWithoutRevoking(Node replica) {
         long newTerm = ++term;
         simulation.observer().leaseGranted(replica);
--- a/src/main/java/passhatch/lab/distribution/Simulation.java
+++ b/src/main/java/passhatch/lab/distribution/Simulation.java
@@ -16,24 +16,27 @@
 import passhatch.lab.sim.EventQueue;
 
 /**
- * Processes of the distribution in simulated time. All that is drawn depends on the seed only, so a
- * run can be repeated.
+ * Simulates the processes of the distribution in virtual time. All random draws depend on the seed
+ * only, so a run can be repeated.
  */
 public final class Simulation {
 
     private static final String FLEET_NAME = "simulated";
 
-    /** Changes messages on their way, to play a faulty program; null drops one. */
+    /** Replaces or drops messages in transit, to simulate a faulty process. */
     public interface MessageInterceptor {
-        /** The message that is sent in place of this one. */
+        /** Returns the message to send in place of this one; null drops it. */
         Message onSend(Node from, Node to, Message message);
     }
 
-    /** How much is done for each datagram and record. */
+    /** How closely datagrams and disks are simulated. */
     public enum Fidelity {
-        /** Each datagram is encoded and decoded; disks are kept. */
+        /** Each datagram is encoded and decoded; disks keep their records. */
         FULL,
-        /** Each datagram is encoded, one in some decoded; records are counted, not kept. */
+        /**
+         * Each datagram is encoded, but only one in {@code DECODE_ONE_IN} is decoded; disks do not
+         * keep forced records.
+         */
         SAMPLED
     }
 
@@ -50,7 +53,7 @@
     private long datagrams;
     private long maxDatagrams = Long.MAX_VALUE;
 
-    /** An empty simulation. */
+    /** Creates a simulation without nodes. */
     public Simulation(long seed, Network network, Fidelity fidelity, Observer observer) {
         this.network = network;
         this.fidelity = fidelity;
@@ -65,24 +68,24 @@
         return node;
     }
 
-    /** All nodes in the order in which they were added. */
+    /** Returns all nodes in the order in which they were added. */
     public Collection<Node> nodes() {
         return nodes.values();
     }
 
-    /** The node of an address. */
+    /** Returns the node with an address, or null if there is none. */
     public Node node(String address) {
         return nodes.get(address);
     }
 
-    /** The nodes of a role. */
+    /** Returns the nodes with a role. */
     public List<Node> nodes(Role role) {
         List<Node> matching = new ArrayList<>();
         nodes.values().stream().filter(node -> node.role() == role).forEach(matching::add);
         return matching;
     }
 
-    /** The network between the nodes. */
+    /** Returns the network between the nodes. */
     public Network network() {
         return network;
     }
@@ -95,12 +98,12 @@
         return fidelity == Fidelity.FULL;
     }
 
-    /** Changes messages from now on. */
+    /** Sets the interceptor of all messages sent from now on. */
     public void setInterceptor(MessageInterceptor interceptor) {
         this.interceptor = interceptor;
     }
 
-    /** Is told when a leader gives up its term. */
+    /** Sets the listener that is called when a leader steps down, with its term. */
     public void setStepDownListener(BiConsumer<Node, Long> listener) {
         stepDownListener = listener;
     }
@@ -109,22 +112,22 @@
         queue.scheduleAfter(0, () -> stepDownListener.accept(node, term));
     }
 
-    /** Simulated time in microseconds. */
+    /** Returns the simulated time in microseconds. */
     public long nowUs() {
         return queue.nowUs();
     }
 
-    /** Has something done at a time. */
+    /** Schedules an action at a time, in microseconds. */
     public void at(long atUs, Runnable action) {
         queue.scheduleAt(atUs, action);
     }
 
-    /** Has something done after a while. */
+    /** Schedules an action after a delay, in microseconds. */
     public void after(long delayUs, Runnable action) {
         queue.scheduleAfter(delayUs, action);
     }
 
-    /** Lets time pass. */
+    /** Runs all events up to this time, in microseconds. */
     public void runUntil(long endUs) {
         for (Runnable next = queue.pollUntil(endUs); next != null; next = queue.pollUntil(endUs)) {
             next.run();
@@ -156,7 +159,9 @@
         }
     }
 
-    /** Takes more datagrams than these in the whole run for a storm, which is a fault. */
+    /**
+     * Sets the most datagrams of a run; more count as a message storm and end it with an exception.
+     */
     public void setMaxDatagrams(long max) {
         maxDatagrams = max;
     }
--- a/src/main/java/passhatch/lab/distribution/package-info.java
+++ b/src/main/java/passhatch/lab/distribution/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Simulated replicas, relays and subscribers of configuration changes, and what is checked of them.
- */
+/** Simulates replicas, relays and subscribers of configuration changes, and checks invariants. */
 package passhatch.lab.distribution;
--- a/src/main/java/passhatch/lab/fleet/FleetCommand.java
+++ b/src/main/java/passhatch/lab/fleet/FleetCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code fleet}: measures membership in simulated time. */
+/** The command {@code fleet}, which measures membership in simulated time. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -34,7 +34,7 @@
 
     private FleetCommand() {}
 
-    /** The command with its own commands. */
+    /** Creates the command line with all subcommands. */
     public static CommandLine line() {
         return new CommandLine(new FleetCommand())
                 .addSubcommand(new Steady())
@@ -44,7 +44,7 @@
                 .addSubcommand(new Explore());
     }
 
-    /** What all of them take. */
+    /** The options that all subcommands share. */
     private abstract static class Experiment implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
@@ -102,8 +102,8 @@
         }
 
         /**
-         * A fleet that has started on a fair network, agrees, and then has had the wanted one for a
-         * while.
+         * Starts a fleet on a reliable network, waits until the views converge, then runs it for 20
+         * s under the given network conditions.
          */
         FleetSim convergedFleet(long runSeed) {
             FleetSim sim = FleetSim.fleet(runSeed, members);
@@ -117,7 +117,7 @@
             return sim;
         }
 
-        /** Does something with each seed, on all cores. */
+        /** Runs an experiment with each seed, on all cores. */
         void forEachSeed(LongUnaryOperator experiment) {
             if (quiet) {
                 LongStream.range(seed, seed + seeds).parallel().forEach(experiment::applyAsLong);
@@ -139,7 +139,10 @@
             }
         }
 
-        /** Times of all seeds, told by median and worst; 1 where one never came. */
+        /**
+         * Measures a duration with each seed and prints the median and the worst. Returns exit
+         * status 1 if the experiment timed out for some seed.
+         */
         int measureTimes(PrintWriter out, String description, LongUnaryOperator experiment) {
             List<Long> durationsUs = Collections.synchronizedList(new ArrayList<>());
             forEachSeed(
@@ -309,8 +312,8 @@
             for (int size : SIZES) {
                 if (size <= members()) {
                     FleetSim sim = FleetSim.fleet(1, size);
-                    // Else the news of the start is under way for minutes, and costs what n^2 facts
-                    // do.
+                    // A start without converged views would send n^2 member updates, which takes
+                    // minutes.
                     sim.startAllConverged();
                     sim.setNetworkConditions(networkConditions());
                     sim.runFor(60 * SECOND_US);
--- a/src/main/java/passhatch/lab/fleet/FleetExplorer.java
+++ b/src/main/java/passhatch/lab/fleet/FleetExplorer.java
@@ -16,13 +16,15 @@
 import passhatch.lab.Seeds;
 
 /**
- * Draws faults by seed, plays them on a simulated fleet, and checks what must hold: statements
- * about a member only get newer; nobody that no fault came near is taken for failed; and once all
- * is over, views agree.
+ * Draws faults by seed, injects them into a simulated fleet and checks the invariants: updates
+ * about a member only get newer, no member is seen as failed without a fault that affects it, and
+ * views agree after the last fault.
  */
 public final class FleetExplorer {
 
-    /** Until views agree after the last fault, at most; the goal for a partition that heals. */
+    /**
+     * Time in which views must agree after the last fault; the target for a partition that heals.
+     */
     public static final long CONVERGENCE_TIMEOUT_US = 30_000_000;
 
     private static final long FAULT_PERIOD_MS = 120_000;
@@ -31,21 +33,22 @@
     private static final long CHECK_INTERVAL_US = 500_000;
 
     /**
-     * What came of a run.
+     * The outcome of a run.
      *
-     * @param violation what did not hold, or null
-     * @param convergenceUs how long after the last fault views agreed; -1 where they did not
+     * @param violation the first invariant that did not hold, or null
+     * @param convergenceUs time from the last fault until views agreed, in microseconds; -1 if they
+     *     did not
      */
     public record Outcome(String violation, long convergenceUs) {}
 
     private final int members;
 
-    /** For fleets of this size. */
+    /** Creates an explorer for fleets of this size. */
     public FleetExplorer(int members) {
         this.members = members;
     }
 
-    /** The faults of a seed, in the order of their times. */
+    /** Returns the faults of a seed, ordered by time. */
     public List<FleetFault> drawFaults(long seed) {
         UniformRandomProvider random = new Seeds(seed).stream("faults");
         FleetFault.Kind[] kinds = FleetFault.Kind.values();
@@ -66,7 +69,7 @@
         return faults;
     }
 
-    /** Plays faults; the seed is that of the processes and the network. */
+    /** Runs a fleet with these faults; the seed is that of the processes and the network. */
     public Outcome run(long seed, List<FleetFault> faults) {
         FleetSim sim = FleetSim.fleet(seed, members);
         InvariantChecker checker = new InvariantChecker(faults);
@@ -81,7 +84,7 @@
             endMs = Math.max(endMs, fault.endMs());
         }
         sim.runFor(endMs * 1000 + 1);
-        // The weather clears last, as 30 % loss for good leaves news under way for good.
+        // The network becomes reliable last: with 30 % loss that lasts, updates stay in transit.
         sim.setNetworkConditions(FleetSim.NetworkConditions.RELIABLE);
         for (int i = 0; i < members; i++) {
             sim.cont(i);
@@ -133,7 +136,7 @@
         }
     }
 
-    /** Cuts of the network that overlap: a datagram has to pass all. */
+    /** The partitions in effect. They may overlap: a datagram has to pass all of them. */
     private static final class Partitions {
         private final Set<BiPredicate<Integer, Integer>> filters = new HashSet<>();
 
@@ -147,7 +150,7 @@
         }
     }
 
-    /** What must hold at every moment. */
+    /** Checks the invariants that must hold at all times. */
     private final class InvariantChecker {
         private final Set<String> affectedMembers;
         private final boolean networkDivided;
@@ -165,7 +168,7 @@
         }
 
         void statusChanged(long atUs, int observer, Status before, MemberInfo after) {
-            // A process that starts anew knows nothing at first.
+            // A process that has just started has an empty view.
             String key = observer + " of " + after.name();
             Incarnation known = before == null ? null : lastIncarnations.get(key);
             if (known != null) {
@@ -204,7 +207,8 @@
     }
 
     /**
-     * Leaves faults out as long as the run is still bad; what is left is bad without any of them.
+     * Removes each fault without which the run still violates an invariant. Returns the faults that
+     * are left.
      */
     public List<FleetFault> shrink(long seed, List<FleetFault> faults) {
         List<FleetFault> needed = new ArrayList<>(faults);
--- a/src/main/java/passhatch/lab/fleet/FleetFault.java
+++ b/src/main/java/passhatch/lab/fleet/FleetFault.java
@@ -3,46 +3,57 @@
 import java.util.Locale;
 
 /**
- * A fault in a simulated fleet, in one line: {@code 12000 stop 3 40000} is SIGSTOP of process 3 at
- * 12 s for 40 s.
+ * A fault in a simulated fleet. Its text form is one line: {@code 12000 stop 3 40000} is SIGSTOP of
+ * process 3 at 12 s for 40 s.
  *
- * @param atMs since the beginning of the faults
- * @param target a process; for what concerns the network, how it is divided
- * @param value milliseconds that it lasts, or a share in percent
+ * @param atMs time since the start of the fault period, in milliseconds
+ * @param target index of the process; for faults that divide the network, the divisor that selects
+ *     processes
+ * @param value duration or clock offset in milliseconds, or lost datagrams in percent
  */
 public record FleetFault(long atMs, Kind kind, int target, long value) {
 
-    /** What happens. All of it is over, or undone, after a while. */
+    /** The kind of a fault. Its effect ends, or is undone, by the end of a run. */
     public enum Kind {
-        /** Killed, and started again after the value's time. */
+        /** The process is killed, and started again after the duration. */
         KILL,
-        /** Says that it goes, and is started again after the value's time. */
+        /** The process leaves, and is started again after the duration, 1.5 s at least. */
         LEAVE,
-        /** Held for the value's time. */
+        /** The process is stopped for the duration. */
         STOP,
-        /** Its clock moves on by the value. */
+        /** The clock of the process jumps forward by the value. */
         JUMP,
         /**
-         * Its machine is set back by two starts, and it is started again after the value's time.
+         * The process is killed, its disk is rolled back by two starts, and it is started again
+         * after the duration.
          */
         SET_BACK,
-        /** Every k-th process, k the target, is cut off from the others for the value's time. */
+        /**
+         * Processes exchange datagrams only with those whose index is the same modulo the target,
+         * for the duration.
+         */
         PARTITION,
-        /** What those send to the others is lost for the value's time. */
+        /**
+         * Datagrams from every k-th process, with k the target, to the others are lost for the
+         * duration.
+         */
         ONE_WAY,
         /**
-         * The value's percent of all datagrams are lost from now on, and a tenth are doubled and
-         * late.
+         * From now on, the value's percent of all datagrams are lost, a tenth are duplicated and a
+         * tenth are late.
          */
         WEATHER
     }
 
-    /** When it is over. */
+    /** Returns the time at which the fault ends. */
     long endMs() {
         return atMs + (kind == Kind.WEATHER || kind == Kind.JUMP ? 0 : value);
     }
 
-    /** Whether processes may rightly be taken for failed by it that it is not done to. */
+    /**
+     * Returns whether the fault divides the network, so that processes other than its target may
+     * rightly be seen as failed.
+     */
     boolean dividesNetwork() {
         return kind == Kind.PARTITION || kind == Kind.ONE_WAY;
     }
@@ -52,7 +63,7 @@
         return atMs + " " + kind.name().toLowerCase(Locale.ROOT) + " " + target + " " + value;
     }
 
-    /** Reads the form that {@link #toString} writes. */
+    /** Parses the form that {@link #toString} writes. */
     public static FleetFault parse(String line) {
         String[] fields = line.strip().split(" ");
         if (fields.length != 4) {
--- a/src/main/java/passhatch/lab/fleet/FleetSim.java
+++ b/src/main/java/passhatch/lab/fleet/FleetSim.java
@@ -22,45 +22,48 @@
 import passhatch.lab.Seeds;
 
 /**
- * A fleet in simulated time, on one thread: the same seed and the same calls give the same run.
- * Process i has place i in every process's list of addresses; several processes may claim one name.
+ * A single-threaded simulation of a fleet; the same seed and the same calls give the same run.
+ * Process i has index i in every process's list of addresses; several processes may use one name.
  */
 public final class FleetSim {
 
-    /** Datagrams that wait at a process that does not read them, at most; then they are lost. */
+    /** Datagrams that a socket buffers for a stopped process; further ones are lost. */
     private static final int SOCKET_BUFFER_DATAGRAMS = 256;
 
-    /** That a process sends at most when nothing is configured. */
+    /** The send rate limit of a process that configures none. */
     public static final long DEFAULT_BYTES_PER_SECOND = 16_384;
 
     /**
-     * What happens to datagrams; times in microseconds.
+     * Loss, duplication and delay of datagrams.
      *
-     * @param loss share that never arrives
-     * @param duplication share that arrives twice
-     * @param late share that takes a hundred times as long
-     * @param minDelayUs that each takes at least
-     * @param jitterUs and up to so much more
+     * @param loss fraction of datagrams that are lost
+     * @param duplication fraction of datagrams that arrive twice
+     * @param late fraction of datagrams that take a hundred times as long
+     * @param minDelayUs least delay, in microseconds
+     * @param jitterUs greatest random addition to the delay, in microseconds
      */
     public record NetworkConditions(
             double loss, double duplication, double late, long minDelayUs, long jitterUs) {
-        /** A local network on which all is well. */
+        /** A local network without loss, duplicates or late datagrams. */
         public static final NetworkConditions RELIABLE = new NetworkConditions(0, 0, 0, 200, 800);
 
-        /** The same, losing three in ten. */
+        /** The same network with three in ten datagrams lost. */
         public static final NetworkConditions LOSSY = new NetworkConditions(0.3, 0, 0, 200, 800);
     }
 
-    /** Hears whatever a process comes to think of a member. */
+    /** Listens for changes of a member's status in the view of a process. */
     public interface StatusListener {
-        /** At a time of the simulation, process {@code observer} has changed its mind. */
+        /**
+         * Called when the view of process {@code observer} changes; {@code before} is null for a
+         * new member.
+         */
         void statusChanged(long atUs, int observer, Status before, MemberInfo after);
     }
 
     private record Event(
             long atUs, long sequenceNumber, int to, int from, byte[] datagram, Runnable action) {}
 
-    /** One process and its machine. */
+    /** One process with the disk and the clock of its machine. */
     private final class Node implements FleetActions {
         private final int index;
         private final FleetSettings settings;
@@ -153,7 +156,7 @@
     private long sentBytes;
     private long processedEvents;
 
-    /** No process runs yet; process i has the i-th of these settings. */
+    /** Creates a fleet in which process i has the i-th of these settings; no process runs yet. */
     public FleetSim(long seed, List<FleetSettings> settings) {
         this.seeds = new Seeds(seed);
         this.random = seeds.stream("network");
@@ -162,12 +165,12 @@
         }
     }
 
-    /** Settings as they are when nothing is configured, for a process of a fleet of this size. */
+    /** Returns the default settings of a process in a fleet of this size. */
     public static FleetSettings settings(int index, int members) {
         return settings("n" + index, index, members);
     }
 
-    /** The same for a name of one's own. */
+    /** Returns the default settings of a process with this name. */
     public static FleetSettings settings(String name, int index, int members) {
         return settings(name, index, members, DEFAULT_BYTES_PER_SECOND);
     }
@@ -186,12 +189,14 @@
                 3_600_000_000L);
     }
 
-    /** All processes of a fleet, each with a name of its own. */
+    /**
+     * Creates a fleet of processes with distinct names; process i is named {@code n} followed by i.
+     */
     public static FleetSim fleet(long seed, int members) {
         return fleet(seed, members, DEFAULT_BYTES_PER_SECOND);
     }
 
-    /** The same with another limit on what each may send. */
+    /** Creates a fleet of processes with distinct names and this send rate limit each. */
     public static FleetSim fleet(long seed, int members, long bytesPerSecond) {
         List<FleetSettings> settings = new ArrayList<>();
         for (int i = 0; i < members; i++) {
@@ -204,7 +209,7 @@
         networkConditions = conditions;
     }
 
-    /** Whether a datagram from one process to another passes, from now on. */
+    /** Sets which datagrams may pass from now on, by the indexes of the sender and the receiver. */
     public void setConnectivity(BiPredicate<Integer, Integer> fromTo) {
         connectivity = fromTo;
     }
@@ -213,7 +218,7 @@
         statusListener = listener;
     }
 
-    /** Microseconds since the beginning. */
+    /** Returns the simulated time in microseconds. */
     public long nowUs() {
         return nowUs;
     }
@@ -222,27 +227,27 @@
         return nodes.size();
     }
 
-    /** Lines that processes wrote for those on call. */
+    /** Returns the warnings that processes have given for the operator, each with its time. */
     public List<String> warnings() {
         return warnings;
     }
 
-    /** Datagrams that were sent so far. */
+    /** Returns how many datagrams all processes have sent so far. */
     public long sentDatagrams() {
         return sentDatagrams;
     }
 
-    /** Bytes of those. */
+    /** Returns how many bytes all processes have sent so far. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** Events that were played so far. */
+    /** Returns how many events have been processed so far. */
     public long processedEvents() {
         return processedEvents;
     }
 
-    /** Starts a process that does not run; its disk has kept the epoch. */
+    /** Starts a process unless it runs, in the epoch after the one on its disk. */
     public void start(int index) {
         Node node = nodes.get(index);
         if (node.membership == null) {
@@ -268,7 +273,7 @@
         }
     }
 
-    /** Starts all processes, each of which knows all others from the beginning. */
+    /** Starts all processes with views that already contain all others. */
     public void startAllConverged() {
         startAll();
         Membership.Snapshot all =
@@ -279,18 +284,20 @@
         }
     }
 
-    /** How many members a running process sees as present, itself and suspects among them. */
+    /**
+     * Returns how many members a running process sees as present, including itself and suspects.
+     */
     public int presentCount(int index) {
         return nodes.get(index).membership.presentCount();
     }
 
-    /** Ends a process without a word. */
+    /** Ends a process without notice to the other members. */
     public void kill(int index) {
         nodes.get(index).membership = null;
         nodes.get(index).receiveBuffer.clear();
     }
 
-    /** Has a process say that it goes, and ends it a second later. */
+    /** Makes a process announce that it leaves, and ends it one second later. */
     public void leave(int index) {
         Node node = nodes.get(index);
         if (node.membership != null) {
@@ -307,17 +314,17 @@
         }
     }
 
-    /** Does something at a time from now on, in microseconds. */
+    /** Runs an action after a delay in microseconds. */
     public void after(long delayUs, Runnable action) {
         events.add(new Event(nowUs + delayUs, nextSequenceNumber++, -1, -1, null, action));
     }
 
-    /** As SIGSTOP: it does nothing, and datagrams wait for it. */
+    /** Stops a process as SIGSTOP does; its socket buffers datagrams meanwhile. */
     public void stop(int index) {
         nodes.get(index).stopped = true;
     }
 
-    /** As SIGCONT. */
+    /** Continues a stopped process as SIGCONT does; it first receives the buffered datagrams. */
     public void cont(int index) {
         Node node = nodes.get(index);
         if (node.stopped) {
@@ -332,7 +339,7 @@
         }
     }
 
-    /** A process's clock moves on by so much in one piece, or back. */
+    /** Moves the clock of a process at once, backwards if the offset is negative. */
     public void jumpClock(int index, long offsetUs) {
         Node node = nodes.get(index);
         node.clockOffsetUs += offsetUs;
@@ -342,14 +349,14 @@
         }
     }
 
-    /** A machine's disk is set back by so many starts of its process. */
+    /** Restores a machine's disk to its state this many starts of its process ago. */
     public void rollBackDisk(int index, int starts) {
         nodes.get(index).persistedEpoch = Math.max(0, nodes.get(index).persistedEpoch - starts);
     }
 
     /**
-     * Makes a process slow for good: it is held for a while, works for a while, held again, and so
-     * on.
+     * Makes a process alternate between running and being stopped for the rest of the simulation,
+     * each for a random time up to its maximum.
      */
     public void stopRepeatedly(int index, long maxStoppedUs, long maxRunningUs) {
         UniformRandomProvider stopRandom = seeds.stream("slow-" + index);
@@ -371,7 +378,7 @@
                 });
     }
 
-    /** Plays so much more time. */
+    /** Advances the simulation by this time, in microseconds. */
     public void runFor(long durationUs) {
         long endUs = nowUs + durationUs;
         while (!events.isEmpty() && events.peek().atUs() <= endUs) {
@@ -411,7 +418,7 @@
         }
     }
 
-    /** Whether a process runs, be it held or not. */
+    /** Returns whether a process runs; it may be stopped. */
     public boolean isRunning(int index) {
         return nodes.get(index).membership != null;
     }
@@ -420,12 +427,15 @@
         return nodes.get(index).stopped;
     }
 
-    /** What a running process thinks. */
+    /** Returns the members in the view of a running process. */
     public List<MemberInfo> view(int index) {
         return nodes.get(index).membership.members();
     }
 
-    /** What a running process thinks of a member; null where it knows none of that name. */
+    /**
+     * Returns the status of a member in the view of a running process; null if the view has no
+     * member of that name.
+     */
     public Status statusInView(int index, String name) {
         return view(index).stream()
                 .filter(m -> m.name().equals(name))
@@ -442,7 +452,10 @@
         return nodes.get(index).membership.superseded();
     }
 
-    /** Whether all processes that run and are not held have the same view, but for suspicion. */
+    /**
+     * Returns whether all processes that run and are neither stopped nor superseded have the same
+     * view, apart from suspicions.
+     */
     public boolean viewsAgree() {
         return nodes.stream()
                         .filter(Node::participates)
@@ -453,8 +466,8 @@
     }
 
     /**
-     * Whether each process that runs and is not held sees just those as present, and itself among
-     * them.
+     * Returns whether each process that runs and is neither stopped nor superseded sees exactly
+     * those processes as present, including itself.
      */
     public boolean viewsAreAccurate() {
         Set<String> running =
@@ -468,8 +481,8 @@
     }
 
     /**
-     * Plays on until something holds, looking every so often; microseconds it took, or -1 if it did
-     * not.
+     * Runs until a condition holds, checking it at an interval. Returns the time it took in
+     * microseconds, or -1 if it did not hold within the timeout.
      */
     public long runUntil(BooleanSupplier condition, long checkIntervalUs, long timeoutUs) {
         long startUs = nowUs;
@@ -482,12 +495,15 @@
         return nowUs - startUs;
     }
 
-    /** Datagrams and bytes that a process has sent, and what it did not take. */
+    /**
+     * Returns the metrics of a running process: datagrams and bytes sent and datagrams dropped,
+     * among others.
+     */
     public Membership.Metrics metrics(int index) {
         return nodes.get(index).membership.metrics();
     }
 
-    /** Datagrams that a process has dropped for a reason. */
+    /** Returns how many datagrams a running process has dropped for a reason. */
     public long dropped(int index, DropReason reason) {
         return metrics(index).dropped().getOrDefault(reason, 0L);
     }
--- a/src/main/java/passhatch/lab/fleet/package-info.java
+++ b/src/main/java/passhatch/lab/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Membership in simulated time: the program's own state machine, with a network and processes that
- * fail.
+ * Simulates membership in virtual time: the product's own state machine, with a network and
+ * processes that fail.
  */
 package passhatch.lab.fleet;
--- a/src/test/java/passhatch/lab/distribution/ConsistencyCheckerTest.java
+++ b/src/test/java/passhatch/lab/distribution/ConsistencyCheckerTest.java
@@ -11,7 +11,9 @@
 import passhatch.distribution.Message.Append;
 import passhatch.distribution.Message.Delta;
 
-/** The checker finds deliberate faults: what it passes means something. */
+/**
+ * Tests that the checker detects deliberate faults, so that a run which it passes is meaningful.
+ */
 final class ConsistencyCheckerTest {
 
     private static final String KEY = "service/service-0/deadline_ms";
@@ -53,8 +55,9 @@
     }
 
     /**
-     * Figure 8 of Ongaro and Ousterhout (2014): an entry of an older term is on a majority, and a
-     * faulty leader commits it by that count. A log with a higher last term then replaces it.
+     * Figure 8 of Ongaro and Ousterhout (2014): an entry of an older term is on a majority of
+     * replicas, and a faulty leader commits it by that count. A log with a higher last term then
+     * replaces it.
      */
     @Test
     void detectsALeaderThatCommitsAnEntryOfAnOlderTermByCount() {
@@ -94,7 +97,10 @@
         assertTrue(run.replica(4).participant().isLeading());
     }
 
-    /** Has a replica lead among some, and lets its first entry reach only a part of them. */
+    /**
+     * Makes a replica the leader among some peers, and lets its first entry reach only the given
+     * receivers.
+     */
     private static void makeLeaderReaching(
             ScriptedRun run, int leader, List<Integer> peers, List<Integer> receivers) {
         run.connectOnly(leader, peers);
--- a/src/test/java/passhatch/lab/distribution/DistributionFaultsTest.java
+++ b/src/test/java/passhatch/lab/distribution/DistributionFaultsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The cases of the table in docs/distribution.md, each with the checker running. */
+/** Tests each case of the table in docs/distribution.md, with the consistency checker running. */
 final class DistributionFaultsTest {
 
     private static final String KEY = "fleet/deadline_ms";
@@ -23,16 +23,18 @@
                         DistributionFaultsTest::leaderKilled),
                 testCase("two replicas lead after a partition", DistributionFaultsTest::twoLeaders),
                 testCase(
-                        "paused leader goes on with an old term",
+                        "paused leader continues with an old term",
                         DistributionFaultsTest::pausedLeader),
-                testCase("half of the replicas lost", DistributionFaultsTest::majorityLost),
+                testCase("majority of the replicas lost", DistributionFaultsTest::majorityLost),
                 testCase("replica with an empty disk", DistributionFaultsTest::emptyDisk),
                 testCase(
-                        "replica away for longer than the log",
+                        "replica down for longer than the log reaches back",
                         DistributionFaultsTest::replicaDownForLong),
                 testCase("relay of a zone killed", DistributionFaultsTest::relayKilled),
-                testCase("zone cut off during a change", DistributionFaultsTest::zonePartitioned),
-                testCase("agent off for a day", DistributionFaultsTest::agentDown),
+                testCase(
+                        "zone partitioned during a change",
+                        DistributionFaultsTest::zonePartitioned),
+                testCase("agent down during several changes", DistributionFaultsTest::agentDown),
                 testCase("1,000 changes in a minute", DistributionFaultsTest::manyChanges),
                 testCase("failing disk of the leader", DistributionFaultsTest::leaderDiskFails),
                 testCase("failing disk of a follower", DistributionFaultsTest::followerDiskFails));
--- a/src/test/java/passhatch/lab/distribution/RandomRunTest.java
+++ b/src/test/java/passhatch/lab/distribution/RandomRunTest.java
@@ -7,7 +7,10 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Safety and convergence with random faults; many more seeds by {@code lab distribution}. */
+/**
+ * Tests safety and convergence with random faults; the lab command {@code distribution} runs many
+ * more seeds.
+ */
 final class RandomRunTest {
 
     private static final int SEEDS = 24;
--- a/src/test/java/passhatch/lab/distribution/ScaleInputTest.java
+++ b/src/test/java/passhatch/lab/distribution/ScaleInputTest.java
@@ -11,7 +11,7 @@
 import passhatch.lab.scale.ScaleCommand;
 import picocli.CommandLine;
 
-/** Wrong sizes, seeds and names of events get one clear line and exit status 2. */
+/** Tests that invalid sizes, seeds and event names give one line of error and exit status 2. */
 final class ScaleInputTest {
 
     @ParameterizedTest
--- a/src/test/java/passhatch/lab/distribution/ScriptedRun.java
+++ b/src/test/java/passhatch/lab/distribution/ScriptedRun.java
@@ -8,7 +8,7 @@
 import passhatch.distribution.InvalidChangeException;
 import passhatch.lab.Seeds;
 
-/** A small fleet without faults by chance, for tests that say what happens. */
+/** A small fleet without random faults except on the network, for tests that script each step. */
 final class ScriptedRun {
 
     static final long SECOND_US = 1_000_000;
@@ -80,7 +80,9 @@
         }
     }
 
-    /** Lets a replica exchange datagrams with these replicas only, and the others with none. */
+    /**
+     * Lets a replica exchange datagrams with these replicas only, and the other replicas with none.
+     */
     void connectOnly(int index, List<Integer> others) {
         unblock();
         Node replica = replica(index);
@@ -105,7 +107,7 @@
         }
     }
 
-    /** Submits a change; its version, or 0 where it was refused. */
+    /** Submits a change. Returns its version, or 0 if it was rejected. */
     long submit(int index, String key, String value) {
         AtomicLong version = new AtomicLong();
         replica(index)
--- a/src/test/java/passhatch/lab/fleet/FleetExplorerTest.java
+++ b/src/test/java/passhatch/lab/fleet/FleetExplorerTest.java
@@ -7,7 +7,10 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Random faults against what must hold; more seeds by {@code passhatch-lab.jar fleet explore}. */
+/**
+ * Tests the invariants of membership under random faults; {@code passhatch-lab.jar fleet explore}
+ * runs more seeds.
+ */
 class FleetExplorerTest {
 
     @Test
@@ -52,7 +55,7 @@
         assertEquals(one.view(3), other.view(3));
     }
 
-    /** So that a failing run can be kept and played again. */
+    /** A failing run can be saved and repeated from the text of its faults. */
     @Test
     void faultsCanBeParsedFromTheirText() {
         FleetExplorer explorer = new FleetExplorer(10);
--- a/src/test/java/passhatch/lab/fleet/MembershipFaultsTest.java
+++ b/src/test/java/passhatch/lab/fleet/MembershipFaultsTest.java
@@ -13,7 +13,7 @@
 import passhatch.fleet.Incarnation;
 import passhatch.fleet.Status;
 
-/** The table of docs/membership.md, row by row, in simulated time. */
+/** Tests each row of the table in docs/membership.md, in simulated time. */
 class MembershipFaultsTest {
 
     private static final int MEMBERS = 10;
@@ -94,7 +94,9 @@
                         () -> sim.view(4).stream().filter(m -> m.status().present()).count() == 1,
                         SECOND_US,
                         300 * SECOND_US);
-        assertTrue(durationUs > 20 * SECOND_US, "it accuses late, as it distrusts itself");
+        assertTrue(
+                durationUs > 20 * SECOND_US,
+                "degraded local health delays the failures it declares");
         sim.setConnectivity((a, b) -> true);
         awaitConvergence(30);
     }
@@ -191,7 +193,7 @@
         assertEquals(List.of(), failures);
     }
 
-    /** A suspect's time to refute does not run out while the observer's clock jumps. */
+    /** A jump of the observer's clock must not use up a suspect's time to refute. */
     @Test
     void aClockJumpCausesNoFailures() {
         sim = converged(FleetSim.fleet(8, 2));
@@ -221,7 +223,7 @@
         assertEquals(10, failures.stream().distinct().count());
     }
 
-    /** It left, and it stays so although nobody gets an answer from it any more. */
+    /** A member that has left keeps that status although it no longer answers probes. */
     @Test
     void aMemberThatLeftIsNotFailed() {
         sim.leave(3);
@@ -231,15 +233,15 @@
     }
 
     /**
-     * Cut off before it died, it is remembered as alive on one side after the other has forgotten
-     * it.
+     * A process that is stopped while a member dies still has that member as alive after the others
+     * have removed it. Once it continues, the member must not reappear in the other views.
      */
     @Test
     void aRemovedMemberDoesNotReappear() {
         sim.stop(1);
         sim.kill(9);
         sim.runFor(2 * 3600 * SECOND_US);
-        assertNull(sim.statusInView(0, "n9"), "it is shown no more");
+        assertNull(sim.statusInView(0, "n9"), "removed from the view");
         List<String> seen = new ArrayList<>();
         sim.setStatusListener(
                 (atUs, observer, before, after) -> {
@@ -256,7 +258,8 @@
     }
 
     /**
-     * Names as long as may be: the news still gets around, and no datagram is longer than allowed.
+     * With names of the maximum length, updates still spread and no datagram exceeds its size
+     * limit.
      */
     @Test
     void longNamesAndALossyNetworkOnlyDelayConvergence() {
