--- a/src/main/java/passhatch/lab/drain/DiscoveryModel.java
+++ b/src/main/java/passhatch/lab/drain/DiscoveryModel.java
@@ -11,7 +11,7 @@
 import passhatch.lab.drain.DrainRecord.Call;
 import passhatch.lab.drain.DrainRecord.Change;
 import passhatch.lab.drain.DrainRecord.Outage;
-import passhatch.lab.drain.DrainRecord.Written;
+import passhatch.lab.drain.DrainRecord.WrittenVersion;
 import passhatch.lab.sim.EventQueue;
 
 /**
@@ -35,63 +35,65 @@
     }
 
     /** What may become of a thing that is to be told. */
-    enum Telling {
-        WHOLE,
+    enum Delivery {
+        COMPLETE,
         /** Its bytes are cut off within, and the watch goes on. */
-        CUT,
+        TRUNCATED,
         /** The watch ends in its place. */
-        ENDED
+        CLOSED
     }
 
-    private static final long EMPTY_LINE_EVERY_US = 2_000_000;
-    private static final long OLD_ADDRESS_CLOSES_US = 1_500_000;
-    private static final long LONGEST_ANSWER_US = 5_000_000;
-    private static final long LONGEST_QUEUE_US = 3_000_000;
-    private static final long PIECE_LATE_US = 150_000;
-    private static final long MOST_BEHIND = 4;
-    private static final long TRAVEL_US = 300;
+    private static final long EMPTY_LINE_INTERVAL_US = 2_000_000;
+    private static final long OLD_ADDRESS_CLOSE_DELAY_US = 1_500_000;
+    private static final long MAX_RESPONSE_DELAY_US = 5_000_000;
+    private static final long MAX_QUEUE_DELAY_US = 3_000_000;
+    private static final long MAX_PIECE_DELAY_US = 150_000;
+    private static final long MAX_VERSIONS_BEHIND = 4;
+    private static final long NETWORK_DELAY_US = 300;
 
     /** One call, from when it arrives until either side ends it. */
     private final class OpenCall {
         private final long number;
-        private final long fromUs;
+        private final long startedUs;
         private final ProxyModel caller;
-        private long answeredUs = DrainRecord.NEVER;
+        private long responseUs = DrainRecord.NEVER;
         private long silentUs = DrainRecord.NEVER;
         private boolean open = true;
         private boolean failed;
         private long lastArrivalUs;
 
         /** Changes that the watch is still to tell, in their order. */
-        private final ArrayDeque<Long> late = new ArrayDeque<>();
+        private final ArrayDeque<Long> pendingVersions = new ArrayDeque<>();
 
         OpenCall(long number, ProxyModel caller) {
             this.number = number;
-            this.fromUs = queue.nowUs();
+            this.startedUs = queue.nowUs();
             this.caller = caller;
         }
 
-        boolean speaks() {
+        boolean canWrite() {
             return open && silentUs == DrainRecord.NEVER;
         }
 
         void write(String text) {
-            if (!speaks()) {
+            if (!canWrite()) {
                 return;
             }
-            int cut = pieces ? random.nextInt(text.length() + 1) : text.length();
-            deliver(text.substring(0, cut), TRAVEL_US);
+            int cut = splitWrites ? random.nextInt(text.length() + 1) : text.length();
+            deliver(text.substring(0, cut), NETWORK_DELAY_US);
             if (cut < text.length()) {
-                deliver(text.substring(cut), TRAVEL_US + random.nextLong(PIECE_LATE_US));
+                deliver(
+                        text.substring(cut),
+                        NETWORK_DELAY_US + random.nextLong(MAX_PIECE_DELAY_US));
             }
         }
 
         private void deliver(String text, long afterUs) {
-            inOrder(afterUs, () -> caller.body(number, text));
+            scheduleInOrder(afterUs, () -> caller.onBody(number, text));
         }
 
         /** A connection brings what was written in its order. */
-        private void inOrder(long afterUs, Runnable what) {
+        private void scheduleInOrder(long afterUs, Runnable what) {
             lastArrivalUs = Math.max(lastArrivalUs, queue.nowUs() + afterUs);
             queue.scheduleAt(lastArrivalUs, what);
         }
@@ -99,20 +101,20 @@
         /** Ends it for the caller as well. */
         void close(String why) {
             if (open) {
-                over();
-                inOrder(TRAVEL_US, () -> caller.closed(number, why));
+                recordEnd();
+                scheduleInOrder(NETWORK_DELAY_US, () -> caller.onClosed(number, why));
             }
         }
 
-        void over() {
+        void recordEnd() {
             if (open) {
                 open = false;
                 calls.remove(number);
                 record.add(
                         new Call(
                                 caller.name(),
-                                fromUs,
-                                answeredUs,
+                                startedUs,
+                                responseUs,
                                 silentUs,
                                 queue.nowUs(),
                                 failed));
@@ -133,16 +135,16 @@
     private long downSinceUs;
 
     /** A watch tells each change so much later at most. */
-    private long lateUs;
+    private long maxWatchDelayUs;
 
     /** Answers and changes come in two pieces. */
-    private boolean pieces;
+    private boolean splitWrites;
 
     /** Of so many things to tell one is cut off, or its watch ends instead; 0 for none. */
-    private int spoiltOneIn;
+    private int failedDeliveryOneIn;
 
     /** Answers leave out what drains, and are the list of some versions ago. */
-    private boolean behind;
+    private boolean staleLists;
 
     DiscoveryModel(
             EventQueue<Runnable> queue,
@@ -160,8 +162,8 @@
         return InetSocketAddress.createUnresolved("discovery", port);
     }
 
-    String text() {
-        return whole(version);
+    String currentList() {
+        return listMessage(version);
     }
 
     boolean isUp(String server) {
@@ -175,7 +177,7 @@
     // ---- what happens to it
 
     /** The list changes: a server serves, drains or is removed. */
-    void change(String server, String status) {
+    void changeStatus(String server, String status) {
         version++;
         statuses.put(server, status);
         history.add(new LinkedHashMap<>(statuses));
@@ -183,10 +185,10 @@
         timeline.accept("version " + version + ": " + server + " " + status);
         long told = version;
         for (OpenCall call : List.copyOf(calls.values())) {
-            if (call.answeredUs != DrainRecord.NEVER) {
-                call.late.add(told);
-                long afterUs = lateUs == 0 ? 0 : random.nextLong(lateUs + 1);
-                queue.scheduleAfter(afterUs, () -> tellLate(call));
+            if (call.responseUs != DrainRecord.NEVER) {
+                call.pendingVersions.add(told);
+                long afterUs = maxWatchDelayUs == 0 ? 0 : random.nextLong(maxWatchDelayUs + 1);
+                queue.scheduleAfter(afterUs, () -> writePendingVersion(call));
             }
         }
     }
@@ -197,17 +199,17 @@
         }
         if (mode != Mode.DOWN && next == Mode.DOWN) {
             downSinceUs = queue.nowUs();
-            breakWatches();
+            resetCalls();
         }
         mode = next;
         timeline.accept("discovery is " + next);
     }
 
-    void telling(long lateUs, boolean pieces, int spoiltOneIn, boolean behind) {
-        this.lateUs = lateUs;
-        this.pieces = pieces;
-        this.spoiltOneIn = spoiltOneIn;
-        this.behind = behind;
+    void setDelivery(long lateUs, boolean pieces, int spoiltOneIn, boolean behind) {
+        this.maxWatchDelayUs = lateUs;
+        this.splitWrites = pieces;
+        this.failedDeliveryOneIn = spoiltOneIn;
+        this.staleLists = behind;
         timeline.accept(
                 "discovery tells up to "
                         + lateUs / 1_000
@@ -217,12 +219,12 @@
                         + (behind ? ", old lists" : ""));
     }
 
-    void breakWatches() {
+    void resetCalls() {
         timeline.accept("all calls are reset");
         List.copyOf(calls.values()).forEach(c -> c.close("reset"));
     }
 
-    void silenceWatches() {
+    void silenceCalls() {
         timeline.accept("all calls fall silent");
         for (OpenCall call : calls.values()) {
             call.silentUs = Math.min(call.silentUs, queue.nowUs());
@@ -230,15 +232,15 @@
     }
 
     /** It is found at another address; the old one closes what is open there a while later. */
-    void move() {
+    void changeAddress() {
         port++;
         List<OpenCall> old = List.copyOf(calls.values());
-        queue.scheduleAfter(OLD_ADDRESS_CLOSES_US, () -> old.forEach(c -> c.close("moved")));
+        queue.scheduleAfter(OLD_ADDRESS_CLOSE_DELAY_US, () -> old.forEach(c -> c.close("moved")));
     }
 
     /** The run is over: what is still open is written down. */
-    void end() {
-        List.copyOf(calls.values()).forEach(OpenCall::over);
+    void completeRecord() {
+        List.copyOf(calls.values()).forEach(OpenCall::recordEnd);
         if (mode == Mode.DOWN) {
             record.add(new Outage(downSinceUs, queue.nowUs()));
         }
@@ -246,7 +248,7 @@
 
     // ---- calls
 
-    void called(ProxyModel caller, long number, InetSocketAddress at, String path) {
+    void onCall(ProxyModel caller, long number, InetSocketAddress at, String path) {
         OpenCall call = new OpenCall(number, caller);
         calls.put(number, call);
         if (at.getPort() != port || mode == Mode.DOWN && random.nextBoolean()) {
@@ -255,141 +257,146 @@
             return;
         }
         if (mode != Mode.DOWN) {
-            caller.connected(number);
+            caller.onConnected(number);
         }
         switch (mode) {
-            case WELL -> later(random.nextLong(1_000, 20_000), () -> answer(call, path));
-            case SLOW -> later(random.nextLong(LONGEST_ANSWER_US), () -> answer(call, path));
-            case DOWN -> later(LONGEST_QUEUE_US, () -> turnAway(call));
-            case CROWDED -> crowded(call, path);
+            case WELL -> scheduleAfter(random.nextLong(1_000, 20_000), () -> respond(call, path));
+            case SLOW ->
+                    scheduleAfter(
+                            random.nextLong(MAX_RESPONSE_DELAY_US), () -> respond(call, path));
+            case DOWN -> scheduleAfter(MAX_QUEUE_DELAY_US, () -> reject(call));
+            case CROWDED -> handleWhileOverloaded(call, path);
             case DEAF -> call.silentUs = queue.nowUs();
         }
     }
 
-    private void crowded(OpenCall call, String path) {
-        long waitsUs = random.nextBoolean() ? 20_000 : random.nextLong(LONGEST_QUEUE_US);
+    private void handleWhileOverloaded(OpenCall call, String path) {
+        long waitsUs = random.nextBoolean() ? 20_000 : random.nextLong(MAX_QUEUE_DELAY_US);
         if (random.nextInt(3) == 0) {
-            later(waitsUs, () -> answer(call, path));
+            scheduleAfter(waitsUs, () -> respond(call, path));
         } else {
-            later(waitsUs, () -> turnAway(call));
+            scheduleAfter(waitsUs, () -> reject(call));
         }
     }
 
-    private void later(long afterUs, Runnable what) {
-        queue.scheduleAfter(TRAVEL_US + afterUs, what);
+    private void scheduleAfter(long afterUs, Runnable what) {
+        queue.scheduleAfter(NETWORK_DELAY_US + afterUs, what);
     }
 
     /** The proxy has ended the call. */
-    void hungUp(long number) {
+    void onCallClosed(long number) {
         OpenCall call = calls.get(number);
         if (call != null) {
-            call.over();
+            call.recordEnd();
         }
     }
 
-    private void turnAway(OpenCall call) {
-        if (call.speaks()) {
+    private void reject(OpenCall call) {
+        if (call.canWrite()) {
             call.failed = true;
-            call.over();
-            call.inOrder(TRAVEL_US, () -> call.caller.answered(call.number, 503));
+            call.recordEnd();
+            call.scheduleInOrder(
+                    NETWORK_DELAY_US, () -> call.caller.onResponseHead(call.number, 503));
         }
     }
 
-    private void answer(OpenCall call, String path) {
-        if (!call.speaks()) {
+    private void respond(OpenCall call, String path) {
+        if (!call.canWrite()) {
             return;
         }
-        call.answeredUs = queue.nowUs();
-        call.inOrder(TRAVEL_US, () -> call.caller.answered(call.number, 200));
+        call.responseUs = queue.nowUs();
+        call.scheduleInOrder(NETWORK_DELAY_US, () -> call.caller.onResponseHead(call.number, 200));
         int from = path.indexOf("from=");
         if (from < 0) {
-            tell(call, whole(version), version);
-            queue.scheduleAfter(2 * TRAVEL_US + PIECE_LATE_US, () -> call.close("answered"));
+            writeMessage(call, listMessage(version), version);
+            queue.scheduleAfter(
+                    2 * NETWORK_DELAY_US + MAX_PIECE_DELAY_US, () -> call.close("answered"));
             return;
         }
         long heard = Long.parseLong(path.substring(from + "from=".length()));
         // The pages have an answer hold all after the version asked for: one that is behind shows
         // it.
-        boolean older = behind && heard > 1 && heard <= version;
-        long told = older ? heard - 1 - random.nextLong(Math.min(heard, MOST_BEHIND)) : version;
+        boolean older = staleLists && heard > 1 && heard <= version;
+        long told =
+                older ? heard - 1 - random.nextLong(Math.min(heard, MAX_VERSIONS_BEHIND)) : version;
         boolean whole = older || heard == 0 || heard > version || random.nextInt(3) == 0;
-        tell(call, whole ? whole(told) : changes(heard), told);
-        queue.scheduleAfter(EMPTY_LINE_EVERY_US, () -> emptyLine(call));
+        writeMessage(call, whole ? listMessage(told) : changesMessage(heard), told);
+        queue.scheduleAfter(EMPTY_LINE_INTERVAL_US, () -> writeEmptyLine(call));
     }
 
-    private void emptyLine(OpenCall call) {
-        if (call.speaks()) {
+    private void writeEmptyLine(OpenCall call) {
+        if (call.canWrite()) {
             call.write("\n");
-            queue.scheduleAfter(EMPTY_LINE_EVERY_US, () -> emptyLine(call));
+            queue.scheduleAfter(EMPTY_LINE_INTERVAL_US, () -> writeEmptyLine(call));
         }
     }
 
     /** The first of the changes that a watch has not told yet. */
-    private void tellLate(OpenCall call) {
-        Long told = call.late.poll();
-        if (told != null && call.speaks()) {
-            tell(call, changes(told - 1, told), told);
+    private void writePendingVersion(OpenCall call) {
+        Long told = call.pendingVersions.poll();
+        if (told != null && call.canWrite()) {
+            writeMessage(call, changesMessage(told - 1, told), told);
         }
     }
 
-    private void tell(OpenCall call, String text, long told) {
-        switch (spoilt()) {
-            case ENDED -> call.close("ended instead of telling");
-            case CUT -> {
-                record.add(new Written(queue.nowUs(), call.caller.name(), told));
+    private void writeMessage(OpenCall call, String text, long told) {
+        switch (drawDelivery()) {
+            case CLOSED -> call.close("ended instead of telling");
+            case TRUNCATED -> {
+                record.add(new WrittenVersion(queue.nowUs(), call.caller.name(), told));
                 timeline.accept("version " + told + " is written and cut off");
                 call.write(text.substring(0, 2 + random.nextInt(text.length() - 2)) + "\n");
             }
             default -> {
-                record.add(new Written(queue.nowUs(), call.caller.name(), told));
+                record.add(new WrittenVersion(queue.nowUs(), call.caller.name(), told));
                 timeline.accept("version " + told + " is written");
                 call.write(text + "\n");
             }
         }
     }
 
-    private Telling spoilt() {
-        if (spoiltOneIn == 0 || random.nextInt(spoiltOneIn) > 0) {
-            return Telling.WHOLE;
+    private Delivery drawDelivery() {
+        if (failedDeliveryOneIn == 0 || random.nextInt(failedDeliveryOneIn) > 0) {
+            return Delivery.COMPLETE;
         }
-        return random.nextBoolean() ? Telling.CUT : Telling.ENDED;
+        return random.nextBoolean() ? Delivery.TRUNCATED : Delivery.CLOSED;
     }
 
     // ---- its messages
 
     /** The list of a version; some answers leave out what drains. */
-    private String whole(long at) {
-        boolean leavesOut = behind || random.nextBoolean();
+    private String listMessage(long at) {
+        boolean leavesOut = staleLists || random.nextBoolean();
         List<String> entries = new ArrayList<>();
         history.get((int) at)
                 .forEach(
                         (server, status) -> {
                             if (status.equals("SERVING")
                                     || status.equals("DRAINING") && !leavesOut) {
-                                entries.add(entry(server, status));
+                                entries.add(formatEntry(server, status));
                             }
                         });
-        return message(at, true, entries);
+        return formatMessage(at, true, entries);
     }
 
-    private String changes(long after) {
-        return changes(after, version);
+    private String changesMessage(long after) {
+        return changesMessage(after, version);
     }
 
-    private String changes(long after, long upTo) {
+    private String changesMessage(long after, long upTo) {
         List<String> entries = new ArrayList<>();
         Map<String, String> then = history.get((int) upTo);
         Map<String, String> before = history.get((int) after);
         then.forEach(
                 (server, status) -> {
                     if (!status.equals(before.get(server))) {
-                        entries.add(entry(server, status));
+                        entries.add(formatEntry(server, status));
                     }
                 });
-        return message(upTo, false, entries);
+        return formatMessage(upTo, false, entries);
     }
 
-    private static String message(long index, boolean whole, List<String> entries) {
+    private static String formatMessage(long index, boolean whole, List<String> entries) {
         return "{\"index\":"
                 + index
                 + ",\"snapshot\":"
@@ -399,7 +406,7 @@
                 + "]}";
     }
 
-    private static String entry(String server, String status) {
+    private static String formatEntry(String server, String status) {
         return "{\"name\":\""
                 + server
                 + "\",\"address\":\"10.0.0.1:80\",\"zone\":\"a\",\"type\":\"m\",\"group\":0,\"status\":\""
--- a/src/main/java/passhatch/lab/drain/DrainRecord.java
+++ b/src/main/java/passhatch/lab/drain/DrainRecord.java
@@ -27,27 +27,27 @@
     public record Outage(long fromUs, long untilUs) {}
 
     /** All changes up to a version were written to a proxy, arrived or not. */
-    public record Written(long atUs, String proxy, long version) {}
+    public record WrittenVersion(long atUs, String proxy, long version) {}
 
     /**
      * A proxy's call to discovery.
      *
-     * @param fromUs when it was made
-     * @param answeredUs when an answer was begun; {@link #NEVER} where none was
+     * @param startedUs when it was made
+     * @param responseUs when an answer was begun; {@link #NEVER} where none was
      * @param silentUs when its watch fell silent; {@link #NEVER} where it did not
      * @param endedUs when it was over for either side; {@link #NEVER} while it stands
      * @param failed whether it was refused or turned away
      */
     public record Call(
             String proxy,
-            long fromUs,
-            long answeredUs,
+            long startedUs,
+            long responseUs,
             long silentUs,
             long endedUs,
             boolean failed) {}
 
     /** A proxy was signalled that discovery is found at another address. */
-    public record Move(long atUs, String proxy) {}
+    public record AddressChange(long atUs, String proxy) {}
 
     /** The first byte of a request was sent to a server. */
     public record Send(long atUs, String proxy, String server) {}
@@ -58,9 +58,9 @@
     final Rules rules;
     final List<Change> changes = new ArrayList<>();
     final List<Outage> outages = new ArrayList<>();
-    final List<Written> written = new ArrayList<>();
+    final List<WrittenVersion> writtenVersions = new ArrayList<>();
     final List<Call> calls = new ArrayList<>();
-    final List<Move> moves = new ArrayList<>();
+    final List<AddressChange> addressChanges = new ArrayList<>();
     final List<Send> sends = new ArrayList<>();
 
     /** An empty record. */
@@ -79,8 +79,8 @@
     }
 
     /** Adds what was written to a proxy. */
-    public void add(Written one) {
-        written.add(one);
+    public void add(WrittenVersion one) {
+        writtenVersions.add(one);
     }
 
     /** Adds a call; to be added once its end is known. */
@@ -89,8 +89,8 @@
     }
 
     /** Adds a signal. */
-    public void add(Move move) {
-        moves.add(move);
+    public void add(AddressChange move) {
+        addressChanges.add(move);
     }
 
     /** Adds a request. */
--- a/src/main/java/passhatch/lab/drain/DrainSimulation.java
+++ b/src/main/java/passhatch/lab/drain/DrainSimulation.java
@@ -22,25 +22,26 @@
     /** A run starts at this time of its clock: times of zero stand for long ago elsewhere. */
     private static final long START_US = 1_000_000_000_000L;
 
-    private static final long LONGEST_ACCEPTS_US = 30_000_000;
-    private static final long LONGEST_FAULT_US = 12_000_000;
-    private static final long LONGEST_PAUSE_US = 12_000_000;
-    private static final int MOST_MOVES_IN_A_ROW = 4;
-    private static final long MOVES_APART_US = 1_600_000;
+    private static final long MAX_ACCEPT_US = 30_000_000;
+    private static final long MAX_FAULT_US = 12_000_000;
+    private static final long MAX_PAUSE_US = 12_000_000;
+    private static final int MAX_CONSECUTIVE_ADDRESS_CHANGES = 4;
+    private static final long MAX_ADDRESS_CHANGE_GAP_US = 1_600_000;
 
     /**
      * What a run showed.
      *
-     * @param late requests that were sent too late
-     * @param unheard changes that took a server out of use and counted as told before or without
-     *     being written to the proxy
+     * @param lateSends requests that were sent too late
+     * @param notifiedUnwritten changes that took a server out of use and counted as told before or
+     *     without being written to the proxy
      * @param requests of clients
      * @param sent how many were sent to servers
      */
-    record Outcome(long seed, List<LateSend> late, int unheard, int requests, int sent) {}
+    record RunResult(
+            long seed, List<LateSend> lateSends, int notifiedUnwritten, int requests, int sent) {}
 
     /** What a server does with requests that come while it drains. */
-    enum Draining {
+    enum DrainBehavior {
         /** It turns them away, as the protocol's page has it. */
         TURNS_AWAY,
         /** It may go on accepting, for up to 30 s. */
@@ -48,7 +49,7 @@
     }
 
     private final long seed;
-    private final Draining draining;
+    private final DrainBehavior draining;
     private final Scenario scenario;
     private final EventQueue<Runnable> queue = new EventQueue<>(START_US);
     private final DrainRecord record;
@@ -60,7 +61,7 @@
     private final UniformRandomProvider load;
     private final Consumer<String> timeline;
 
-    private DrainSimulation(long seed, Draining draining, Consumer<String> lines) {
+    private DrainSimulation(long seed, DrainBehavior draining, Consumer<String> lines) {
         Seeds seeds = new Seeds(seed);
         this.seed = seed;
         this.draining = draining;
@@ -92,21 +93,21 @@
     }
 
     /** Plays the run of a seed. */
-    static Outcome play(long seed, Draining draining) {
-        return play(seed, draining, line -> {});
+    static RunResult simulate(long seed, DrainBehavior draining) {
+        return simulate(seed, draining, line -> {});
     }
 
     /** Plays the run of a seed, with a line for each thing that happens. */
-    static Outcome play(long seed, Draining draining, Consumer<String> timeline) {
+    static RunResult simulate(long seed, DrainBehavior draining, Consumer<String> timeline) {
         return new DrainSimulation(seed, draining, timeline).run();
     }
 
-    private Outcome run() {
+    private RunResult run() {
         timeline.accept(scenario.toString());
         for (int i = 0; i < scenario.servers(); i++) {
-            start("s" + i);
+            startServer("s" + i);
         }
-        proxy.start(scenario, parsed(discovery.text()));
+        proxy.start(scenario, parse(discovery.currentList()));
         queue.scheduleAfter(scenario.quietUs(), this::nextChange);
         queue.scheduleAfter(scenario.quietUs(), this::nextFault);
         queue.scheduleAfter(0, this::nextRequest);
@@ -116,14 +117,18 @@
                 event = queue.pollUntil(endUs)) {
             event.run();
         }
-        discovery.end();
+        discovery.completeRecord();
         List<LateSend> late = DrainChecker.check(record);
         late.forEach(l -> timeline.accept("LATE: " + l));
-        return new Outcome(
-                seed, late, DrainChecker.unheard(record), proxy.requests(), proxy.sent());
+        return new RunResult(
+                seed,
+                late,
+                DrainChecker.countNotifiedUnwritten(record),
+                proxy.requestCount(),
+                proxy.sentCount());
     }
 
-    private static EndpointList parsed(String text) {
+    private static EndpointList parse(String text) {
         try {
             return EndpointList.parse(JSON.std.mapFrom(text), List.of("a"), List.of("m"));
         } catch (IOException cannotBe) {
@@ -131,22 +136,22 @@
         }
     }
 
-    private static long about(UniformRandomProvider random, long meanUs) {
+    private static long drawWithMean(UniformRandomProvider random, long meanUs) {
         return random.nextLong(1, 2 * meanUs);
     }
 
     // ---- load
 
     private void nextRequest() {
-        proxy.request();
-        queue.scheduleAfter(about(load, scenario.requestGapUs()), this::nextRequest);
+        proxy.receiveRequest();
+        queue.scheduleAfter(drawWithMean(load, scenario.requestGapUs()), this::nextRequest);
     }
 
     // ---- servers
 
-    private void start(String server) {
-        servers.starts(server);
-        discovery.change(server, "SERVING");
+    private void startServer(String server) {
+        servers.start(server);
+        discovery.changeStatus(server, "SERVING");
     }
 
     private void nextChange() {
@@ -158,20 +163,20 @@
         if (up.size() > 1 && (down.isEmpty() || changes.nextInt(3) > 0)) {
             takeOutOfUse(up.get(changes.nextInt(up.size())));
         } else {
-            start(down.get(changes.nextInt(down.size())));
+            startServer(down.get(changes.nextInt(down.size())));
         }
-        queue.scheduleAfter(about(changes, scenario.faultGapUs()), this::nextChange);
+        queue.scheduleAfter(drawWithMean(changes, scenario.faultGapUs()), this::nextChange);
     }
 
     private void takeOutOfUse(String server) {
-        long acceptsUs = changes.nextBoolean() ? 0 : changes.nextLong(LONGEST_ACCEPTS_US);
+        long acceptsUs = changes.nextBoolean() ? 0 : changes.nextLong(MAX_ACCEPT_US);
         if (changes.nextInt(4) == 0) {
-            servers.ends(server);
-            discovery.change(server, "DELETED");
+            servers.stop(server);
+            discovery.changeStatus(server, "DELETED");
         } else {
-            boolean accepts = draining == Draining.MAY_ACCEPT;
-            servers.drains(server, queue.nowUs() + (accepts ? acceptsUs : 0));
-            discovery.change(server, "DRAINING");
+            boolean accepts = draining == DrainBehavior.MAY_ACCEPT;
+            servers.drain(server, queue.nowUs() + (accepts ? acceptsUs : 0));
+            discovery.changeStatus(server, "DRAINING");
         }
     }
 
@@ -179,31 +184,31 @@
 
     private void nextFault() {
         switch (faults.nextInt(8)) {
-            case 0 -> during(DiscoveryModel.Mode.SLOW);
-            case 1 -> during(DiscoveryModel.Mode.CROWDED);
-            case 2 -> during(DiscoveryModel.Mode.DEAF);
-            case 3 -> during(DiscoveryModel.Mode.DOWN);
-            case 4 -> discovery.silenceWatches();
-            case 5 -> pause();
-            case 6 -> move(1 + faults.nextInt(MOST_MOVES_IN_A_ROW));
-            default -> discovery.breakWatches();
+            case 0 -> setTemporaryMode(DiscoveryModel.Mode.SLOW);
+            case 1 -> setTemporaryMode(DiscoveryModel.Mode.CROWDED);
+            case 2 -> setTemporaryMode(DiscoveryModel.Mode.DEAF);
+            case 3 -> setTemporaryMode(DiscoveryModel.Mode.DOWN);
+            case 4 -> discovery.silenceCalls();
+            case 5 -> pauseProxy();
+            case 6 -> changeAddress(1 + faults.nextInt(MAX_CONSECUTIVE_ADDRESS_CHANGES));
+            default -> discovery.resetCalls();
         }
         if (faults.nextInt(3) == 0) {
-            discovery.breakWatches();
+            discovery.resetCalls();
         }
-        proxy.heldUp(faults.nextBoolean());
-        discovery.telling(
+        proxy.setStalling(faults.nextBoolean());
+        discovery.setDelivery(
                 scenario.lateUs(),
                 faults.nextBoolean(),
                 faults.nextBoolean() ? 0 : faults.nextInt(1, 5),
                 faults.nextInt(4) == 0);
-        queue.scheduleAfter(about(faults, scenario.faultGapUs()), this::nextFault);
+        queue.scheduleAfter(drawWithMean(faults, scenario.faultGapUs()), this::nextFault);
     }
 
-    private void during(DiscoveryModel.Mode mode) {
+    private void setTemporaryMode(DiscoveryModel.Mode mode) {
         discovery.mode(mode);
         queue.scheduleAfter(
-                faults.nextLong(LONGEST_FAULT_US),
+                faults.nextLong(MAX_FAULT_US),
                 () -> {
                     if (discovery.mode() == mode) {
                         discovery.mode(DiscoveryModel.Mode.WELL);
@@ -211,19 +216,20 @@
                 });
     }
 
-    private void pause() {
+    private void pauseProxy() {
         if (proxy.isPaused()) {
             return;
         }
         proxy.pause();
-        queue.scheduleAfter(faults.nextLong(LONGEST_PAUSE_US), proxy::resume);
+        queue.scheduleAfter(faults.nextLong(MAX_PAUSE_US), proxy::resume);
     }
 
-    private void move(int left) {
-        discovery.move();
-        proxy.signalMove();
+    private void changeAddress(int left) {
+        discovery.changeAddress();
+        proxy.signalAddressChange();
         if (left > 1) {
-            queue.scheduleAfter(faults.nextLong(MOVES_APART_US), () -> move(left - 1));
+            queue.scheduleAfter(
+                    faults.nextLong(MAX_ADDRESS_CHANGE_GAP_US), () -> changeAddress(left - 1));
         }
     }
 }
--- a/src/main/java/passhatch/lab/drain/ProxyModel.java
+++ b/src/main/java/passhatch/lab/drain/ProxyModel.java
@@ -23,7 +23,7 @@
 import passhatch.Balancer.Tenant;
 import passhatch.Logic;
 import passhatch.SettingsBuilder;
-import passhatch.lab.drain.DrainRecord.Move;
+import passhatch.lab.drain.DrainRecord.AddressChange;
 import passhatch.lab.drain.DrainRecord.Send;
 import passhatch.lab.sim.EventQueue;
 import passhatch.proxy.discovery.EndpointList;
@@ -36,17 +36,17 @@
 final class ProxyModel implements ListWatch.Listener, Balancer.Actions {
 
     /** STANDING: a proxy may be held up so long between reading its clock and writing. */
-    private static final long HOLD_UP_US = 150_000;
+    private static final long MAX_STALL_US = 150_000;
 
     /** A timer fires no sooner than this after it is set. */
-    private static final long TIMER_US = 1_000;
+    private static final long MIN_TIMER_DELAY_US = 1_000;
 
     /** A signal is handled within this time. */
-    private static final long SIGNAL_US = 50_000;
+    private static final long MAX_SIGNAL_DELAY_US = 50_000;
 
-    private static final long CONNECTION_LATE_US = 1_500_000;
-    private static final int CONNECTION_LATE_ONE_IN = 10;
-    private static final long SERVICE_US = 50_000;
+    private static final long MAX_CONNECTION_DELAY_US = 1_500_000;
+    private static final int DELAYED_CONNECTION_ONE_IN = 10;
+    private static final long MAX_SERVICE_TIME_US = 50_000;
 
     private final EventQueue<Runnable> queue;
     private final UniformRandomProvider random;
@@ -58,22 +58,22 @@
     private final Map<String, Integer> attempts = new HashMap<>();
 
     /** What waits while the process is paused: what the sockets bring, then timers. */
-    private final ArrayDeque<Runnable> unreadOfDiscovery = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> unreadFromDiscovery = new ArrayDeque<>();
 
-    private final ArrayDeque<Runnable> unreadOfOthers = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> unreadFromOthers = new ArrayDeque<>();
 
-    private final ArrayDeque<Runnable> timers = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> pendingTimers = new ArrayDeque<>();
     private long pausedSinceUs = DrainRecord.NEVER;
 
     /** How long what is read now may have stood unread. */
     private long unreadUs;
 
-    private boolean heldUp;
+    private boolean stalling;
     private ListWatch watch;
     private Balancer balancer;
-    private long wakeUps;
-    private int requests;
-    private int sent;
+    private long lastTimerNumber;
+    private int requestCount;
+    private int sentCount;
 
     ProxyModel(
             EventQueue<Runnable> queue,
@@ -105,7 +105,7 @@
                                 List.of("m"),
                                 scenario.graceUs()),
                         random.nextLong(),
-                        new Carrier(),
+                        new SimulatedTransport(),
                         this,
                         timeline);
         balancer.serversChanged(queue.nowUs(), ListKind.REMEMBERED, known.servers());
@@ -142,12 +142,12 @@
         return "proxy";
     }
 
-    int requests() {
-        return requests;
+    int requestCount() {
+        return requestCount;
     }
 
-    int sent() {
-        return sent;
+    int sentCount() {
+        return sentCount;
     }
 
     // ---- what happens to it
@@ -164,14 +164,14 @@
         balancer.listUnread(queue.nowUs() - unreadUs);
         // Which connections are read first is for the system to say.
         boolean discoveryFirst = random.nextBoolean();
-        drain(discoveryFirst ? unreadOfDiscovery : unreadOfOthers);
-        drain(discoveryFirst ? unreadOfOthers : unreadOfDiscovery);
+        runPending(discoveryFirst ? unreadFromDiscovery : unreadFromOthers);
+        runPending(discoveryFirst ? unreadFromOthers : unreadFromDiscovery);
         balancer.listRead(queue.nowUs());
-        drain(timers);
+        runPending(pendingTimers);
         unreadUs = 0;
     }
 
-    private static void drain(ArrayDeque<Runnable> waiting) {
+    private static void runPending(ArrayDeque<Runnable> waiting) {
         for (int left = waiting.size(); left > 0; left--) {
             waiting.poll().run();
         }
@@ -181,45 +181,46 @@
         return pausedSinceUs != DrainRecord.NEVER;
     }
 
-    void heldUp(boolean on) {
-        heldUp = on;
+    void setStalling(boolean on) {
+        stalling = on;
     }
 
     /** Its configuration names another address, and a signal says so. */
-    void signalMove() {
-        record.add(new Move(queue.nowUs(), name()));
+    void signalAddressChange() {
+        record.add(new AddressChange(queue.nowUs(), name()));
         timeline.accept("signal: discovery has moved");
         InetSocketAddress to = discovery.address();
         queue.scheduleAfter(
-                random.nextLong(SIGNAL_US),
-                () -> onTime(() -> watch.changeAddress(queue.nowUs(), to)));
+                random.nextLong(MAX_SIGNAL_DELAY_US),
+                () -> processTimer(() -> watch.changeAddress(queue.nowUs(), to)));
     }
 
     /** A client's request comes. */
-    void request() {
-        String id = "r" + requests++;
-        onRead(() -> balancer.request(queue.nowUs(), new Request(id, 0, 0, deadlineUs, 0, false)));
+    void receiveRequest() {
+        String id = "r" + requestCount++;
+        processRead(
+                () -> balancer.request(queue.nowUs(), new Request(id, 0, 0, deadlineUs, 0, false)));
     }
 
-    private void onRead(Runnable what) {
+    private void processRead(Runnable what) {
         if (isPaused()) {
-            unreadOfOthers.add(what);
+            unreadFromOthers.add(what);
         } else {
             what.run();
         }
     }
 
-    private void onDiscovery(Runnable what) {
+    private void processDiscoveryRead(Runnable what) {
         if (isPaused()) {
-            unreadOfDiscovery.add(what);
+            unreadFromDiscovery.add(what);
         } else {
             what.run();
         }
     }
 
-    private void onTime(Runnable what) {
+    private void processTimer(Runnable what) {
         if (isPaused()) {
-            timers.add(what);
+            pendingTimers.add(what);
         } else {
             what.run();
         }
@@ -227,16 +228,16 @@
 
     // ---- what discovery's connections bring
 
-    void connected(long call) {
-        onDiscovery(() -> watch.onConnected(call));
+    void onConnected(long call) {
+        processDiscoveryRead(() -> watch.onConnected(call));
     }
 
-    void answered(long call, int status) {
-        onDiscovery(() -> watch.onResponseHead(queue.nowUs(), call, status));
+    void onResponseHead(long call, int status) {
+        processDiscoveryRead(() -> watch.onResponseHead(queue.nowUs(), call, status));
     }
 
-    void body(long call, String text) {
-        onDiscovery(
+    void onBody(long call, String text) {
+        processDiscoveryRead(
                 () ->
                         watch.onBody(
                                 queue.nowUs(),
@@ -245,8 +246,8 @@
                                 Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
     }
 
-    void closed(long call, String why) {
-        onDiscovery(
+    void onClosed(long call, String why) {
+        processDiscoveryRead(
                 () -> {
                     watch.onFailed(call, why);
                     watch.onClosed(queue.nowUs(), call);
@@ -256,25 +257,26 @@
     // ---- the watch
 
     /** Connections to discovery, and the watch's own timer. */
-    private final class Carrier implements ListWatch.Transport {
+    private final class SimulatedTransport implements ListWatch.Transport {
         @Override
         public void startCall(long call, InetSocketAddress address, String path) {
-            queue.scheduleAfter(0, () -> discovery.called(ProxyModel.this, call, address, path));
+            queue.scheduleAfter(0, () -> discovery.onCall(ProxyModel.this, call, address, path));
         }
 
         @Override
         public void closeCall(long call) {
-            queue.scheduleAfter(0, () -> discovery.hungUp(call));
+            queue.scheduleAfter(0, () -> discovery.onCallClosed(call));
         }
 
         @Override
         public void wakeAt(long atUs) {
-            atTimer(atUs, () -> watch.onTimer(queue.nowUs()));
+            scheduleTimer(atUs, () -> watch.onTimer(queue.nowUs()));
         }
     }
 
-    private void atTimer(long atUs, Runnable what) {
-        queue.scheduleAt(Math.max(atUs, queue.nowUs() + TIMER_US), () -> onTime(what));
+    private void scheduleTimer(long atUs, Runnable what) {
+        queue.scheduleAt(
+                Math.max(atUs, queue.nowUs() + MIN_TIMER_DELAY_US), () -> processTimer(what));
     }
 
     @Override
@@ -322,10 +324,10 @@
     @Override
     public void send(String request, String server, long timeoutUs) {
         int attempt = attempts.merge(request, 1, Integer::sum) - 1;
-        if (random.nextInt(CONNECTION_LATE_ONE_IN) == 0) {
+        if (random.nextInt(DELAYED_CONNECTION_ONE_IN) == 0) {
             queue.scheduleAfter(
-                    random.nextLong(CONNECTION_LATE_US),
-                    () -> onTime(() -> write(request, attempt, server)));
+                    random.nextLong(MAX_CONNECTION_DELAY_US),
+                    () -> processTimer(() -> write(request, attempt, server)));
         } else {
             write(request, attempt, server);
         }
@@ -336,30 +338,39 @@
         if (!balancer.mayReach(queue.nowUs(), server)) {
             // The module must not be told from within one of its actions.
             queue.scheduleAfter(
-                    0, () -> onTime(() -> ended(request, attempt, server, Outcome.NOT_SENT)));
+                    0,
+                    () ->
+                            processTimer(
+                                    () ->
+                                            completeAttempt(
+                                                    request, attempt, server, Outcome.NOT_SENT)));
             return;
         }
-        sent++;
-        long heldUpUs = heldUp ? random.nextLong(HOLD_UP_US) : 0;
+        sentCount++;
+        long heldUpUs = stalling ? random.nextLong(MAX_STALL_US) : 0;
         queue.scheduleAfter(
                 heldUpUs,
                 () -> {
                     record.add(new Send(queue.nowUs(), name(), server));
-                    Outcome outcome = servers.take(server, queue.nowUs());
+                    Outcome outcome = servers.handleRequest(server, queue.nowUs());
                     queue.scheduleAfter(
-                            1 + random.nextLong(SERVICE_US),
-                            () -> onRead(() -> ended(request, attempt, server, outcome)));
+                            1 + random.nextLong(MAX_SERVICE_TIME_US),
+                            () ->
+                                    processRead(
+                                            () ->
+                                                    completeAttempt(
+                                                            request, attempt, server, outcome)));
                 });
     }
 
-    private void ended(String request, int attempt, String server, Outcome outcome) {
+    private void completeAttempt(String request, int attempt, String server, Outcome outcome) {
         balancer.outcome(
                 queue.nowUs(),
                 request,
                 attempt,
                 server,
                 outcome,
-                SERVICE_US,
+                MAX_SERVICE_TIME_US,
                 outcome == Outcome.OK,
                 null);
     }
@@ -367,11 +378,11 @@
     /** The module asks for a time only where it is earlier than what it asked for before. */
     @Override
     public void wakeAt(long atUs) {
-        long number = ++wakeUps;
-        atTimer(
+        long number = ++lastTimerNumber;
+        scheduleTimer(
                 atUs,
                 () -> {
-                    if (number == wakeUps) {
+                    if (number == lastTimerNumber) {
                         balancer.timer(queue.nowUs());
                     }
                 });
--- a/src/main/java/passhatch/lab/drain/Scenario.java
+++ b/src/main/java/passhatch/lab/drain/Scenario.java
@@ -31,7 +31,7 @@
     private static final long SECOND_US = TimeUnit.SECONDS.toMicros(1);
 
     /** As old as a change was seen to be when a watch ended instead of telling it. */
-    private static final long LATEST_TOLD_US = 2 * SECOND_US;
+    private static final long MAX_WATCH_DELAY_US = 2 * SECOND_US;
 
     static Scenario draw(Seeds seeds) {
         UniformRandomProvider random = seeds.stream("scenario");
@@ -46,6 +46,6 @@
                 random.nextInt(4) == 0 ? random.nextLong(15 * SECOND_US) : SECOND_US,
                 random.nextLong(SECOND_US, 5 * SECOND_US),
                 random.nextInt(3, 7),
-                random.nextBoolean() ? 0 : random.nextLong(LATEST_TOLD_US + 1));
+                random.nextBoolean() ? 0 : random.nextLong(MAX_WATCH_DELAY_US + 1));
     }
 }
--- a/src/main/java/passhatch/lab/drain/Servers.java
+++ b/src/main/java/passhatch/lab/drain/Servers.java
@@ -8,24 +8,24 @@
 final class Servers {
 
     private final Map<String, Long> acceptsUntilUs = new HashMap<>();
-    private final Map<String, Boolean> runs = new HashMap<>();
+    private final Map<String, Boolean> running = new HashMap<>();
 
-    void starts(String server) {
-        runs.put(server, true);
+    void start(String server) {
+        running.put(server, true);
         acceptsUntilUs.remove(server);
     }
 
-    void drains(String server, long acceptsUntilUs) {
+    void drain(String server, long acceptsUntilUs) {
         this.acceptsUntilUs.put(server, acceptsUntilUs);
     }
 
-    void ends(String server) {
-        runs.put(server, false);
+    void stop(String server) {
+        running.put(server, false);
     }
 
     /** What becomes of a request. */
-    Outcome take(String server, long nowUs) {
-        if (!runs.getOrDefault(server, false)) {
+    Outcome handleRequest(String server, long nowUs) {
+        if (!running.getOrDefault(server, false)) {
             return Outcome.CONNECT_FAILED;
         }
         return nowUs < acceptsUntilUs.getOrDefault(server, Long.MAX_VALUE)
--- a/src/main/java/passhatch/lab/drain/WatchCommand.java
+++ b/src/main/java/passhatch/lab/drain/WatchCommand.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.LongAdder;
 import passhatch.cli.Commands;
-import passhatch.lab.drain.DrainSimulation.Outcome;
+import passhatch.lab.drain.DrainSimulation.RunResult;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -20,7 +20,7 @@
                         + " simulated time, and checks each request against the drain rule.")
 public final class WatchCommand implements Callable<Integer> {
 
-    private static final long PROGRESS_EVERY = 100_000;
+    private static final long PROGRESS_INTERVAL = 100_000;
     private static final int PERCENT = 100;
 
     @Spec private CommandSpec spec;
@@ -39,15 +39,15 @@
             description =
                     "What servers do that drain: ${COMPLETION-CANDIDATES}; default:"
                             + " ${DEFAULT-VALUE}.")
-    private DrainSimulation.Draining draining;
+    private DrainSimulation.DrainBehavior draining;
 
     @Option(names = "--timeline", description = "Print all that happens, for a single seed.")
     private boolean timeline;
 
-    private final AtomicLong played = new AtomicLong();
-    private final AtomicLong firstBroken = new AtomicLong(Long.MAX_VALUE);
-    private final LongAdder broken = new LongAdder();
-    private final LongAdder exercised = new LongAdder();
+    private final AtomicLong completedRuns = new AtomicLong();
+    private final AtomicLong firstBrokenSeed = new AtomicLong(Long.MAX_VALUE);
+    private final LongAdder brokenRuns = new LongAdder();
+    private final LongAdder effectiveRuns = new LongAdder();
     private final LongAdder requests = new LongAdder();
     private final LongAdder sent = new LongAdder();
 
@@ -55,43 +55,47 @@
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
         if (timeline && seeds.count() == 1) {
-            DrainSimulation.play(seeds.first(), draining, out::println);
+            DrainSimulation.simulate(seeds.first(), draining, out::println);
         }
-        seeds.seeds().parallel().forEach(seed -> count(DrainSimulation.play(seed, draining), out));
+        seeds.seeds()
+                .parallel()
+                .forEach(seed -> count(DrainSimulation.simulate(seed, draining), out));
         out.printf(
                 "%d seeds, %d broken; %d had a drain that went unheard; %d requests, %.1f%% of them"
                         + " sent%n",
                 seeds.count(),
-                broken.sum(),
-                exercised.sum(),
+                brokenRuns.sum(),
+                effectiveRuns.sum(),
                 requests.sum(),
                 PERCENT * (double) sent.sum() / Math.max(1, requests.sum()));
-        if (broken.sum() > 0) {
-            explain(firstBroken.get(), out);
+        if (brokenRuns.sum() > 0) {
+            printTimeline(firstBrokenSeed.get(), out);
         }
         out.flush();
-        return broken.sum() == 0 && exercised.sum() > 0 ? 0 : Commands.EXIT_FAILURE;
+        return brokenRuns.sum() == 0 && effectiveRuns.sum() > 0 ? 0 : Commands.EXIT_FAILURE;
     }
 
-    private void count(Outcome run, PrintWriter out) {
+    private void count(RunResult run, PrintWriter out) {
         requests.add(run.requests());
         sent.add(run.sent());
-        if (run.unheard() > 0) {
-            exercised.increment();
+        if (run.notifiedUnwritten() > 0) {
+            effectiveRuns.increment();
         }
-        if (!run.late().isEmpty()) {
-            broken.increment();
-            firstBroken.accumulateAndGet(run.seed(), Math::min);
+        if (!run.lateSends().isEmpty()) {
+            brokenRuns.increment();
+            firstBrokenSeed.accumulateAndGet(run.seed(), Math::min);
         }
-        if (played.incrementAndGet() % PROGRESS_EVERY == 0) {
-            out.printf("%d of %d seeds, %d broken%n", played.get(), seeds.count(), broken.sum());
+        if (completedRuns.incrementAndGet() % PROGRESS_INTERVAL == 0) {
+            out.printf(
+                    "%d of %d seeds, %d broken%n",
+                    completedRuns.get(), seeds.count(), brokenRuns.sum());
             out.flush();
         }
     }
 
-    private void explain(long seed, PrintWriter out) {
+    private void printTimeline(long seed, PrintWriter out) {
         out.println("the first that broke the rule, seed " + seed + ":");
-        DrainSimulation.play(seed, draining, out::println);
+        DrainSimulation.simulate(seed, draining, out::println);
         out.printf(
                 "again: java -jar target/passhatch-lab.jar watch --timeline --draining %s --seeds"
                         + " %d%n",
--- a/src/main/java/passhatch/lab/duty/DutyChecker.java
+++ b/src/main/java/passhatch/lab/duty/DutyChecker.java
@@ -19,24 +19,24 @@
      * What an exploration found.
      *
      * @param states different ones, but for which voter and which candidate is which
-     * @param broken what does not hold after which steps, or null
+     * @param violation what does not hold after which steps, or null
      */
-    public record Found(long states, String broken) {}
+    public record Result(long states, String violation) {}
 
-    private final Parts parts;
-    private final DutyWorld.Bounds bounds;
+    private final StateMachineFactory factory;
+    private final DutyModel.Bounds bounds;
 
     /**
      * Bounds on one row of steps: their number, half leases that pass, crashes, and doubled
      * messages.
      */
-    public DutyChecker(Parts parts, int depth, int ticks, int crashes, int copies) {
-        this.parts = parts;
-        this.bounds = new DutyWorld.Bounds(depth, ticks, crashes, copies);
+    public DutyChecker(StateMachineFactory parts, int depth, int ticks, int crashes, int copies) {
+        this.factory = parts;
+        this.bounds = new DutyModel.Bounds(depth, ticks, crashes, copies);
     }
 
     /** Explores until something does not hold or all is seen. */
-    public Found run() {
+    public Result run() {
         Set<Long> seen = ConcurrentHashMap.newKeySet();
         AtomicReference<String> broken = new AtomicReference<>();
         List<byte[]> level = List.of(new byte[0]);
@@ -47,17 +47,17 @@
                     level.parallelStream()
                             .<byte[]>mapMulti(
                                     (path, next) -> {
-                                        int steps = play(path).steps();
+                                        int steps = replay(path).stepCount();
                                         for (int step = 0; step < steps; step++) {
-                                            DutyWorld world = play(path);
+                                            DutyModel world = replay(path);
                                             if (world.step(step)) {
                                                 byte[] longer =
                                                         Arrays.copyOf(path, path.length + 1);
                                                 longer[path.length] = (byte) step;
-                                                if (world.broken() != null) {
+                                                if (world.violation() != null) {
                                                     broken.compareAndSet(
                                                             null,
-                                                            world.broken()
+                                                            world.violation()
                                                                     + " after "
                                                                     + Arrays.toString(longer));
                                                 } else if (seen.add(hash(world.signature()))) {
@@ -68,7 +68,7 @@
                                     })
                             .toList();
         }
-        return new Found(seen.size(), broken.get());
+        return new Result(seen.size(), broken.get());
     }
 
     private static long hash(String signature) {
@@ -76,8 +76,8 @@
         return MurmurHash3.hash128x64(bytes, 0, bytes.length, 0)[0];
     }
 
-    private DutyWorld play(byte[] path) {
-        DutyWorld world = new DutyWorld(parts, bounds);
+    private DutyModel replay(byte[] path) {
+        DutyModel world = new DutyModel(factory, bounds);
         IntStream.range(0, path.length).forEach(i -> world.step(Byte.toUnsignedInt(path[i])));
         return world;
     }
--- a/src/main/java/passhatch/lab/duty/DutyCommand.java
+++ b/src/main/java/passhatch/lab/duty/DutyCommand.java
@@ -7,7 +7,7 @@
 import java.util.stream.LongStream;
 import passhatch.cli.CommandGroup;
 import passhatch.cli.Commands;
-import passhatch.lab.duty.DutySim.Outcome;
+import passhatch.lab.duty.DutySim.RunResult;
 import passhatch.lab.duty.DutySim.Shape;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -65,17 +65,18 @@
 
         @Override
         public Integer call() {
-            DutyChecker.Found found =
-                    new DutyChecker(Parts.OWN, depth, ticks, crashes, copies).run();
+            DutyChecker.Result found =
+                    new DutyChecker(StateMachineFactory.PRODUCTION, depth, ticks, crashes, copies)
+                            .run();
             PrintWriter out = spec.commandLine().getOut();
             out.println(
                     found.states()
                             + " states, "
-                            + (found.broken() == null
+                            + (found.violation() == null
                                     ? "nothing is broken"
-                                    : "BROKEN: " + found.broken()));
+                                    : "BROKEN: " + found.violation()));
             out.flush();
-            return found.broken() == null ? 0 : Commands.EXIT_FAILURE;
+            return found.violation() == null ? 0 : Commands.EXIT_FAILURE;
         }
     }
 
@@ -117,27 +118,32 @@
         public Integer call() {
             Shape shape = new Shape(voters, candidates, 15, drift, realDrift);
             PrintWriter out = spec.commandLine().getOut();
-            List<Outcome> all =
+            List<RunResult> all =
                     LongStream.range(0, seeds)
                             .parallel()
                             .mapToObj(
                                     seed -> {
-                                        Outcome outcome = DutySim.play(Parts.OWN, shape, seed);
-                                        if (outcome.broken() != null) {
-                                            out.println("seed " + seed + ": " + outcome.broken());
+                                        RunResult outcome =
+                                                DutySim.simulate(
+                                                        StateMachineFactory.PRODUCTION,
+                                                        shape,
+                                                        seed);
+                                        if (outcome.violation() != null) {
+                                            out.println(
+                                                    "seed " + seed + ": " + outcome.violation());
                                         }
                                         return outcome;
                                     })
                             .toList();
             List<Long> gaps = all.stream().flatMap(o -> o.gapsUs().stream()).sorted().toList();
-            long broken = all.stream().filter(o -> o.broken() != null).count();
+            long broken = all.stream().filter(o -> o.violation() != null).count();
             out.printf(
                     Locale.ROOT,
                     "%d seeds, %d broken, %d changes of holder, %d moments with two acting%n",
                     seeds,
                     broken,
-                    all.stream().mapToInt(Outcome::changes).sum(),
-                    all.stream().mapToInt(Outcome::doubles).sum());
+                    all.stream().mapToInt(RunResult::holderChanges).sum(),
+                    all.stream().mapToInt(RunResult::overlaps).sum());
             if (!gaps.isEmpty()) {
                 out.printf(
                         Locale.ROOT,
--- a/src/main/java/passhatch/lab/duty/DutyWorld.java
+++ b/src/main/java/passhatch/lab/duty/DutyModel.java
@@ -19,29 +19,29 @@
  * the model checker, reached by a row of steps. All clocks are one here; time moves by half a lease
  * a step.
  */
-final class DutyWorld {
+final class DutyModel {
 
     static final int VOTERS = 3;
     static final int CANDIDATES = 2;
     private static final String DUTY = "d";
     private static final long LEASE_US = 1_024;
     private static final long TICK_US = LEASE_US / 2;
-    private static final List<String> NAMES = List.of("v0", "v1", "v2", "x");
-    private static final List<String> HOSTS = List.of("c0", "c1");
+    private static final List<String> SENDER_NAMES = List.of("v0", "v1", "v2", "x");
+    private static final List<String> CANDIDATE_NAMES = List.of("c0", "c1");
 
     /** Not a voter: a holder that is gone. */
-    private static final int EARLIER = 3;
+    private static final int FORMER_HOLDER = 3;
 
     private static final DutySettings SETTINGS =
-            new DutySettings(NAMES.subList(0, VOTERS), 1, LEASE_US, 0);
+            new DutySettings(SENDER_NAMES.subList(0, VOTERS), 1, LEASE_US, 0);
 
     /** Always the shortest: every other wait is a step of the checker's. */
-    private static final RandomGenerator LEAST = () -> 0;
+    private static final RandomGenerator ZERO_RANDOM = () -> 0;
 
-    private static final int TIMERS = 1;
-    private static final int VOTER_CRASHES = TIMERS + CANDIDATES;
-    private static final int CANDIDATE_CRASHES = VOTER_CRASHES + VOTERS;
-    private static final int DELIVERIES = CANDIDATE_CRASHES + CANDIDATES;
+    private static final int FIRST_TIMER_STEP = 1;
+    private static final int FIRST_VOTER_CRASH_STEP = FIRST_TIMER_STEP + CANDIDATES;
+    private static final int FIRST_CANDIDATE_CRASH_STEP = FIRST_VOTER_CRASH_STEP + VOTERS;
+    private static final int FIRST_DELIVERY_STEP = FIRST_CANDIDATE_CRASH_STEP + CANDIDATES;
 
     /**
      * How often things happen at most in one row of steps.
@@ -53,9 +53,9 @@
      */
     record Bounds(int depth, int ticks, int crashes, int copies) {}
 
-    private record Sent(int from, int to, boolean toVoter, DutyMessage message) {}
+    private record Envelope(int from, int to, boolean toVoter, DutyMessage message) {}
 
-    private final Parts parts;
+    private final StateMachineFactory factory;
     private final Bounds bounds;
     private final Voter[] voters = new Voter[VOTERS];
     private final List<Map<String, Promise>> disks =
@@ -63,17 +63,17 @@
                     .limit(VOTERS)
                     .toList();
     private final Candidate[] candidates = new Candidate[CANDIDATES];
-    private final int[] lives = new int[CANDIDATES];
-    private final List<Sent> underWay = new ArrayList<>();
+    private final int[] incarnations = new int[CANDIDATES];
+    private final List<Envelope> inFlight = new ArrayList<>();
     private long nowUs = LEASE_US;
     private int ticks;
     private int crashes;
     private int copies;
-    private long greatestTerm;
-    private String broken;
+    private long maxGrantedTerm;
+    private String violation;
 
-    DutyWorld(Parts parts, Bounds bounds) {
-        this.parts = parts;
+    DutyModel(StateMachineFactory parts, Bounds bounds) {
+        this.factory = parts;
         this.bounds = bounds;
         for (int i = 0; i < VOTERS; i++) {
             startVoter(i);
@@ -84,9 +84,9 @@
         }
         // The last word of an earlier holder, that it has given up; it may come at any time, or
         // never.
-        underWay.add(
-                new Sent(
-                        EARLIER,
+        inFlight.add(
+                new Envelope(
+                        FORMER_HOLDER,
                         1,
                         false,
                         new DutyMessage(DutyMessage.Kind.TAKE, 1, DUTY, 1, 0, "x", 0)));
@@ -95,7 +95,7 @@
 
     private void startVoter(int voter) {
         voters[voter] =
-                parts.voter(
+                factory.createVoter(
                         SETTINGS,
                         nowUs,
                         disks.get(voter).values(),
@@ -106,29 +106,34 @@
     }
 
     private void startCandidate(int candidate) {
-        lives[candidate]++;
+        incarnations[candidate]++;
         candidates[candidate] =
-                parts.candidate(
+                factory.createCandidate(
                         SETTINGS,
                         DUTY,
                         holder(candidate),
-                        LEAST,
+                        ZERO_RANDOM,
                         new DutyActions() {
                             @Override
                             public void send(String to, DutyMessage message) {
-                                underWay.add(new Sent(candidate, NAMES.indexOf(to), true, message));
+                                inFlight.add(
+                                        new Envelope(
+                                                candidate,
+                                                SENDER_NAMES.indexOf(to),
+                                                true,
+                                                message));
                             }
 
                             @Override
                             public void granted(long term) {
-                                if (term <= greatestTerm) {
-                                    broken =
+                                if (term <= maxGrantedTerm) {
+                                    violation =
                                             "term "
                                                     + term
                                                     + " was granted after term "
-                                                    + greatestTerm;
+                                                    + maxGrantedTerm;
                                 }
-                                greatestTerm = Math.max(greatestTerm, term);
+                                maxGrantedTerm = Math.max(maxGrantedTerm, term);
                             }
 
                             @Override
@@ -138,37 +143,37 @@
     }
 
     private String holder(int candidate) {
-        return candidate + ":" + lives[candidate];
+        return candidate + ":" + incarnations[candidate];
     }
 
     /** Steps are numbers from 0 to below this. */
-    int steps() {
-        return DELIVERIES + 2 * underWay.size();
+    int stepCount() {
+        return FIRST_DELIVERY_STEP + 2 * inFlight.size();
     }
 
     /** Takes a step; false where it changes nothing or is out of bounds. */
     boolean step(int step) {
-        if (step < TIMERS) {
+        if (step < FIRST_TIMER_STEP) {
             nowUs += TICK_US;
             return ++ticks <= bounds.ticks();
-        } else if (step < VOTER_CRASHES) {
-            Candidate candidate = candidates[step - TIMERS];
+        } else if (step < FIRST_VOTER_CRASH_STEP) {
+            Candidate candidate = candidates[step - FIRST_TIMER_STEP];
             if (nowUs < candidate.wakeAtUs()) {
                 return false;
             }
             candidate.timer(nowUs);
-        } else if (step < CANDIDATE_CRASHES) {
-            boolean granted = voters[step - VOTER_CRASHES].promised(DUTY) != null;
-            startVoter(step - VOTER_CRASHES);
+        } else if (step < FIRST_CANDIDATE_CRASH_STEP) {
+            boolean granted = voters[step - FIRST_VOTER_CRASH_STEP].promised(DUTY) != null;
+            startVoter(step - FIRST_VOTER_CRASH_STEP);
             return granted && ++crashes <= bounds.crashes();
-        } else if (step < DELIVERIES) {
-            startCandidate(step - CANDIDATE_CRASHES);
+        } else if (step < FIRST_DELIVERY_STEP) {
+            startCandidate(step - FIRST_CANDIDATE_CRASH_STEP);
             return ++crashes <= bounds.crashes();
         } else {
-            int index = (step - DELIVERIES) / 2;
-            Sent sent = underWay.get(index);
-            if ((step - DELIVERIES) % 2 == 0) {
-                underWay.remove(index);
+            int index = (step - FIRST_DELIVERY_STEP) / 2;
+            Envelope sent = inFlight.get(index);
+            if ((step - FIRST_DELIVERY_STEP) % 2 == 0) {
+                inFlight.remove(index);
             } else if (++copies > bounds.copies()) {
                 return false;
             }
@@ -176,26 +181,27 @@
         }
         long acting = Arrays.stream(candidates).filter(c -> c.mayAct(nowUs)).count();
         if (acting > 1) {
-            broken = "two act: " + Arrays.toString(candidates);
+            violation = "two act: " + Arrays.toString(candidates);
         }
         return true;
     }
 
-    private void deliver(Sent sent) {
+    private void deliver(Envelope sent) {
         if (!sent.toVoter()) {
-            candidates[sent.to()].onMessage(nowUs, NAMES.get(sent.from()), sent.message());
+            candidates[sent.to()].onMessage(nowUs, SENDER_NAMES.get(sent.from()), sent.message());
             return;
         }
         DutyMessage answer =
-                voters[sent.to()].onMessage(nowUs, HOSTS.get(sent.from()), sent.message());
+                voters[sent.to()].onMessage(
+                        nowUs, CANDIDATE_NAMES.get(sent.from()), sent.message());
         if (answer != null) {
-            underWay.add(new Sent(sent.to(), sent.from(), false, answer));
+            inFlight.add(new Envelope(sent.to(), sent.from(), false, answer));
         }
     }
 
     /** What does not hold, or null. */
-    String broken() {
-        return broken;
+    String violation() {
+        return violation;
     }
 
     /**
@@ -214,17 +220,17 @@
             Promise promise = voters[v].promised(DUTY);
             if (promise != null) {
                 text.append(promise.term())
-                        .append(named(promise.holder(), order))
+                        .append(canonicalHolder(promise.holder(), order))
                         .append('/')
                         .append(voters[v].boundForUs(nowUs, DUTY))
                         .append(voters[v].released(DUTY) ? 'r' : '-');
             }
             Promise kept = disks.get(v).get(DUTY);
             if (kept != null && !kept.equals(promise)) {
-                text.append('!').append(kept.term()).append(named(kept.holder(), order));
+                text.append('!').append(kept.term()).append(canonicalHolder(kept.holder(), order));
             }
             List<String> messages = new ArrayList<>();
-            for (Sent sent : underWay) {
+            for (Envelope sent : inFlight) {
                 if ((sent.toVoter() ? sent.to() : sent.from()) == v) {
                     DutyMessage m = sent.message();
                     messages.add(
@@ -234,18 +240,18 @@
                                     + ","
                                     + m.round()
                                     + ","
-                                    + named(m.holder(), order)
+                                    + canonicalHolder(m.holder(), order)
                                     + ","
                                     + m.waitUs());
                 }
             }
             messages.sort(null);
-            byVoter[v] = text.append(messages).append(answered(v, order)).toString();
+            byVoter[v] = text.append(messages).append(replies(v, order)).toString();
         }
         Arrays.sort(byVoter);
         StringBuilder whole = new StringBuilder(String.join("|", byVoter));
-        underWay.stream()
-                .filter(s -> s.from() == EARLIER && !s.toVoter())
+        inFlight.stream()
+                .filter(s -> s.from() == FORMER_HOLDER && !s.toVoter())
                 .forEach(s -> whole.append("|take").append(order[0] == s.to() ? 0 : 1));
         for (int i : order) {
             Candidate c = candidates[i];
@@ -260,25 +266,25 @@
                     .append('/')
                     .append(Math.max(-2 * LEASE_US, c.requestedUs() - nowUs))
                     .append('/')
-                    .append(lives[i]);
+                    .append(incarnations[i]);
         }
         return whole.append('|')
                 .append(ticks)
                 .append(crashes)
                 .append(copies)
-                .append(greatestTerm)
+                .append(maxGrantedTerm)
                 .toString();
     }
 
-    private String answered(int voter, int[] order) {
+    private String replies(int voter, int[] order) {
         StringBuilder text = new StringBuilder();
         for (int i : order) {
-            text.append(candidates[i].replyOf(NAMES.get(voter)));
+            text.append(candidates[i].replyOf(SENDER_NAMES.get(voter)));
         }
         return text.toString();
     }
 
-    private static String named(String holder, int[] order) {
+    private static String canonicalHolder(String holder, int[] order) {
         int candidate = holder.charAt(0) - '0';
         return (order[0] == candidate ? 0 : 1) + holder.substring(1);
     }
--- a/src/main/java/passhatch/lab/duty/DutySim.java
+++ b/src/main/java/passhatch/lab/duty/DutySim.java
@@ -27,15 +27,15 @@
 public final class DutySim {
 
     private static final String DUTY = "release";
-    private static final long SECOND = 1_000_000;
-    private static final long LEASE_US = 4 * SECOND;
-    private static final long RUN_US = 300 * SECOND;
+    private static final long SECOND_US = 1_000_000;
+    private static final long LEASE_US = 4 * SECOND_US;
+    private static final long RUN_US = 300 * SECOND_US;
 
     /** The last part of a run is without faults. */
-    private static final long CALM_US = 60 * SECOND;
+    private static final long FAULT_FREE_US = 60 * SECOND_US;
 
-    private static final long ACT_EVERY_US = 100_000;
-    private static final long DEVICE_DELAY_US = 50_000;
+    private static final long ACT_INTERVAL_US = 100_000;
+    private static final long MAX_DEVICE_DELAY_US = 50_000;
 
     /**
      * What is drawn for a run.
@@ -52,44 +52,44 @@
     /**
      * What came of a run.
      *
-     * @param broken what did not hold, or null
-     * @param changes of the holder
+     * @param violation what did not hold, or null
+     * @param holderChanges of the holder
      * @param gapsUs how long the duty had no holder each time, in microseconds
-     * @param doubles moments at which two could act; 0 as long as clocks keep the bound
+     * @param overlaps moments at which two could act; 0 as long as clocks keep the bound
      */
-    public record Outcome(String broken, int changes, List<Long> gapsUs, int doubles) {}
+    public record RunResult(String violation, int holderChanges, List<Long> gapsUs, int overlaps) {}
 
     /** A process with its clock. */
     private final class Host {
-        private final double pace;
-        private boolean held;
-        private final List<Runnable> waiting = new ArrayList<>();
+        private final double clockRate;
+        private boolean paused;
+        private final List<Runnable> pendingActions = new ArrayList<>();
 
         Host(double pace) {
-            this.pace = pace;
+            this.clockRate = pace;
         }
 
         long localUs() {
-            return (long) (nowUs() * pace);
+            return (long) (nowUs() * clockRate);
         }
 
         /** Has something done here, once it is not held. */
         void run(Runnable what) {
-            if (held) {
-                waiting.add(what);
+            if (paused) {
+                pendingActions.add(what);
             } else {
                 what.run();
             }
         }
 
-        void hold(long us) {
-            held = true;
-            after(
+        void pause(long us) {
+            paused = true;
+            scheduleAfter(
                     us,
                     () -> {
-                        held = false;
-                        List<Runnable> all = new ArrayList<>(waiting);
-                        waiting.clear();
+                        paused = false;
+                        List<Runnable> all = new ArrayList<>(pendingActions);
+                        pendingActions.clear();
                         all.forEach(Runnable::run);
                     });
         }
@@ -113,8 +113,8 @@
                 settings.voters().stream()
                         .filter(v -> voters.get(v) != this)
                         .forEach(v -> send(name, v, then.recall()));
-                after(
-                        SECOND / 2,
+                scheduleAfter(
+                        SECOND_US / 2,
                         () ->
                                 host.run(
                                         () -> {
@@ -127,7 +127,7 @@
 
         void start() {
             voter =
-                    parts.voter(
+                    factory.createVoter(
                             settings,
                             host.localUs(),
                             disk.values(),
@@ -151,8 +151,8 @@
         private final int number;
         private final Host host;
         private Candidate candidate;
-        private int life;
-        private long plannedUs;
+        private int incarnation;
+        private long timerUs;
 
         CandidateNode(int number, Host host) {
             this.number = number;
@@ -164,26 +164,28 @@
         }
 
         void start() {
-            life++;
+            incarnation++;
             candidate =
-                    parts.candidate(
+                    factory.createCandidate(
                             settings,
                             DUTY,
-                            name() + ":" + life,
-                            new SplittableRandom(seeds.stream(name() + life).nextLong()),
+                            name() + ":" + incarnation,
+                            new SplittableRandom(seeds.stream(name() + incarnation).nextLong()),
                             this);
             candidate.campaign(host.localUs());
-            plan();
+            scheduleTimer();
         }
 
-        void plan() {
+        void scheduleTimer() {
             if (candidate == null || candidate.wakeAtUs() == Long.MAX_VALUE) {
                 return;
             }
             long at =
-                    Math.max(nowUs() + 1, (long) Math.ceil((candidate.wakeAtUs() + 1) / host.pace));
-            if (plannedUs <= nowUs() || at < plannedUs) {
-                plannedUs = at;
+                    Math.max(
+                            nowUs() + 1,
+                            (long) Math.ceil((candidate.wakeAtUs() + 1) / host.clockRate));
+            if (timerUs <= nowUs() || at < timerUs) {
+                timerUs = at;
                 Candidate then = candidate;
                 events.scheduleAt(
                         at,
@@ -192,16 +194,16 @@
                                         () -> {
                                             if (candidate == then) {
                                                 then.timer(host.localUs());
-                                                plan();
+                                                scheduleTimer();
                                             }
                                         }));
             }
         }
 
-        void hear(String from, DutyMessage message) {
+        void receive(String from, DutyMessage message) {
             if (candidate != null) {
                 candidate.onMessage(host.localUs(), from, message);
-                plan();
+                scheduleTimer();
             }
         }
 
@@ -212,13 +214,13 @@
 
         @Override
         public void granted(long term) {
-            if (term <= greatestTerm) {
-                fail("term " + term + " was granted after " + greatestTerm);
+            if (term <= maxGrantedTerm) {
+                recordViolation("term " + term + " was granted after " + maxGrantedTerm);
             }
-            greatestTerm = Math.max(greatestTerm, term);
-            changes++;
-            if (freeSinceUs >= 0) {
-                gapsUs.add(nowUs() - freeSinceUs);
+            maxGrantedTerm = Math.max(maxGrantedTerm, term);
+            holderChanges++;
+            if (noHolderSinceUs >= 0) {
+                gapsUs.add(nowUs() - noHolderSinceUs);
             }
         }
 
@@ -229,33 +231,33 @@
         void act() {
             if (candidate != null && candidate.mayAct(host.localUs())) {
                 long token = candidate.term();
-                after(1 + random.nextLong(DEVICE_DELAY_US), () -> carryOut(token));
+                scheduleAfter(1 + random.nextLong(MAX_DEVICE_DELAY_US), () -> execute(token));
             }
         }
     }
 
-    private final Parts parts;
+    private final StateMachineFactory factory;
     private final Shape shape;
     private final Seeds seeds;
     private final UniformRandomProvider random;
     private final DutySettings settings;
     private final Map<String, VoterNode> voters = new HashMap<>();
     private final Map<String, CandidateNode> candidates = new HashMap<>();
-    private final EventQueue<Runnable> events = new EventQueue<>(SECOND);
-    private final Set<String> cutOff = new HashSet<>();
-    private final Set<String> mute = new HashSet<>();
+    private final EventQueue<Runnable> events = new EventQueue<>(SECOND_US);
+    private final Set<String> partitioned = new HashSet<>();
+    private final Set<String> muted = new HashSet<>();
     private final Fence fence = new Fence(Map.of(), (duty, token) -> true);
     private final List<Long> gapsUs = new ArrayList<>();
-    private boolean badNetwork;
-    private long greatestTerm;
-    private long carriedOut;
-    private long freeSinceUs = -1;
-    private int changes;
-    private int doubles;
-    private String broken;
-
-    private DutySim(Parts parts, Shape shape, long seed) {
-        this.parts = parts;
+    private boolean unreliableNetwork;
+    private long maxGrantedTerm;
+    private long lastExecutedToken;
+    private long noHolderSinceUs = -1;
+    private int holderChanges;
+    private int overlaps;
+    private String violation;
+
+    private DutySim(StateMachineFactory parts, Shape shape, long seed) {
+        this.factory = parts;
         this.shape = shape;
         this.seeds = new Seeds(seed);
         this.random = seeds.stream("world");
@@ -272,11 +274,11 @@
     }
 
     /** Plays a seed. */
-    public static Outcome play(Parts parts, Shape shape, long seed) {
+    public static RunResult simulate(StateMachineFactory parts, Shape shape, long seed) {
         return new DutySim(parts, shape, seed).run();
     }
 
-    private Outcome run() {
+    private RunResult run() {
         voters.values()
                 .forEach(
                         v -> {
@@ -285,98 +287,103 @@
                         });
         candidates.values().forEach(CandidateNode::start);
         for (int i = random.nextInt(2 * shape.faults() + 1); i > 0; i--) {
-            after(random.nextLong(RUN_US - CALM_US), this::fault);
+            scheduleAfter(random.nextLong(RUN_US - FAULT_FREE_US), this::injectFault);
         }
         for (CandidateNode candidate : candidates.values()) {
-            after(random.nextLong(ACT_EVERY_US), () -> actOn(candidate));
+            scheduleAfter(random.nextLong(ACT_INTERVAL_US), () -> actPeriodically(candidate));
         }
         long end = nowUs() + RUN_US;
-        while (broken == null) {
+        while (violation == null) {
             Runnable event = events.pollUntil(end);
             if (event == null) {
                 break;
             }
-            if (end - nowUs() < CALM_US / 2) {
-                badNetwork = false;
+            if (end - nowUs() < FAULT_FREE_US / 2) {
+                unreliableNetwork = false;
             }
             event.run();
-            look();
+            checkState();
         }
-        if (broken == null) {
+        if (violation == null) {
             events.advanceTo(end);
-            if (acting() == 0) {
-                fail("nobody holds the duty " + CALM_US / 2 / SECOND + " s after the last fault");
+            if (countActing() == 0) {
+                recordViolation(
+                        "nobody holds the duty "
+                                + FAULT_FREE_US / 2 / SECOND_US
+                                + " s after the last fault");
             }
         }
-        return new Outcome(broken, changes, gapsUs, doubles);
+        return new RunResult(violation, holderChanges, gapsUs, overlaps);
     }
 
     private long nowUs() {
         return events.nowUs();
     }
 
-    private void after(long us, Runnable action) {
+    private void scheduleAfter(long us, Runnable action) {
         events.scheduleAfter(us, action);
     }
 
-    private void actOn(CandidateNode candidate) {
+    private void actPeriodically(CandidateNode candidate) {
         candidate.host.run(candidate::act);
-        after(ACT_EVERY_US, () -> actOn(candidate));
+        scheduleAfter(ACT_INTERVAL_US, () -> actPeriodically(candidate));
     }
 
-    private void carryOut(long token) {
+    private void execute(long token) {
         if (fence.admits(DUTY, token)) {
-            if (token < carriedOut) {
-                fail("token " + token + " was carried out after " + carriedOut);
+            if (token < lastExecutedToken) {
+                recordViolation("token " + token + " was carried out after " + lastExecutedToken);
             }
-            carriedOut = token;
+            lastExecutedToken = token;
         }
     }
 
-    private long acting() {
+    private long countActing() {
         return candidates.values().stream()
                 .filter(c -> c.candidate != null && c.candidate.mayAct(c.host.localUs()))
                 .count();
     }
 
-    private void look() {
-        long acting = acting();
+    private void checkState() {
+        long acting = countActing();
         if (acting > 1) {
-            doubles++;
+            overlaps++;
             if (shape.realDrift() <= shape.drift()) {
-                fail("two may act");
+                recordViolation("two may act");
             }
         }
         if (acting > 0) {
-            freeSinceUs = -1;
-        } else if (freeSinceUs < 0) {
-            freeSinceUs = nowUs();
+            noHolderSinceUs = -1;
+        } else if (noHolderSinceUs < 0) {
+            noHolderSinceUs = nowUs();
         }
     }
 
-    private void fail(String what) {
-        if (broken == null) {
-            broken = nowUs() / 1000 + " ms: " + what;
+    private void recordViolation(String what) {
+        if (violation == null) {
+            violation = nowUs() / 1000 + " ms: " + what;
         }
     }
 
     private void send(String from, String to, DutyMessage message) {
         boolean lost =
-                cutOff.contains(from) != cutOff.contains(to)
-                        || mute.contains(from)
-                        || badNetwork && random.nextDouble() < 0.3;
-        int copies = lost ? 0 : badNetwork && random.nextInt(5) == 0 ? 2 : 1;
+                partitioned.contains(from) != partitioned.contains(to)
+                        || muted.contains(from)
+                        || unreliableNetwork && random.nextDouble() < 0.3;
+        int copies = lost ? 0 : unreliableNetwork && random.nextInt(5) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             // Some are late by up to a minute.
             long us =
                     100
                             + random.nextLong(
-                                    badNetwork && random.nextInt(10) == 0 ? 60 * SECOND : 2_000);
-            after(us, () -> arrive(from, to, message));
+                                    unreliableNetwork && random.nextInt(10) == 0
+                                            ? 60 * SECOND_US
+                                            : 2_000);
+            scheduleAfter(us, () -> deliver(from, to, message));
         }
     }
 
-    private void arrive(String from, String to, DutyMessage message) {
+    private void deliver(String from, String to, DutyMessage message) {
         if (voters.containsKey(to)) {
             VoterNode node = voters.get(to);
             node.host.run(
@@ -389,11 +396,11 @@
                     });
         } else if (candidates.containsKey(to)) {
             CandidateNode node = candidates.get(to);
-            node.host.run(() -> node.hear(from, message));
+            node.host.run(() -> node.receive(from, message));
         }
     }
 
-    private void fault() {
+    private void injectFault() {
         List<String> names = new ArrayList<>(voters.keySet());
         names.addAll(candidates.keySet());
         names.sort(null);
@@ -403,18 +410,18 @@
             case 0 -> crash(name);
             case 1 -> List.copyOf(voters.values()).forEach(VoterNode::start);
             case 7 -> voters.get("v" + random.nextInt(shape.voters())).startWithoutDisk();
-            case 2 -> host(name).hold(us);
+            case 2 -> host(name).pause(us);
             case 3 -> {
-                cutOff.add(name);
-                after(us, () -> cutOff.remove(name));
+                partitioned.add(name);
+                scheduleAfter(us, () -> partitioned.remove(name));
             }
             case 4 -> {
-                mute.add(name);
-                after(us, () -> mute.remove(name));
+                muted.add(name);
+                scheduleAfter(us, () -> muted.remove(name));
             }
             case 5 -> {
-                badNetwork = true;
-                after(us, () -> badNetwork = false);
+                unreliableNetwork = true;
+                scheduleAfter(us, () -> unreliableNetwork = false);
             }
             default ->
                     candidates.values().stream()
@@ -432,7 +439,7 @@
                         holder.candidate.giveUp(
                                 holder.host.localUs(), "c" + random.nextInt(shape.candidates()));
                         holder.candidate.campaign(holder.host.localUs());
-                        holder.plan();
+                        holder.scheduleTimer();
                     }
                 });
     }
@@ -447,8 +454,8 @@
         } else {
             CandidateNode node = candidates.get(name);
             node.candidate = null;
-            after(
-                    random.nextLong(10 * SECOND),
+            scheduleAfter(
+                    random.nextLong(10 * SECOND_US),
                     () -> {
                         if (node.candidate == null) {
                             node.start();
--- a/src/main/java/passhatch/lab/duty/Parts.java
+++ b/src/main/java/passhatch/lab/duty/StateMachineFactory.java
@@ -13,13 +13,13 @@
  * Makes the state machines that are checked: the program's own, or ones with an error that has to
  * be found.
  */
-public interface Parts {
+public interface StateMachineFactory {
 
     /** The program's own. */
-    Parts OWN = new Parts() {};
+    StateMachineFactory PRODUCTION = new StateMachineFactory() {};
 
     /** A voter that starts with what its disk has. */
-    default Voter voter(
+    default Voter createVoter(
             DutySettings settings,
             long nowUs,
             Collection<Promise> promises,
@@ -28,7 +28,7 @@
     }
 
     /** A candidate. */
-    default Candidate candidate(
+    default Candidate createCandidate(
             DutySettings settings,
             String duty,
             String holder,
--- a/src/test/java/passhatch/lab/drain/DrainCheckerTest.java
+++ b/src/test/java/passhatch/lab/drain/DrainCheckerTest.java
@@ -5,184 +5,184 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import passhatch.lab.drain.DrainChecker.Sentence;
+import passhatch.lab.drain.DrainChecker.NotificationRule;
+import passhatch.lab.drain.DrainRecord.AddressChange;
 import passhatch.lab.drain.DrainRecord.Call;
 import passhatch.lab.drain.DrainRecord.Change;
-import passhatch.lab.drain.DrainRecord.Move;
 import passhatch.lab.drain.DrainRecord.Outage;
 import passhatch.lab.drain.DrainRecord.Rules;
 import passhatch.lab.drain.DrainRecord.Send;
-import passhatch.lab.drain.DrainRecord.Written;
+import passhatch.lab.drain.DrainRecord.WrittenVersion;
 
 /**
  * Each sentence of the pages: a request just inside its bound passes, one at the bound is found.
  */
 final class DrainCheckerTest {
 
-    private static final long S = 1_000_000;
-    private static final long GRACE = 750_000;
-    private static final long ASKING = 10 * S;
+    private static final long SECOND_US = 1_000_000;
+    private static final long GRACE_US = 750_000;
+    private static final long ASK_INTERVAL_US = 10 * SECOND_US;
     private static final String PROXY = "n0";
     private static final String SERVER = "s";
     private static final long NEVER = DrainRecord.NEVER;
 
     /** The server drains at 10 s, as version 2. */
-    private static DrainRecord drained(boolean pushed, long askEveryUs) {
-        DrainRecord record = new DrainRecord(new Rules(pushed, GRACE, askEveryUs));
+    private static DrainRecord recordWithDrain(boolean pushed, long askEveryUs) {
+        DrainRecord record = new DrainRecord(new Rules(pushed, GRACE_US, askEveryUs));
         record.add(new Change(0, 1, SERVER, true));
-        record.add(new Change(10 * S, 2, SERVER, false));
+        record.add(new Change(10 * SECOND_US, 2, SERVER, false));
         return record;
     }
 
-    private static DrainRecord asked() {
-        return drained(false, ASKING);
+    private static DrainRecord recordOnRequest() {
+        return recordWithDrain(false, ASK_INTERVAL_US);
     }
 
-    private static void assertBound(DrainRecord record, long toldUs, Sentence sentence) {
-        record.add(new Send(toldUs + GRACE - 1, PROXY, SERVER));
+    private static void assertBound(DrainRecord record, long toldUs, NotificationRule sentence) {
+        record.add(new Send(toldUs + GRACE_US - 1, PROXY, SERVER));
         assertEquals(List.of(), DrainChecker.check(record));
-        record.add(new Send(toldUs + GRACE, PROXY, SERVER));
+        record.add(new Send(toldUs + GRACE_US, PROXY, SERVER));
         List<DrainChecker.LateSend> late = DrainChecker.check(record);
         assertEquals(1, late.size());
-        assertEquals(toldUs, late.get(0).toldUs());
-        assertEquals(sentence, late.get(0).sentence());
+        assertEquals(toldUs, late.get(0).notifiedUs());
+        assertEquals(sentence, late.get(0).rule());
     }
 
     @Test
-    void whatDiscoveryHadCountsSixSecondsLaterWhateverFailed() {
-        assertBound(asked(), 16 * S, Sentence.REACHABLE);
+    void aChangeIsDeemedNotifiedSixSecondsLaterWhateverFailed() {
+        assertBound(recordOnRequest(), 16 * SECOND_US, NotificationRule.REACHABLE);
     }
 
     @Test
-    void whatChangedInAnOutageCountsSixSecondsAfterTheReturn() {
-        DrainRecord record = asked();
-        record.add(new Outage(9 * S, 13 * S));
-        assertBound(record, 19 * S, Sentence.REACHABLE);
+    void aChangeDuringAnOutageIsDeemedNotifiedSixSecondsAfterItsEnd() {
+        DrainRecord record = recordOnRequest();
+        record.add(new Outage(9 * SECOND_US, 13 * SECOND_US));
+        assertBound(record, 19 * SECOND_US, NotificationRule.REACHABLE);
     }
 
     @Test
-    void anOutageThatBeginsLaterPutsNothingOff() {
-        DrainRecord record = asked();
-        record.add(new Outage(10 * S + 1, 30 * S));
-        assertBound(record, 16 * S, Sentence.REACHABLE);
+    void anOutageThatBeginsAfterTheChangeDelaysNothing() {
+        DrainRecord record = recordOnRequest();
+        record.add(new Outage(10 * SECOND_US + 1, 30 * SECOND_US));
+        assertBound(record, 16 * SECOND_US, NotificationRule.REACHABLE);
     }
 
     @Test
-    void whatIsWrittenCountsAtOnceReadOrNot() {
-        DrainRecord record = asked();
-        record.add(new Written(11 * S, PROXY, 1));
-        record.add(new Written(12 * S, "n1", 2));
-        record.add(new Written(13 * S, PROXY, 3));
-        assertBound(record, 13 * S, Sentence.WRITTEN);
+    void aWrittenChangeIsDeemedNotifiedAtOnceReadOrNot() {
+        DrainRecord record = recordOnRequest();
+        record.add(new WrittenVersion(11 * SECOND_US, PROXY, 1));
+        record.add(new WrittenVersion(12 * SECOND_US, "n1", 2));
+        record.add(new WrittenVersion(13 * SECOND_US, PROXY, 3));
+        assertBound(record, 13 * SECOND_US, NotificationRule.WRITTEN);
     }
 
     @Test
-    void whatASilentWatchMissesCountsSixSecondsAfterItFellSilent() {
-        DrainRecord record = asked();
-        record.add(new Call(PROXY, S, 2 * S, 7 * S, 30 * S, false));
-        assertBound(record, 13 * S, Sentence.SILENT_WATCH);
+    void aChangeMissedByASilentWatchIsDeemedNotifiedSixSecondsAfterItFellSilent() {
+        DrainRecord record = recordOnRequest();
+        record.add(new Call(PROXY, SECOND_US, 2 * SECOND_US, 7 * SECOND_US, 30 * SECOND_US, false));
+        assertBound(record, 13 * SECOND_US, NotificationRule.SILENT_WATCH);
     }
 
     @Test
-    void aWatchThatWasGivenUpBeforeTheChangeMissesNothing() {
-        DrainRecord record = asked();
-        record.add(new Call(PROXY, S, 2 * S, 7 * S, 10 * S, false));
-        record.add(new Call(PROXY, 10 * S, 10 * S + 1, NEVER, NEVER, false));
-        assertBound(record, 16 * S, Sentence.REACHABLE);
+    void aWatchThatWasClosedBeforeTheChangeMissesNothing() {
+        DrainRecord record = recordOnRequest();
+        record.add(new Call(PROXY, SECOND_US, 2 * SECOND_US, 7 * SECOND_US, 10 * SECOND_US, false));
+        record.add(new Call(PROXY, 10 * SECOND_US, 10 * SECOND_US + 1, NEVER, NEVER, false));
+        assertBound(record, 16 * SECOND_US, NotificationRule.REACHABLE);
     }
 
     /** It was opened anew: that its old connection stays open changes nothing. */
     @Test
-    void aSilentWatchMissesNothingAfterALaterOneWasAnswered() {
-        DrainRecord record = asked();
-        record.add(new Call(PROXY, S, 2 * S, 7 * S, 30 * S, false));
-        record.add(new Call(PROXY, 9 * S, 10 * S - 1, NEVER, NEVER, false));
-        assertBound(record, 16 * S, Sentence.REACHABLE);
+    void aSilentWatchMissesNothingAfterALaterCallGotAResponse() {
+        DrainRecord record = recordOnRequest();
+        record.add(new Call(PROXY, SECOND_US, 2 * SECOND_US, 7 * SECOND_US, 30 * SECOND_US, false));
+        record.add(new Call(PROXY, 9 * SECOND_US, 10 * SECOND_US - 1, NEVER, NEVER, false));
+        assertBound(record, 16 * SECOND_US, NotificationRule.REACHABLE);
     }
 
     @Test
-    void aSilentWatchMissesWhatComesBeforeALaterOneIsAnswered() {
-        DrainRecord record = asked();
-        record.add(new Call(PROXY, S, 2 * S, 7 * S, 30 * S, false));
-        record.add(new Call(PROXY, 9 * S, 10 * S + 1, NEVER, NEVER, false));
-        assertBound(record, 13 * S, Sentence.SILENT_WATCH);
+    void aSilentWatchMissesChangesBeforeALaterCallGetsAResponse() {
+        DrainRecord record = recordOnRequest();
+        record.add(new Call(PROXY, SECOND_US, 2 * SECOND_US, 7 * SECOND_US, 30 * SECOND_US, false));
+        record.add(new Call(PROXY, 9 * SECOND_US, 10 * SECOND_US + 1, NEVER, NEVER, false));
+        assertBound(record, 13 * SECOND_US, NotificationRule.SILENT_WATCH);
     }
 
     @Test
-    void withNoWatchAChangeCountsAfterTheAskingTime() {
-        DrainRecord record = drained(false, 2 * S);
-        record.add(new Call(PROXY, S, 2 * S, NEVER, 5 * S, false));
-        assertBound(record, 12 * S, Sentence.ASKING_TIME);
+    void withoutAWatchAChangeIsDeemedNotifiedAfterTheAskInterval() {
+        DrainRecord record = recordWithDrain(false, 2 * SECOND_US);
+        record.add(new Call(PROXY, SECOND_US, 2 * SECOND_US, NEVER, 5 * SECOND_US, false));
+        assertBound(record, 12 * SECOND_US, NotificationRule.ASKING_TIME);
     }
 
     /** A call is written down when it ends, which may be after the next was made. */
     @Test
-    void theLastCallIsTheOneThatWasMadeLast() {
-        DrainRecord record = drained(false, 2 * S);
-        record.add(new Call(PROXY, S, 2 * S, NEVER, 5 * S, false));
-        record.add(new Call(PROXY, 11 * S, NEVER, NEVER, NEVER, false));
-        record.add(new Call(PROXY, 5 * S, 6 * S, NEVER, 13 * S, false));
-        assertBound(record, 13 * S, Sentence.ASKING_TIME);
+    void theLastCallIsTheOneThatWasStartedLast() {
+        DrainRecord record = recordWithDrain(false, 2 * SECOND_US);
+        record.add(new Call(PROXY, SECOND_US, 2 * SECOND_US, NEVER, 5 * SECOND_US, false));
+        record.add(new Call(PROXY, 11 * SECOND_US, NEVER, NEVER, NEVER, false));
+        record.add(new Call(PROXY, 5 * SECOND_US, 6 * SECOND_US, NEVER, 13 * SECOND_US, false));
+        assertBound(record, 13 * SECOND_US, NotificationRule.ASKING_TIME);
     }
 
     @Test
-    void afterAFailedCallTheAskingTimeCountsFourTimes() {
-        DrainRecord record = drained(false, S);
-        record.add(new Call(PROXY, 9 * S, NEVER, NEVER, 9 * S + 1, true));
-        assertBound(record, 14 * S, Sentence.ASKING_TIME);
+    void afterAFailedCallAChangeIsDeemedNotifiedAfterFourAskIntervals() {
+        DrainRecord record = recordWithDrain(false, SECOND_US);
+        record.add(new Call(PROXY, 9 * SECOND_US, NEVER, NEVER, 9 * SECOND_US + 1, true));
+        assertBound(record, 14 * SECOND_US, NotificationRule.ASKING_TIME);
     }
 
     @Test
-    void anOpenWatchIsHeldToNoAskingTime() {
-        DrainRecord record = drained(false, 2 * S);
-        record.add(new Call(PROXY, S, 2 * S, NEVER, NEVER, false));
-        assertBound(record, 16 * S, Sentence.REACHABLE);
+    void theAskIntervalDoesNotApplyToAnOpenWatch() {
+        DrainRecord record = recordWithDrain(false, 2 * SECOND_US);
+        record.add(new Call(PROXY, SECOND_US, 2 * SECOND_US, NEVER, NEVER, false));
+        assertBound(record, 16 * SECOND_US, NotificationRule.REACHABLE);
     }
 
     @Test
-    void afterAMoveAllThatDiscoveryHasCountsFourSecondsAfterTheFirstSignal() {
-        DrainRecord record = asked();
-        record.add(new Move(10 * S, PROXY));
-        record.add(new Move(11 * S, PROXY));
-        assertBound(record, 14 * S, Sentence.MOVED);
+    void allThatDiscoveryHasIsDeemedNotifiedFourSecondsAfterTheFirstAddressChange() {
+        DrainRecord record = recordOnRequest();
+        record.add(new AddressChange(10 * SECOND_US, PROXY));
+        record.add(new AddressChange(11 * SECOND_US, PROXY));
+        assertBound(record, 14 * SECOND_US, NotificationRule.MOVED);
     }
 
     /** So the operators' replay has it, to 10 ms in two plays (incident-317461). */
     @Test
-    void whatComesSoonAfterAMoveCountsFourSecondsLater() {
-        DrainRecord record = asked();
-        record.add(new Move(9 * S, PROXY));
-        assertBound(record, 14 * S, Sentence.MOVED);
+    void aChangeSoonAfterAnAddressChangeIsDeemedNotifiedFourSecondsLater() {
+        DrainRecord record = recordOnRequest();
+        record.add(new AddressChange(9 * SECOND_US, PROXY));
+        assertBound(record, 14 * SECOND_US, NotificationRule.MOVED);
     }
 
     @Test
-    void aMoveWhoseTimeIsOverBeforeTheChangeSaysNothing() {
-        DrainRecord record = asked();
-        record.add(new Move(10 * S - 4 * S - 1, PROXY));
-        assertBound(record, 16 * S, Sentence.REACHABLE);
+    void anAddressChangeMoreThanFourSecondsBeforeTheChangeHasNoEffect() {
+        DrainRecord record = recordOnRequest();
+        record.add(new AddressChange(10 * SECOND_US - 4 * SECOND_US - 1, PROXY));
+        assertBound(record, 16 * SECOND_US, NotificationRule.REACHABLE);
     }
 
     @Test
-    void whatIsPushedCountsAtOnceAndAtDiscoverysReturn() {
-        assertBound(drained(true, 0), 10 * S, Sentence.PUSHED);
-        DrainRecord record = drained(true, 0);
-        record.add(new Outage(9 * S, 14 * S));
-        assertBound(record, 14 * S, Sentence.PUSHED);
+    void aPushedChangeIsDeemedNotifiedAtOnceOrAtTheEndOfTheOutage() {
+        assertBound(recordWithDrain(true, 0), 10 * SECOND_US, NotificationRule.PUSHED);
+        DrainRecord record = recordWithDrain(true, 0);
+        record.add(new Outage(9 * SECOND_US, 14 * SECOND_US));
+        assertBound(record, 14 * SECOND_US, NotificationRule.PUSHED);
     }
 
     @Test
     void aServerThatIsListedAgainMayBeUsed() {
-        DrainRecord record = asked();
-        record.add(new Change(20 * S, 3, SERVER, true));
-        record.add(new Send(30 * S, PROXY, SERVER));
+        DrainRecord record = recordOnRequest();
+        record.add(new Change(20 * SECOND_US, 3, SERVER, true));
+        record.add(new Send(30 * SECOND_US, PROXY, SERVER));
         assertTrue(DrainChecker.check(record).isEmpty());
     }
 
     /** A server that drains and is then removed is out of use since it began to drain. */
     @Test
-    void aRemovalAfterADrainPutsNothingOff() {
-        DrainRecord record = asked();
-        record.add(new Change(14 * S, 3, SERVER, false));
-        assertBound(record, 16 * S, Sentence.REACHABLE);
+    void aRemovalAfterADrainDelaysNothing() {
+        DrainRecord record = recordOnRequest();
+        record.add(new Change(14 * SECOND_US, 3, SERVER, false));
+        assertBound(record, 16 * SECOND_US, NotificationRule.REACHABLE);
     }
 }
--- a/src/test/java/passhatch/lab/drain/WatchCommandTest.java
+++ b/src/test/java/passhatch/lab/drain/WatchCommandTest.java
@@ -16,7 +16,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"9..3", "-1..4", "x", "1..", "..", "1...2", "99999999999999999999"})
-    void aRangeThatIsNoneGetsOneLine(String range) {
+    void anInvalidSeedRangeIsReportedOnOneLine(String range) {
         StringWriter text = new StringWriter();
         CommandLine line = Commands.oneLineErrors(new CommandLine(new WatchCommand()));
         line.setErr(new PrintWriter(text, true));
--- a/src/test/java/passhatch/lab/duty/DutyCheckerTest.java
+++ b/src/test/java/passhatch/lab/duty/DutyCheckerTest.java
@@ -20,30 +20,38 @@
  */
 class DutyCheckerTest {
 
-    private static DutyChecker.Found check(
-            String what, Parts parts, int depth, int ticks, int crashes, int copies) {
-        DutyChecker.Found found = new DutyChecker(parts, depth, ticks, crashes, copies).run();
+    private static DutyChecker.Result check(
+            String what, StateMachineFactory parts, int depth, int ticks, int crashes, int copies) {
+        DutyChecker.Result found = new DutyChecker(parts, depth, ticks, crashes, copies).run();
         System.out.println("duties, " + what + ": " + found);
         return found;
     }
 
     @Test
-    void nothingIsFoundInTheProgramsOwn() {
-        DutyChecker.Found found = check("the program's own, 8 steps", Parts.OWN, 8, 3, 1, 1);
-        assertNull(found.broken());
+    void noViolationIsFoundInTheProductionStateMachines() {
+        DutyChecker.Result found =
+                check("the program's own, 8 steps", StateMachineFactory.PRODUCTION, 8, 3, 1, 1);
+        assertNull(found.violation());
         assertTrue(found.states() > 50_000, "so few states that the steps cannot have worked");
         assertNull(
-                check("the program's own, 9 steps without copies", Parts.OWN, 9, 3, 2, 0).broken());
+                check(
+                                "the program's own, 9 steps without copies",
+                                StateMachineFactory.PRODUCTION,
+                                9,
+                                3,
+                                2,
+                                0)
+                        .violation());
     }
 
     @Test
-    void aPromiseThatIsNotForcedIsFound() {
+    void aPromiseThatIsNotForcedToDiskIsDetected() {
         assertNotNull(
                 check(
                                 "promise not forced",
-                                new Parts() {
+                                new StateMachineFactory() {
                                     @Override
-                                    public Voter voter(
+                                    public Voter createVoter(
                                             DutySettings s,
                                             long nowUs,
                                             Collection<Promise> promises,
@@ -62,17 +70,17 @@
                                 0,
                                 1,
                                 0)
-                        .broken());
+                        .violation());
     }
 
     @Test
-    void aTermThatIsGrantedTwiceIsFound() {
+    void aTermThatIsGrantedTwiceIsDetected() {
         assertNotNull(
                 check(
                                 "term reused",
-                                new Parts() {
+                                new StateMachineFactory() {
                                     @Override
-                                    public Voter voter(
+                                    public Voter createVoter(
                                             DutySettings s,
                                             long nowUs,
                                             Collection<Promise> promises,
@@ -89,17 +97,17 @@
                                 2,
                                 0,
                                 0)
-                        .broken());
+                        .violation());
     }
 
     @Test
-    void aGrantRightAfterARestartIsFound() {
+    void aGrantRightAfterARestartIsDetected() {
         assertNotNull(
                 check(
                                 "grant after restart",
-                                new Parts() {
+                                new StateMachineFactory() {
                                     @Override
-                                    public Voter voter(
+                                    public Voter createVoter(
                                             DutySettings s,
                                             long nowUs,
                                             Collection<Promise> promises,
@@ -116,17 +124,17 @@
                                 0,
                                 1,
                                 0)
-                        .broken());
+                        .violation());
     }
 
     @Test
-    void aMajorityThatIsCountedWronglyIsFound() {
+    void aMajorityThatIsCountedWronglyIsDetected() {
         assertNotNull(
                 check(
                                 "majority counted wrongly",
-                                new Parts() {
+                                new StateMachineFactory() {
                                     @Override
-                                    public Candidate candidate(
+                                    public Candidate createCandidate(
                                             DutySettings s,
                                             String duty,
                                             String holder,
@@ -144,17 +152,17 @@
                                 0,
                                 0,
                                 0)
-                        .broken());
+                        .violation());
     }
 
     @Test
-    void aLeaseThatIsCountedFromTheAnswerIsFound() {
+    void aLeaseThatIsCountedFromTheReplyIsDetected() {
         assertNotNull(
                 check(
                                 "lease counted from the answer",
-                                new Parts() {
+                                new StateMachineFactory() {
                                     @Override
-                                    public Candidate candidate(
+                                    public Candidate createCandidate(
                                             DutySettings s,
                                             String duty,
                                             String holder,
@@ -172,6 +180,6 @@
                                 2,
                                 0,
                                 0)
-                        .broken());
+                        .violation());
     }
 }
--- a/src/test/java/passhatch/lab/duty/DutySimTest.java
+++ b/src/test/java/passhatch/lab/duty/DutySimTest.java
@@ -12,7 +12,7 @@
 import passhatch.duty.Candidate;
 import passhatch.duty.DutyActions;
 import passhatch.duty.DutySettings;
-import passhatch.lab.duty.DutySim.Outcome;
+import passhatch.lab.duty.DutySim.RunResult;
 import passhatch.lab.duty.DutySim.Shape;
 
 /** Random faults by seed; more seeds by {@code passhatch-lab.jar duty random}. */
@@ -20,16 +20,17 @@
 
     private static final int SEEDS = 400;
 
-    private static List<Outcome> play(Parts parts, Shape shape, Predicate<Outcome> that) {
+    private static List<RunResult> simulate(
+            StateMachineFactory parts, Shape shape, Predicate<RunResult> that) {
         return LongStream.range(0, SEEDS)
                 .parallel()
-                .mapToObj(seed -> DutySim.play(parts, shape, seed))
+                .mapToObj(seed -> DutySim.simulate(parts, shape, seed))
                 .filter(that)
                 .toList();
     }
 
     @Test
-    void atMostOneActsAndTermsGrow() {
+    void atMostOneCandidateActsAndTermsIncrease() {
         for (Shape shape :
                 List.of(
                         new Shape(3, 3, 15, 0.01, 0.01),
@@ -37,8 +38,9 @@
                         new Shape(7, 2, 20, 0, 0))) {
             assertEquals(
                     List.of(),
-                    play(Parts.OWN, shape, o -> o.broken() != null).stream()
-                            .map(Outcome::broken)
+                    simulate(StateMachineFactory.PRODUCTION, shape, o -> o.violation() != null)
+                            .stream()
+                            .map(RunResult::violation)
                             .toList(),
                     shape::toString);
         }
@@ -49,22 +51,23 @@
      * newer.
      */
     @Test
-    void tokensHoldBeyondTheBoundOnDrift() {
+    void fencingTokensHoldBeyondTheBoundOnDrift() {
         Shape shape = new Shape(5, 5, 15, 0.01, 0.3);
-        List<Outcome> all = play(Parts.OWN, shape, o -> true);
+        List<RunResult> all = simulate(StateMachineFactory.PRODUCTION, shape, o -> true);
         assertEquals(
-                List.of(), all.stream().map(Outcome::broken).filter(Objects::nonNull).toList());
+                List.of(),
+                all.stream().map(RunResult::violation).filter(Objects::nonNull).toList());
         assertTrue(
-                all.stream().mapToInt(Outcome::doubles).sum() > 0,
+                all.stream().mapToInt(RunResult::overlaps).sum() > 0,
                 "the bound was not passed at all");
     }
 
     @Test
-    void aMajorityThatIsCountedWronglyIsFound() {
-        Parts wrong =
-                new Parts() {
+    void aMajorityThatIsCountedWronglyIsDetected() {
+        StateMachineFactory wrong =
+                new StateMachineFactory() {
                     @Override
-                    public Candidate candidate(
+                    public Candidate createCandidate(
                             DutySettings s,
                             String duty,
                             String holder,
@@ -79,6 +82,7 @@
                     }
                 };
         assertTrue(
-                !play(wrong, new Shape(3, 3, 15, 0.01, 0.01), o -> o.broken() != null).isEmpty());
+                !simulate(wrong, new Shape(3, 3, 15, 0.01, 0.01), o -> o.violation() != null)
+                        .isEmpty());
     }
 }
