--- a/src/main/java/passhatch/lab/drain/DiscoveryModel.java
+++ b/src/main/java/passhatch/lab/drain/DiscoveryModel.java
@@ -15,31 +15,32 @@
 import passhatch.lab.sim.EventQueue;
 
 /**
- * Discovery in simulated time, by the protocol's page, with every way of doing badly that the pages
- * name. It writes its own account of the run.
+ * Discovery in simulated time, as the protocol describes it, with every fault that the
+ * specification names. It keeps its own record of the run.
  */
 final class DiscoveryModel {
 
-    /** How it treats calls that are made now. */
+    /** How discovery handles calls that are started now. */
     enum Mode {
-        /** Answers within milliseconds. */
+        /** Responds within milliseconds; the normal mode. */
         WELL,
-        /** Answers seconds later. */
+        /** Responds up to 5 s later. */
         SLOW,
-        /** Has a call wait and turns it away, or turns it away at once. */
+        /** Is overloaded: rejects most calls, at once or after they were queued. */
         CROWDED,
-        /** Accepts a call and never answers. */
+        /** Accepts a call and never responds. */
         DEAF,
-        /** Cannot be reached. */
+        /** Is unreachable. */
         DOWN
     }
 
-    /** What may become of a thing that is to be told. */
+    /** What may happen to a message on a watch or in a response. */
     enum Delivery {
+        /** It is written in full. */
         COMPLETE,
-        /** Its bytes are cut off within, and the watch goes on. */
+        /** Only a part of its bytes is written, and the watch goes on. */
         TRUNCATED,
-        /** The watch ends in its place. */
+        /** The call is closed instead. */
         CLOSED
     }
 
@@ -51,7 +52,7 @@
     private static final long MAX_VERSIONS_BEHIND = 4;
     private static final long NETWORK_DELAY_US = 300;
 
-    /** One call, from when it arrives until either side ends it. */
+    /** A call, from its arrival until either side ends it. */
     private final class OpenCall {
         private final long number;
         private final long startedUs;
@@ -62,7 +63,7 @@
         private boolean failed;
         private long lastArrivalUs;
 
-        /** Changes that the watch is still to tell, in their order. */
+        /** Versions that are still to be written on the watch, in ascending order. */
         private final ArrayDeque<Long> pendingVersions = new ArrayDeque<>();
 
         OpenCall(long number, ProxyModel caller) {
@@ -79,33 +80,34 @@
             if (!canWrite()) {
                 return;
             }
-            int cut = splitWrites ? random.nextInt(text.length() + 1) : text.length();
-            deliver(text.substring(0, cut), NETWORK_DELAY_US);
-            if (cut < text.length()) {
+            int splitAt = splitWrites ? random.nextInt(text.length() + 1) : text.length();
+            deliver(text.substring(0, splitAt), NETWORK_DELAY_US);
+            if (splitAt < text.length()) {
                 deliver(
-                        text.substring(cut),
+                        text.substring(splitAt),
                         NETWORK_DELAY_US + random.nextLong(MAX_PIECE_DELAY_US));
             }
         }
 
-        private void deliver(String text, long afterUs) {
-            scheduleInOrder(afterUs, () -> caller.onBody(number, text));
+        private void deliver(String text, long delayUs) {
+            scheduleInOrder(delayUs, () -> caller.onBody(number, text));
         }
 
-        /** A connection brings what was written in its order. */
-        private void scheduleInOrder(long afterUs, Runnable what) {
-            lastArrivalUs = Math.max(lastArrivalUs, queue.nowUs() + afterUs);
-            queue.scheduleAt(lastArrivalUs, what);
+        /** Schedules an event after all earlier ones: a connection delivers bytes in order. */
+        private void scheduleInOrder(long delayUs, Runnable event) {
+            lastArrivalUs = Math.max(lastArrivalUs, queue.nowUs() + delayUs);
+            queue.scheduleAt(lastArrivalUs, event);
         }
 
-        /** Ends it for the caller as well. */
-        void close(String why) {
+        /** Ends the call on both sides. */
+        void close(String reason) {
             if (open) {
                 recordEnd();
-                scheduleInOrder(NETWORK_DELAY_US, () -> caller.onClosed(number, why));
+                scheduleInOrder(NETWORK_DELAY_US, () -> caller.onClosed(number, reason));
             }
         }
 
+        /** Ends the call on discovery's side and records it. */
         void recordEnd() {
             if (open) {
                 open = false;
@@ -134,16 +136,18 @@
     private Mode mode = Mode.WELL;
     private long downSinceUs;
 
-    /** A watch tells each change so much later at most. */
+    /** Maximum delay with which a watch writes a change. */
     private long maxWatchDelayUs;
 
-    /** Answers and changes come in two pieces. */
+    /** Whether messages arrive in two pieces. */
     private boolean splitWrites;
 
-    /** Of so many things to tell one is cut off, or its watch ends instead; 0 for none. */
+    /**
+     * One message in this many is truncated, or its call is closed instead; 0 if all are complete.
+     */
     private int failedDeliveryOneIn;
 
-    /** Answers leave out what drains, and are the list of some versions ago. */
+    /** Whether responses omit draining servers and hold the list of an earlier version. */
     private boolean staleLists;
 
     DiscoveryModel(
@@ -174,21 +178,21 @@
         return mode;
     }
 
-    // ---- what happens to it
+    // ---- changes and faults
 
-    /** The list changes: a server serves, drains or is removed. */
+    /** Changes the list: a server is up, drains or is removed. */
     void changeStatus(String server, String status) {
         version++;
         statuses.put(server, status);
         history.add(new LinkedHashMap<>(statuses));
         record.add(new Change(queue.nowUs(), version, server, status.equals("SERVING")));
         timeline.accept("version " + version + ": " + server + " " + status);
-        long told = version;
+        long newVersion = version;
         for (OpenCall call : List.copyOf(calls.values())) {
             if (call.responseUs != DrainRecord.NEVER) {
-                call.pendingVersions.add(told);
-                long afterUs = maxWatchDelayUs == 0 ? 0 : random.nextLong(maxWatchDelayUs + 1);
-                queue.scheduleAfter(afterUs, () -> writePendingVersion(call));
+                call.pendingVersions.add(newVersion);
+                long delayUs = maxWatchDelayUs == 0 ? 0 : random.nextLong(maxWatchDelayUs + 1);
+                queue.scheduleAfter(delayUs, () -> writePendingVersion(call));
             }
         }
     }
@@ -205,18 +209,25 @@
         timeline.accept("discovery is " + next);
     }
 
-    void setDelivery(long lateUs, boolean pieces, int spoiltOneIn, boolean behind) {
-        this.maxWatchDelayUs = lateUs;
-        this.splitWrites = pieces;
-        this.failedDeliveryOneIn = spoiltOneIn;
-        this.staleLists = behind;
+    /** Sets how messages are delivered from now on. */
+    void setDelivery(
+            long maxWatchDelayUs,
+            boolean splitWrites,
+            int failedDeliveryOneIn,
+            boolean staleLists) {
+        this.maxWatchDelayUs = maxWatchDelayUs;
+        this.splitWrites = splitWrites;
+        this.failedDeliveryOneIn = failedDeliveryOneIn;
+        this.staleLists = staleLists;
         timeline.accept(
                 "discovery tells up to "
-                        + lateUs / 1_000
+                        + maxWatchDelayUs / 1_000
                         + " ms late"
-                        + (pieces ? ", in pieces" : "")
-                        + (spoiltOneIn > 0 ? ", one in " + spoiltOneIn + " spoilt" : "")
-                        + (behind ? ", old lists" : ""));
+                        + (splitWrites ? ", in pieces" : "")
+                        + (failedDeliveryOneIn > 0
+                                ? ", one in " + failedDeliveryOneIn + " spoilt"
+                                : "")
+                        + (staleLists ? ", old lists" : ""));
     }
 
     void resetCalls() {
@@ -231,14 +242,14 @@
         }
     }
 
-    /** It is found at another address; the old one closes what is open there a while later. */
+    /** Changes the address; calls that are open at the old one are closed 1.5 s later. */
     void changeAddress() {
         port++;
         List<OpenCall> old = List.copyOf(calls.values());
         queue.scheduleAfter(OLD_ADDRESS_CLOSE_DELAY_US, () -> old.forEach(c -> c.close("moved")));
     }
 
-    /** The run is over: what is still open is written down. */
+    /** Completes the record at the end of the run with calls and outages that are still open. */
     void completeRecord() {
         List.copyOf(calls.values()).forEach(OpenCall::recordEnd);
         if (mode == Mode.DOWN) {
@@ -270,20 +281,22 @@
         }
     }
 
+    /** Rejects two calls in three, drawn at random, and responds to the others. */
     private void handleWhileOverloaded(OpenCall call, String path) {
-        long waitsUs = random.nextBoolean() ? 20_000 : random.nextLong(MAX_QUEUE_DELAY_US);
+        long queuedUs = random.nextBoolean() ? 20_000 : random.nextLong(MAX_QUEUE_DELAY_US);
         if (random.nextInt(3) == 0) {
-            scheduleAfter(waitsUs, () -> respond(call, path));
+            scheduleAfter(queuedUs, () -> respond(call, path));
         } else {
-            scheduleAfter(waitsUs, () -> reject(call));
+            scheduleAfter(queuedUs, () -> reject(call));
         }
     }
 
-    private void scheduleAfter(long afterUs, Runnable what) {
-        queue.scheduleAfter(NETWORK_DELAY_US + afterUs, what);
+    /** Schedules an event after the time that the call takes to arrive and the given delay. */
+    private void scheduleAfter(long delayUs, Runnable event) {
+        queue.scheduleAfter(NETWORK_DELAY_US + delayUs, event);
     }
 
-    /** The proxy has ended the call. */
+    /** Handles a call that the proxy has closed. */
     void onCallClosed(long number) {
         OpenCall call = calls.get(number);
         if (call != null) {
@@ -313,14 +326,20 @@
                     2 * NETWORK_DELAY_US + MAX_PIECE_DELAY_US, () -> call.close("answered"));
             return;
         }
-        long heard = Long.parseLong(path.substring(from + "from=".length()));
-        // The pages have an answer hold all after the version asked for: one that is behind shows
-        // it.
-        boolean older = staleLists && heard > 1 && heard <= version;
-        long told =
-                older ? heard - 1 - random.nextLong(Math.min(heard, MAX_VERSIONS_BEHIND)) : version;
-        boolean whole = older || heard == 0 || heard > version || random.nextInt(3) == 0;
-        writeMessage(call, whole ? listMessage(told) : changesMessage(heard), told);
+        long knownVersion = Long.parseLong(path.substring(from + "from=".length()));
+        // The protocol requires a response with all changes after the requested version. A stale
+        // response holds the whole list of an earlier version, so its index is below the requested
+        // one.
+        boolean stale = staleLists && knownVersion > 1 && knownVersion <= version;
+        long written =
+                stale
+                        ? knownVersion
+                                - 1
+                                - random.nextLong(Math.min(knownVersion, MAX_VERSIONS_BEHIND))
+                        : version;
+        boolean whole =
+                stale || knownVersion == 0 || knownVersion > version || random.nextInt(3) == 0;
+        writeMessage(call, whole ? listMessage(written) : changesMessage(knownVersion), written);
         queue.scheduleAfter(EMPTY_LINE_INTERVAL_US, () -> writeEmptyLine(call));
     }
 
@@ -331,25 +350,25 @@
         }
     }
 
-    /** The first of the changes that a watch has not told yet. */
+    /** Writes the first of the changes that are pending on a watch. */
     private void writePendingVersion(OpenCall call) {
-        Long told = call.pendingVersions.poll();
-        if (told != null && call.canWrite()) {
-            writeMessage(call, changesMessage(told - 1, told), told);
+        Long pending = call.pendingVersions.poll();
+        if (pending != null && call.canWrite()) {
+            writeMessage(call, changesMessage(pending - 1, pending), pending);
         }
     }
 
-    private void writeMessage(OpenCall call, String text, long told) {
+    private void writeMessage(OpenCall call, String text, long upToVersion) {
         switch (drawDelivery()) {
             case CLOSED -> call.close("ended instead of telling");
             case TRUNCATED -> {
-                record.add(new WrittenVersion(queue.nowUs(), call.caller.name(), told));
-                timeline.accept("version " + told + " is written and cut off");
+                record.add(new WrittenVersion(queue.nowUs(), call.caller.name(), upToVersion));
+                timeline.accept("version " + upToVersion + " is written and cut off");
                 call.write(text.substring(0, 2 + random.nextInt(text.length() - 2)) + "\n");
             }
             default -> {
-                record.add(new WrittenVersion(queue.nowUs(), call.caller.name(), told));
-                timeline.accept("version " + told + " is written");
+                record.add(new WrittenVersion(queue.nowUs(), call.caller.name(), upToVersion));
+                timeline.accept("version " + upToVersion + " is written");
                 call.write(text + "\n");
             }
         }
@@ -362,32 +381,34 @@
         return random.nextBoolean() ? Delivery.TRUNCATED : Delivery.CLOSED;
     }
 
-    // ---- its messages
+    // ---- messages
 
-    /** The list of a version; some answers leave out what drains. */
-    private String listMessage(long at) {
-        boolean leavesOut = staleLists || random.nextBoolean();
+    /** Returns the list of a version; some messages omit draining servers. */
+    private String listMessage(long listVersion) {
+        boolean omitDraining = staleLists || random.nextBoolean();
         List<String> entries = new ArrayList<>();
-        history.get((int) at)
+        history.get((int) listVersion)
                 .forEach(
                         (server, status) -> {
                             if (status.equals("SERVING")
-                                    || status.equals("DRAINING") && !leavesOut) {
+                                    || status.equals("DRAINING") && !omitDraining) {
                                 entries.add(formatEntry(server, status));
                             }
                         });
-        return formatMessage(at, true, entries);
+        return formatMessage(listVersion, true, entries);
     }
 
+    /** Returns all changes after a version. */
     private String changesMessage(long after) {
         return changesMessage(after, version);
     }
 
+    /** Returns the changes after a version up to another. */
     private String changesMessage(long after, long upTo) {
         List<String> entries = new ArrayList<>();
-        Map<String, String> then = history.get((int) upTo);
+        Map<String, String> current = history.get((int) upTo);
         Map<String, String> before = history.get((int) after);
-        then.forEach(
+        current.forEach(
                 (server, status) -> {
                     if (!status.equals(before.get(server))) {
                         entries.add(formatEntry(server, status));
--- a/src/main/java/passhatch/lab/drain/DrainChecker.java
+++ b/src/main/java/passhatch/lab/drain/DrainChecker.java
@@ -13,49 +13,62 @@
 import passhatch.lab.drain.DrainRecord.WrittenVersion;
 
 /**
- * Finds requests that were sent to a draining or removed server after the grace. When a change
- * counts as told is worked out from the operators' pages alone, and of all sentences that fit the
- * earliest time holds; nothing here knows how a proxy keeps the rule. Pure: the same record gives
- * the same result.
+ * Finds requests that were sent to a draining or removed server after the drain grace. The time at
+ * which a proxy is deemed notified of a change follows from the specification alone: the earliest
+ * time that any of its rules gives. The checker is independent of the proxy's implementation, and
+ * the same record always gives the same result.
  */
 public final class DrainChecker {
 
-    /** PROTOCOL, Figures: what discovery has to tell counts as told no later than this. */
+    /** A proxy is deemed notified of a change no later than this after discovery has it. */
     private static final long NOTIFY_TIMEOUT_US = 6_000_000;
 
-    /** STANDING: what a watch misses counts as told this long after it fell silent. */
+    /**
+     * A proxy is deemed notified of a change that its watch misses this long after the watch fell
+     * silent.
+     */
     private static final long SILENT_WATCH_NOTIFY_TIMEOUT_US = 6_000_000;
 
-    /** TERMS, Reconfiguration: all that discovery has to report counts so long after the signal. */
+    /**
+     * A proxy is deemed notified of all that discovery has this long after the signal that
+     * discovery's address has changed.
+     */
     private static final long ADDRESS_CHANGE_NOTIFY_TIMEOUT_US = 4_000_000;
 
-    /** STANDING: after a failed call a proxy is held to its list for this many asking times. */
+    /** After a failed call a proxy may use its list for this many ask intervals. */
     private static final long FAILED_CALL_ASK_INTERVALS = 4;
 
-    /** A sentence of the pages by which a change counts as told. */
+    /** A rule of the specification by which a proxy is deemed notified of a change. */
     public enum NotificationRule {
-        /** Where discovery is asked: written on a watch or in an answer, read or not. */
+        /** The change was written on a watch or in a response, whether the proxy read it or not. */
         WRITTEN,
-        /** 6 s after discovery had it and could be reached, whatever failed. */
+        /** 6 s after discovery had the change and was reachable, whatever else failed. */
         REACHABLE,
-        /** 6 s after the watch that misses it fell silent. */
+        /** 6 s after the watch that misses the change fell silent, but not before the change. */
         SILENT_WATCH,
-        /** No watch: so long after it was made as the settings give for asking. */
+        /**
+         * Without a watch: one ask interval after the change or after the last call, whichever is
+         * later; four ask intervals if that call failed.
+         */
         ASKING_TIME,
-        /** 4 s after the signal that discovery has moved, or after a change soon after it. */
+        /**
+         * 4 s after the signal that discovery's address has changed, or 4 s after a change that was
+         * made within 4 s of that signal.
+         */
         MOVED,
-        /** Where lists are pushed: at once, or at discovery's return. */
+        /** Lists are pushed: at once, or at the end of an outage of discovery. */
         PUSHED
     }
 
-    /** When a change counts as told, and why. */
+    /** The time at which a proxy is deemed notified of a change, and the rule that gives it. */
     private record Notification(long atUs, NotificationRule rule) {}
 
     /**
-     * A request that was sent too late.
+     * A request that was sent after the drain grace.
      *
-     * @param change since when its server may not be used
-     * @param notifiedUs when that counted as told
+     * @param change the change that took its server out of use
+     * @param notifiedUs when the proxy was deemed notified of that change
+     * @param rule the rule that gives this time
      */
     public record LateSend(Send send, Change change, long notifiedUs, NotificationRule rule) {
         @Override
@@ -81,27 +94,28 @@
         }
     }
 
-    /** All requests of the record that were sent too late, in their order. */
+    /** Returns all requests of the record that were sent too late, in their order. */
     public static List<LateSend> check(DrainRecord record) {
         return new DrainChecker(record).findLateSends();
     }
 
     /**
-     * How many changes that took a server out of use counted as told to some proxy of the record
-     * without, or before, being written to it: a run without any shows nothing.
+     * Counts, for each proxy of the record, the changes that took a server out of use and of which
+     * the proxy was deemed notified before they were written to it, or although they never were. A
+     * run without any such change does not exercise the rule.
      */
     public static int countNotifiedUnwritten(DrainRecord record) {
         DrainChecker checker = new DrainChecker(record);
         List<String> proxies = record.calls.stream().map(Call::proxy).distinct().toList();
-        int unheard = 0;
+        int count = 0;
         for (Change change : record.changes) {
             for (String proxy : proxies) {
-                boolean told =
+                boolean written =
                         checker.notificationOf(change, proxy).rule() == NotificationRule.WRITTEN;
-                unheard += change.up() || told ? 0 : 1;
+                count += change.up() || written ? 0 : 1;
             }
         }
-        return unheard;
+        return count;
     }
 
     private List<LateSend> findLateSends() {
@@ -111,15 +125,15 @@
             if (change == null || send.atUs() < change.atUs() + record.rules.graceUs()) {
                 continue;
             }
-            Notification told = notificationOf(change, send.proxy());
-            if (send.atUs() >= told.atUs() + record.rules.graceUs()) {
-                late.add(new LateSend(send, change, told.atUs(), told.rule()));
+            Notification notification = notificationOf(change, send.proxy());
+            if (send.atUs() >= notification.atUs() + record.rules.graceUs()) {
+                late.add(new LateSend(send, change, notification.atUs(), notification.rule()));
             }
         }
         return late;
     }
 
-    /** Since when the server may not be used at the time of the send; null where it may. */
+    /** Returns the change since which the server may not be used; null if it may be used. */
     private Change outOfUseSince(Send send) {
         Change since = null;
         for (Change change : changesByServer.getOrDefault(send.server(), List.of())) {
@@ -135,27 +149,31 @@
         return since;
     }
 
-    /** The earliest of all sentences that fit. */
+    /** Returns the earliest notification that any rule gives. */
     private Notification notificationOf(Change change, String proxy) {
         long reachableUs = reachableFromUs(change.atUs());
-        Notification told =
+        Notification earliest =
                 new Notification(reachableUs + NOTIFY_TIMEOUT_US, NotificationRule.REACHABLE);
         if (record.rules.pushed()) {
-            told = earlier(told, reachableUs, NotificationRule.PUSHED);
+            earliest = earlier(earliest, reachableUs, NotificationRule.PUSHED);
         } else {
-            told = earlier(told, writtenUs(change, proxy), NotificationRule.WRITTEN);
-            told =
+            earliest = earlier(earliest, writtenUs(change, proxy), NotificationRule.WRITTEN);
+            earliest =
                     earlier(
-                            told,
+                            earliest,
                             askIntervalNotifiedUs(change, proxy),
                             NotificationRule.ASKING_TIME);
         }
-        told = earlier(told, silentWatchNotifiedUs(change, proxy), NotificationRule.SILENT_WATCH);
-        return earlier(told, addressChangeNotifiedUs(change, proxy), NotificationRule.MOVED);
+        earliest =
+                earlier(
+                        earliest,
+                        silentWatchNotifiedUs(change, proxy),
+                        NotificationRule.SILENT_WATCH);
+        return earlier(earliest, addressChangeNotifiedUs(change, proxy), NotificationRule.MOVED);
     }
 
-    private static Notification earlier(Notification told, long atUs, NotificationRule sentence) {
-        return atUs < told.atUs() ? new Notification(atUs, sentence) : told;
+    private static Notification earlier(Notification current, long atUs, NotificationRule rule) {
+        return atUs < current.atUs() ? new Notification(atUs, rule) : current;
     }
 
     private long reachableFromUs(long timeUs) {
@@ -168,32 +186,33 @@
     }
 
     private long writtenUs(Change change, String proxy) {
-        for (WrittenVersion one : record.writtenVersions) {
-            if (one.proxy().equals(proxy) && one.version() >= change.version()) {
-                return one.atUs();
+        for (WrittenVersion written : record.writtenVersions) {
+            if (written.proxy().equals(proxy) && written.version() >= change.version()) {
+                return written.atUs();
             }
         }
         return DrainRecord.NEVER;
     }
 
     /**
-     * A watch misses what comes after it fell silent, until it ends or a later call is answered.
+     * Returns when the proxy is deemed notified of a change that a silent watch misses. A watch
+     * misses all changes from when it fell silent until it ends or a later call gets a response.
      */
     private long silentWatchNotifiedUs(Change change, String proxy) {
-        long told = DrainRecord.NEVER;
+        long notifiedUs = DrainRecord.NEVER;
         for (Call call : record.calls) {
             if (call.proxy().equals(proxy)
                     && call.silentUs() <= change.atUs()
                     && change.atUs() < Math.min(call.endedUs(), laterResponseUs(call))) {
-                told =
+                notifiedUs =
                         Math.min(
-                                told,
+                                notifiedUs,
                                 Math.max(
                                         change.atUs(),
                                         call.silentUs() + SILENT_WATCH_NOTIFY_TIMEOUT_US));
             }
         }
-        return told;
+        return notifiedUs;
     }
 
     private long laterResponseUs(Call call) {
@@ -204,36 +223,41 @@
                 .orElse(DrainRecord.NEVER);
     }
 
-    /** For a proxy without a watch, from its last call on. */
+    /**
+     * Returns when a proxy without a watch is deemed notified; the ask interval counts from the
+     * change or from the proxy's last call, whichever is later.
+     */
     private long askIntervalNotifiedUs(Change change, String proxy) {
-        long askingUs = record.rules.askEveryUs();
+        long askIntervalUs = record.rules.askEveryUs();
         List<Call> calls =
                 record.calls.stream()
                         .filter(c -> c.proxy().equals(proxy))
                         .sorted(Comparator.comparingLong(Call::startedUs))
                         .toList();
-        for (int i = 0; i < calls.size() && askingUs > 0; i++) {
+        for (int i = 0; i < calls.size() && askIntervalUs > 0; i++) {
             Call last = calls.get(i);
-            long holdUs = last.failed() ? FAILED_CALL_ASK_INTERVALS * askingUs : askingUs;
-            long toldUs = Math.max(last.startedUs(), change.atUs()) + holdUs;
+            long validUs =
+                    last.failed() ? FAILED_CALL_ASK_INTERVALS * askIntervalUs : askIntervalUs;
+            long notifiedUs = Math.max(last.startedUs(), change.atUs()) + validUs;
             long nextUs = i + 1 < calls.size() ? calls.get(i + 1).startedUs() : DrainRecord.NEVER;
-            boolean watched = last.responseUs() <= toldUs && toldUs < last.endedUs();
-            if (toldUs < nextUs && !watched) {
-                return toldUs;
+            boolean watched = last.responseUs() <= notifiedUs && notifiedUs < last.endedUs();
+            if (notifiedUs < nextUs && !watched) {
+                return notifiedUs;
             }
         }
         return DrainRecord.NEVER;
     }
 
     /**
-     * Each signal counts by itself: for what discovery has then, and for what it gets within the 4
-     * s, which counts 4 s after it was made.
+     * Returns when the proxy is deemed notified because of an address change. Each signal counts by
+     * itself: 4 s after it for all that discovery has by then, and 4 s after the change for a
+     * change made within 4 s of the signal.
      */
     private long addressChangeNotifiedUs(Change change, String proxy) {
-        for (AddressChange move : record.addressChanges) {
-            if (move.proxy().equals(proxy)
-                    && change.atUs() <= move.atUs() + ADDRESS_CHANGE_NOTIFY_TIMEOUT_US) {
-                return Math.max(move.atUs(), change.atUs()) + ADDRESS_CHANGE_NOTIFY_TIMEOUT_US;
+        for (AddressChange signal : record.addressChanges) {
+            if (signal.proxy().equals(proxy)
+                    && change.atUs() <= signal.atUs() + ADDRESS_CHANGE_NOTIFY_TIMEOUT_US) {
+                return Math.max(signal.atUs(), change.atUs()) + ADDRESS_CHANGE_NOTIFY_TIMEOUT_US;
             }
         }
         return DrainRecord.NEVER;
--- a/src/main/java/passhatch/lab/drain/DrainRecord.java
+++ b/src/main/java/passhatch/lab/drain/DrainRecord.java
@@ -4,39 +4,43 @@
 import java.util.List;
 
 /**
- * What discovery, the platform and the backends wrote down of one run, each by its own account. All
- * times are microseconds of one clock. Entries of each kind are in the order of their times, but
- * calls.
+ * The events of one run as discovery, the platform and the backends recorded them, each on its own.
+ * All times are microseconds of one clock. The entries of each type are in the order of their
+ * times, except calls.
  */
 public final class DrainRecord {
 
     /**
      * The settings that the rule depends on.
      *
-     * @param pushed whether lists are pushed to the proxies; else discovery is asked for them
-     * @param graceUs how long a server may still be sent requests once a proxy is told that it
-     *     drains or is gone
-     * @param askEveryUs for how long a proxy without a watch is held to the list it has
+     * @param pushed whether lists are pushed to the proxies; otherwise proxies request them
+     * @param graceUs how long a proxy may still send requests to a server after it is deemed
+     *     notified that the server drains or is removed
+     * @param askEveryUs how long a proxy without a watch may use the list it has
      */
     public record Rules(boolean pushed, long graceUs, long askEveryUs) {}
 
-    /** Discovery's list has a new version, in which one server may be used or may not. */
+    /**
+     * Discovery's list got a new version.
+     *
+     * @param up whether the server may be used from this version on
+     */
     public record Change(long atUs, long version, String server, boolean up) {}
 
-    /** Discovery could not be reached. */
+    /** A period in which discovery was unreachable. */
     public record Outage(long fromUs, long untilUs) {}
 
-    /** All changes up to a version were written to a proxy, arrived or not. */
+    /** All changes up to a version were written to a proxy, whether they arrived or not. */
     public record WrittenVersion(long atUs, String proxy, long version) {}
 
     /**
      * A proxy's call to discovery.
      *
-     * @param startedUs when it was made
-     * @param responseUs when an answer was begun; {@link #NEVER} where none was
-     * @param silentUs when its watch fell silent; {@link #NEVER} where it did not
-     * @param endedUs when it was over for either side; {@link #NEVER} while it stands
-     * @param failed whether it was refused or turned away
+     * @param startedUs when it was started
+     * @param responseUs when its response began; {@link #NEVER} if it got none
+     * @param silentUs when its watch fell silent; {@link #NEVER} if it did not
+     * @param endedUs when either side ended it; {@link #NEVER} while it is open
+     * @param failed whether the connection was refused or the call rejected
      */
     public record Call(
             String proxy,
@@ -46,13 +50,13 @@
             long endedUs,
             boolean failed) {}
 
-    /** A proxy was signalled that discovery is found at another address. */
+    /** A proxy was signalled that discovery has another address. */
     public record AddressChange(long atUs, String proxy) {}
 
     /** The first byte of a request was sent to a server. */
     public record Send(long atUs, String proxy, String server) {}
 
-    /** As the time of what has not happened. */
+    /** The time of an event that has not happened. */
     public static final long NEVER = Long.MAX_VALUE;
 
     final Rules rules;
@@ -63,37 +67,37 @@
     final List<AddressChange> addressChanges = new ArrayList<>();
     final List<Send> sends = new ArrayList<>();
 
-    /** An empty record. */
+    /** Creates an empty record. */
     public DrainRecord(Rules rules) {
         this.rules = rules;
     }
 
-    /** Adds what discovery's list says of a server from a version on. */
+    /** Adds a change of discovery's list. */
     public void add(Change change) {
         changes.add(change);
     }
 
-    /** Adds a time in which discovery could not be reached. */
+    /** Adds an outage of discovery. */
     public void add(Outage outage) {
         outages.add(outage);
     }
 
-    /** Adds what was written to a proxy. */
-    public void add(WrittenVersion one) {
-        writtenVersions.add(one);
+    /** Adds a version that was written to a proxy. */
+    public void add(WrittenVersion written) {
+        writtenVersions.add(written);
     }
 
-    /** Adds a call; to be added once its end is known. */
+    /** Adds a call, once its end is known. */
     public void add(Call call) {
         calls.add(call);
     }
 
-    /** Adds a signal. */
-    public void add(AddressChange move) {
-        addressChanges.add(move);
+    /** Adds the signal of an address change. */
+    public void add(AddressChange signal) {
+        addressChanges.add(signal);
     }
 
-    /** Adds a request. */
+    /** Adds a request that was sent. */
     public void add(Send send) {
         sends.add(send);
     }
--- a/src/main/java/passhatch/lab/drain/DrainSimulation.java
+++ b/src/main/java/passhatch/lab/drain/DrainSimulation.java
@@ -14,12 +14,12 @@
 import passhatch.proxy.discovery.EndpointList;
 
 /**
- * One run by seed: the real watch, lease and decision module against a discovery that does badly
- * and servers that drain. What was sent is judged by {@link DrainChecker} from discovery's record.
+ * One seeded run of the real watch, lease and decision module, with faults of discovery and
+ * draining servers. {@link DrainChecker} then checks each request against the record of the run.
  */
 final class DrainSimulation {
 
-    /** A run starts at this time of its clock: times of zero stand for long ago elsewhere. */
+    /** Time of the clock at which a run starts; not zero, which elsewhere means long ago. */
     private static final long START_US = 1_000_000_000_000L;
 
     private static final long MAX_ACCEPT_US = 30_000_000;
@@ -29,22 +29,22 @@
     private static final long MAX_ADDRESS_CHANGE_GAP_US = 1_600_000;
 
     /**
-     * What a run showed.
+     * The result of a run.
      *
      * @param lateSends requests that were sent too late
-     * @param notifiedUnwritten changes that took a server out of use and counted as told before or
-     *     without being written to the proxy
-     * @param requests of clients
-     * @param sent how many were sent to servers
+     * @param notifiedUnwritten number of changes that took a server out of use and of which the
+     *     proxy was deemed notified before they were written to it, or although they never were
+     * @param requests number of requests of clients
+     * @param sent number of attempts that were sent to servers
      */
     record RunResult(
             long seed, List<LateSend> lateSends, int notifiedUnwritten, int requests, int sent) {}
 
-    /** What a server does with requests that come while it drains. */
+    /** What a draining server does with new requests. */
     enum DrainBehavior {
-        /** It turns them away, as the protocol's page has it. */
+        /** Rejects them, as the protocol requires. */
         TURNS_AWAY,
-        /** It may go on accepting, for up to 30 s. */
+        /** May go on accepting them, for up to 30 s. */
         MAY_ACCEPT
     }
 
@@ -61,14 +61,14 @@
     private final UniformRandomProvider load;
     private final Consumer<String> timeline;
 
-    private DrainSimulation(long seed, DrainBehavior draining, Consumer<String> lines) {
+    private DrainSimulation(long seed, DrainBehavior draining, Consumer<String> output) {
         Seeds seeds = new Seeds(seed);
         this.seed = seed;
         this.draining = draining;
         this.scenario = Scenario.draw(seeds);
         this.timeline =
                 text ->
-                        lines.accept(
+                        output.accept(
                                 String.format(
                                         Locale.ROOT,
                                         "%7.3f %s",
@@ -92,12 +92,12 @@
         this.load = seeds.stream("load");
     }
 
-    /** Plays the run of a seed. */
+    /** Simulates the run of a seed. */
     static RunResult simulate(long seed, DrainBehavior draining) {
         return simulate(seed, draining, line -> {});
     }
 
-    /** Plays the run of a seed, with a line for each thing that happens. */
+    /** Simulates the run of a seed and writes a line for each event. */
     static RunResult simulate(long seed, DrainBehavior draining, Consumer<String> timeline) {
         return new DrainSimulation(seed, draining, timeline).run();
     }
@@ -131,11 +131,12 @@
     private static EndpointList parse(String text) {
         try {
             return EndpointList.parse(JSON.std.mapFrom(text), List.of("a"), List.of("m"));
-        } catch (IOException cannotBe) {
-            throw new UncheckedIOException(cannotBe);
+        } catch (IOException impossible) {
+            throw new UncheckedIOException(impossible);
         }
     }
 
+    /** Draws a time between 1 and below twice the mean. */
     private static long drawWithMean(UniformRandomProvider random, long meanUs) {
         return random.nextLong(1, 2 * meanUs);
     }
@@ -224,12 +225,12 @@
         queue.scheduleAfter(faults.nextLong(MAX_PAUSE_US), proxy::resume);
     }
 
-    private void changeAddress(int left) {
+    private void changeAddress(int remaining) {
         discovery.changeAddress();
         proxy.signalAddressChange();
-        if (left > 1) {
+        if (remaining > 1) {
             queue.scheduleAfter(
-                    faults.nextLong(MAX_ADDRESS_CHANGE_GAP_US), () -> changeAddress(left - 1));
+                    faults.nextLong(MAX_ADDRESS_CHANGE_GAP_US), () -> changeAddress(remaining - 1));
         }
     }
 }
--- a/src/main/java/passhatch/lab/drain/ProxyModel.java
+++ b/src/main/java/passhatch/lab/drain/ProxyModel.java
@@ -30,15 +30,15 @@
 import passhatch.proxy.discovery.ListWatch;
 
 /**
- * A proxy in simulated time: the real watch on discovery, lease and decision module, joined as the
- * network code joins them. It can be paused, and held up before each write.
+ * A proxy in simulated time: the real watch on discovery, lease and decision module, connected as
+ * the network code connects them. The process can be paused, and stalled before each write.
  */
 final class ProxyModel implements ListWatch.Listener, Balancer.Actions {
 
-    /** STANDING: a proxy may be held up so long between reading its clock and writing. */
+    /** A proxy may be stalled for this long between reading its clock and writing. */
     private static final long MAX_STALL_US = 150_000;
 
-    /** A timer fires no sooner than this after it is set. */
+    /** A timer fires no sooner than this after it was set. */
     private static final long MIN_TIMER_DELAY_US = 1_000;
 
     /** A signal is handled within this time. */
@@ -57,7 +57,10 @@
     private final long deadlineUs;
     private final Map<String, Integer> attempts = new HashMap<>();
 
-    /** What waits while the process is paused: what the sockets bring, then timers. */
+    /**
+     * Events that wait while the process is paused: reads from discovery's connections, other
+     * reads, and timers, which run after all reads.
+     */
     private final ArrayDeque<Runnable> unreadFromDiscovery = new ArrayDeque<>();
 
     private final ArrayDeque<Runnable> unreadFromOthers = new ArrayDeque<>();
@@ -65,7 +68,7 @@
     private final ArrayDeque<Runnable> pendingTimers = new ArrayDeque<>();
     private long pausedSinceUs = DrainRecord.NEVER;
 
-    /** How long what is read now may have stood unread. */
+    /** Maximum time for which the bytes that are read now were unread. */
     private long unreadUs;
 
     private boolean stalling;
@@ -92,7 +95,7 @@
         this.deadlineUs = scenario.deadlineUs();
     }
 
-    /** Starts by a list that it is given. */
+    /** Starts the proxy with the list that it is given. */
     void start(Scenario scenario, EndpointList known) {
         balancer = new Logic(settings(scenario), random.nextLong(), this);
         watch =
@@ -150,7 +153,7 @@
         return sentCount;
     }
 
-    // ---- what happens to it
+    // ---- events of the process
 
     void pause() {
         pausedSinceUs = queue.nowUs();
@@ -162,7 +165,7 @@
         pausedSinceUs = DrainRecord.NEVER;
         timeline.accept("the process goes on after " + unreadUs / 1_000 + " ms");
         balancer.listUnread(queue.nowUs() - unreadUs);
-        // Which connections are read first is for the system to say.
+        // The operating system decides which connections are read first.
         boolean discoveryFirst = random.nextBoolean();
         runPending(discoveryFirst ? unreadFromDiscovery : unreadFromOthers);
         runPending(discoveryFirst ? unreadFromOthers : unreadFromDiscovery);
@@ -171,9 +174,9 @@
         unreadUs = 0;
     }
 
-    private static void runPending(ArrayDeque<Runnable> waiting) {
-        for (int left = waiting.size(); left > 0; left--) {
-            waiting.poll().run();
+    private static void runPending(ArrayDeque<Runnable> pending) {
+        for (int remaining = pending.size(); remaining > 0; remaining--) {
+            pending.poll().run();
         }
     }
 
@@ -181,52 +184,56 @@
         return pausedSinceUs != DrainRecord.NEVER;
     }
 
-    void setStalling(boolean on) {
-        stalling = on;
+    /** Sets whether the process is stalled before each write. */
+    void setStalling(boolean enabled) {
+        stalling = enabled;
     }
 
-    /** Its configuration names another address, and a signal says so. */
+    /** Signals the process that its configuration names another address of discovery. */
     void signalAddressChange() {
         record.add(new AddressChange(queue.nowUs(), name()));
         timeline.accept("signal: discovery has moved");
-        InetSocketAddress to = discovery.address();
+        InetSocketAddress newAddress = discovery.address();
         queue.scheduleAfter(
                 random.nextLong(MAX_SIGNAL_DELAY_US),
-                () -> processTimer(() -> watch.changeAddress(queue.nowUs(), to)));
+                () -> processTimer(() -> watch.changeAddress(queue.nowUs(), newAddress)));
     }
 
-    /** A client's request comes. */
+    /** Receives a request of a client. */
     void receiveRequest() {
         String id = "r" + requestCount++;
         processRead(
                 () -> balancer.request(queue.nowUs(), new Request(id, 0, 0, deadlineUs, 0, false)));
     }
 
-    private void processRead(Runnable what) {
+    /** Runs an event of a connection that is not to discovery, once the process is not paused. */
+    private void processRead(Runnable event) {
         if (isPaused()) {
-            unreadFromOthers.add(what);
+            unreadFromOthers.add(event);
         } else {
-            what.run();
+            event.run();
         }
     }
 
-    private void processDiscoveryRead(Runnable what) {
+    /** Runs an event of a connection to discovery, once the process is not paused. */
+    private void processDiscoveryRead(Runnable event) {
         if (isPaused()) {
-            unreadFromDiscovery.add(what);
+            unreadFromDiscovery.add(event);
         } else {
-            what.run();
+            event.run();
         }
     }
 
-    private void processTimer(Runnable what) {
+    /** Runs an event of a timer, once the process is not paused. */
+    private void processTimer(Runnable event) {
         if (isPaused()) {
-            pendingTimers.add(what);
+            pendingTimers.add(event);
         } else {
-            what.run();
+            event.run();
         }
     }
 
-    // ---- what discovery's connections bring
+    // ---- events of the connections to discovery
 
     void onConnected(long call) {
         processDiscoveryRead(() -> watch.onConnected(call));
@@ -246,17 +253,17 @@
                                 Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
     }
 
-    void onClosed(long call, String why) {
+    void onClosed(long call, String reason) {
         processDiscoveryRead(
                 () -> {
-                    watch.onFailed(call, why);
+                    watch.onFailed(call, reason);
                     watch.onClosed(queue.nowUs(), call);
                 });
     }
 
     // ---- the watch
 
-    /** Connections to discovery, and the watch's own timer. */
+    /** The connections to discovery and the timer of the watch. */
     private final class SimulatedTransport implements ListWatch.Transport {
         @Override
         public void startCall(long call, InetSocketAddress address, String path) {
@@ -274,24 +281,24 @@
         }
     }
 
-    private void scheduleTimer(long atUs, Runnable what) {
+    private void scheduleTimer(long atUs, Runnable event) {
         queue.scheduleAt(
-                Math.max(atUs, queue.nowUs() + MIN_TIMER_DELAY_US), () -> processTimer(what));
+                Math.max(atUs, queue.nowUs() + MIN_TIMER_DELAY_US), () -> processTimer(event));
     }
 
     @Override
-    public void onList(EndpointList list, ListFreshness currency) {
+    public void onList(EndpointList list, ListFreshness freshness) {
         timeline.accept("the proxy has version " + list.index());
         balancer.serversChanged(
                 queue.nowUs(),
                 list.whole() ? ListKind.WHOLE : ListKind.CHANGES,
                 list.servers(),
-                currency);
+                freshness);
     }
 
     @Override
-    public void onUnchanged(ListFreshness currency) {
-        balancer.listCurrent(queue.nowUs(), currency);
+    public void onUnchanged(ListFreshness freshness) {
+        balancer.listCurrent(queue.nowUs(), freshness);
     }
 
     @Override
@@ -333,10 +340,13 @@
         }
     }
 
-    /** Its connection is up: asked once more, it is written, some time later where held up. */
+    /**
+     * Writes a request to its connection, which is established now, if the balancer still allows
+     * it; a stalled process writes it some time later.
+     */
     private void write(String request, int attempt, String server) {
         if (!balancer.mayReach(queue.nowUs(), server)) {
-            // The module must not be told from within one of its actions.
+            // The balancer must not be called from within one of its actions.
             queue.scheduleAfter(
                     0,
                     () ->
@@ -347,9 +357,9 @@
             return;
         }
         sentCount++;
-        long heldUpUs = stalling ? random.nextLong(MAX_STALL_US) : 0;
+        long stalledUs = stalling ? random.nextLong(MAX_STALL_US) : 0;
         queue.scheduleAfter(
-                heldUpUs,
+                stalledUs,
                 () -> {
                     record.add(new Send(queue.nowUs(), name(), server));
                     Outcome outcome = servers.handleRequest(server, queue.nowUs());
@@ -375,7 +385,10 @@
                 null);
     }
 
-    /** The module asks for a time only where it is earlier than what it asked for before. */
+    /**
+     * Replaces the time that was requested before: the balancer requests another only if it is
+     * earlier.
+     */
     @Override
     public void wakeAt(long atUs) {
         long number = ++lastTimerNumber;
--- a/src/main/java/passhatch/lab/drain/Scenario.java
+++ b/src/main/java/passhatch/lab/drain/Scenario.java
@@ -5,17 +5,18 @@
 import passhatch.lab.Seeds;
 
 /**
- * The settings of one run, drawn by its seed within what the operators' pages allow.
+ * The settings of one run, drawn from its seed within the limits of the specification.
  *
  * @param durationUs length of the run in microseconds
- * @param graceUs how long a server may still be sent requests once a proxy is told that it drains
- * @param askEveryUs for how long a proxy without a watch is held to its list
- * @param deadlineUs of every request
+ * @param graceUs how long a proxy may still send requests to a server after it is deemed notified
+ *     that the server drains
+ * @param askEveryUs how long a proxy without a watch may use its list
+ * @param deadlineUs time from a request's start to its deadline
  * @param requestGapUs mean time between two requests
- * @param quietUs nothing is changed and nothing fails before this time
+ * @param quietUs time from the start of the run to the first change and the first fault
  * @param faultGapUs mean time between two faults, and between two changes of the list
- * @param servers how many there are
- * @param lateUs the longest time by which a watch tells a change late
+ * @param servers number of servers
+ * @param lateUs maximum delay with which a watch writes a change
  */
 record Scenario(
         long durationUs,
@@ -30,7 +31,7 @@
 
     private static final long SECOND_US = TimeUnit.SECONDS.toMicros(1);
 
-    /** As old as a change was seen to be when a watch ended instead of telling it. */
+    /** The age that a change had in a run whose watch ended instead of writing it. */
     private static final long MAX_WATCH_DELAY_US = 2 * SECOND_US;
 
     static Scenario draw(Seeds seeds) {
--- a/src/main/java/passhatch/lab/drain/SeedRange.java
+++ b/src/main/java/passhatch/lab/drain/SeedRange.java
@@ -7,10 +7,10 @@
 import picocli.CommandLine.TypeConversionException;
 
 /**
- * Seeds from one to another.
+ * A range of seeds.
  *
- * @param first the first, not negative
- * @param last the last, inclusive
+ * @param first the first seed, not negative
+ * @param last the last seed, inclusive; not below the first
  */
 record SeedRange(long first, long last) {
 
@@ -22,7 +22,7 @@
         return LongStream.rangeClosed(first, last);
     }
 
-    /** Reads {@code A..B}, or {@code A} for one seed. */
+    /** Parses {@code A..B}, or {@code A} for a single seed. */
     static final class Converter implements ITypeConverter<SeedRange> {
 
         private static final Pattern RANGE = Pattern.compile("(\\d{1,18})(?:\\.\\.(\\d{1,18}))?");
--- a/src/main/java/passhatch/lab/drain/Servers.java
+++ b/src/main/java/passhatch/lab/drain/Servers.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import passhatch.Balancer.Outcome;
 
-/** The servers in simulated time: one that drains may go on accepting for a while. */
+/** The servers in simulated time. A draining server may go on accepting requests for a while. */
 final class Servers {
 
     private final Map<String, Long> acceptsUntilUs = new HashMap<>();
@@ -23,7 +23,7 @@
         running.put(server, false);
     }
 
-    /** What becomes of a request. */
+    /** Returns the outcome of a request that is sent to a server now. */
     Outcome handleRequest(String server, long nowUs) {
         if (!running.getOrDefault(server, false)) {
             return Outcome.CONNECT_FAILED;
--- a/src/main/java/passhatch/lab/drain/WatchCommand.java
+++ b/src/main/java/passhatch/lab/drain/WatchCommand.java
@@ -11,16 +11,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code watch}: plays the watch on discovery against the drain rule, by seed. */
+/** The command {@code watch}: checks the drain rule in simulated runs, one for each seed. */
 @Command(
         name = "watch",
         mixinStandardHelpOptions = true,
         description =
-                "Plays the watch on discovery, the lease on its list and the decision module in"
-                        + " simulated time, and checks each request against the drain rule.")
+                "Simulates the watch on discovery, the lease of its list and the decision module,"
+                        + " and checks each request against the drain rule.")
 public final class WatchCommand implements Callable<Integer> {
 
+    /** Runs between two lines of progress. */
     private static final long PROGRESS_INTERVAL = 100_000;
+
     private static final int PERCENT = 100;
 
     @Spec private CommandSpec spec;
@@ -30,24 +32,30 @@
             defaultValue = "0..1999",
             converter = SeedRange.Converter.class,
             paramLabel = "A..B",
-            description = "The runs to play; default: ${DEFAULT-VALUE}.")
+            description = "The seeds of the runs; default: ${DEFAULT-VALUE}.")
     private SeedRange seeds;
 
     @Option(
             names = "--draining",
             defaultValue = "TURNS_AWAY",
             description =
-                    "What servers do that drain: ${COMPLETION-CANDIDATES}; default:"
+                    "What draining servers do: ${COMPLETION-CANDIDATES}; default:"
                             + " ${DEFAULT-VALUE}.")
     private DrainSimulation.DrainBehavior draining;
 
-    @Option(names = "--timeline", description = "Print all that happens, for a single seed.")
+    @Option(names = "--timeline", description = "Print all events of the run; for a single seed.")
     private boolean timeline;
 
     private final AtomicLong completedRuns = new AtomicLong();
     private final AtomicLong firstBrokenSeed = new AtomicLong(Long.MAX_VALUE);
     private final LongAdder brokenRuns = new LongAdder();
+
+    /**
+     * Runs in which the proxy was deemed notified of a change before it was written, or although it
+     * never was.
+     */
     private final LongAdder effectiveRuns = new LongAdder();
+
     private final LongAdder requests = new LongAdder();
     private final LongAdder sent = new LongAdder();
 
@@ -75,15 +83,15 @@
         return brokenRuns.sum() == 0 && effectiveRuns.sum() > 0 ? 0 : Commands.EXIT_FAILURE;
     }
 
-    private void count(RunResult run, PrintWriter out) {
-        requests.add(run.requests());
-        sent.add(run.sent());
-        if (run.notifiedUnwritten() > 0) {
+    private void count(RunResult result, PrintWriter out) {
+        requests.add(result.requests());
+        sent.add(result.sent());
+        if (result.notifiedUnwritten() > 0) {
             effectiveRuns.increment();
         }
-        if (!run.lateSends().isEmpty()) {
+        if (!result.lateSends().isEmpty()) {
             brokenRuns.increment();
-            firstBrokenSeed.accumulateAndGet(run.seed(), Math::min);
+            firstBrokenSeed.accumulateAndGet(result.seed(), Math::min);
         }
         if (completedRuns.incrementAndGet() % PROGRESS_INTERVAL == 0) {
             out.printf(
--- a/src/main/java/passhatch/lab/drain/package-info.java
+++ b/src/main/java/passhatch/lab/drain/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The rule on draining servers, checked from the outside: a checker of records, and a simulation by
- * seed of the watch on discovery, the lease on the list and the decision module.
+ * Checks the rule on draining servers from outside the proxy: a checker of recorded runs, and a
+ * seeded simulation of the watch on discovery, the lease of the list and the decision module.
  */
 package passhatch.lab.drain;
--- a/src/main/java/passhatch/lab/duty/DutyChecker.java
+++ b/src/main/java/passhatch/lab/duty/DutyChecker.java
@@ -10,16 +10,18 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Explores every order of a few steps breadth first: messages arrive in any order, twice or never,
- * processes crash, time passes. States are told apart by a hash of 64 bits.
+ * A model checker that explores every sequence of a bounded number of steps, breadth first:
+ * messages arrive in any order, twice or never, processes crash, time passes. States are
+ * distinguished by a hash of 64 bits.
  */
 public final class DutyChecker {
 
     /**
-     * What an exploration found.
+     * The result of an exploration.
      *
-     * @param states different ones, but for which voter and which candidate is which
-     * @param violation what does not hold after which steps, or null
+     * @param states number of different states; those that differ only in which voter or which
+     *     candidate is which count once
+     * @param violation the property that does not hold and the steps that lead there, or null
      */
     public record Result(long states, String violation) {}
 
@@ -27,21 +29,25 @@
     private final DutyModel.Bounds bounds;
 
     /**
-     * Bounds on one row of steps: their number, half leases that pass, crashes, and doubled
-     * messages.
+     * Creates a checker with bounds on one sequence of steps.
+     *
+     * @param depth maximum number of steps
+     * @param ticks maximum number of half leases that pass
+     * @param crashes maximum number of crashes
+     * @param copies maximum number of duplicated messages
      */
-    public DutyChecker(StateMachineFactory parts, int depth, int ticks, int crashes, int copies) {
-        this.factory = parts;
+    public DutyChecker(StateMachineFactory factory, int depth, int ticks, int crashes, int copies) {
+        this.factory = factory;
         this.bounds = new DutyModel.Bounds(depth, ticks, crashes, copies);
     }
 
-    /** Explores until something does not hold or all is seen. */
+    /** Explores until a property is violated or all states within the bounds are seen. */
     public Result run() {
         Set<Long> seen = ConcurrentHashMap.newKeySet();
-        AtomicReference<String> broken = new AtomicReference<>();
+        AtomicReference<String> violation = new AtomicReference<>();
         List<byte[]> level = List.of(new byte[0]);
         for (int depth = 0;
-                depth < bounds.depth() && broken.get() == null && !level.isEmpty();
+                depth < bounds.depth() && violation.get() == null && !level.isEmpty();
                 depth++) {
             level =
                     level.parallelStream()
@@ -49,18 +55,18 @@
                                     (path, next) -> {
                                         int steps = replay(path).stepCount();
                                         for (int step = 0; step < steps; step++) {
-                                            DutyModel world = replay(path);
-                                            if (world.step(step)) {
+                                            DutyModel model = replay(path);
+                                            if (model.step(step)) {
                                                 byte[] longer =
                                                         Arrays.copyOf(path, path.length + 1);
                                                 longer[path.length] = (byte) step;
-                                                if (world.violation() != null) {
-                                                    broken.compareAndSet(
+                                                if (model.violation() != null) {
+                                                    violation.compareAndSet(
                                                             null,
-                                                            world.violation()
+                                                            model.violation()
                                                                     + " after "
                                                                     + Arrays.toString(longer));
-                                                } else if (seen.add(hash(world.signature()))) {
+                                                } else if (seen.add(hash(model.signature()))) {
                                                     next.accept(longer);
                                                 }
                                             }
@@ -68,7 +74,7 @@
                                     })
                             .toList();
         }
-        return new Result(seen.size(), broken.get());
+        return new Result(seen.size(), violation.get());
     }
 
     private static long hash(String signature) {
@@ -77,8 +83,8 @@
     }
 
     private DutyModel replay(byte[] path) {
-        DutyModel world = new DutyModel(factory, bounds);
-        IntStream.range(0, path.length).forEach(i -> world.step(Byte.toUnsignedInt(path[i])));
-        return world;
+        DutyModel model = new DutyModel(factory, bounds);
+        IntStream.range(0, path.length).forEach(i -> model.step(Byte.toUnsignedInt(path[i])));
+        return model;
     }
 }
--- a/src/main/java/passhatch/lab/duty/DutyCommand.java
+++ b/src/main/java/passhatch/lab/duty/DutyCommand.java
@@ -15,17 +15,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code duty}: checks the duties' state machines. */
+/** The command {@code duty}: checks the state machines of the duties. */
 @Command(
         name = "duty",
         mixinStandardHelpOptions = true,
         description =
-                "Checks the state machines of the duties; docs/duties.md says what has to hold.")
+                "Checks the state machines of the duties; docs/duties.md describes what must hold.")
 public final class DutyCommand extends CommandGroup {
 
     private DutyCommand() {}
 
-    /** The command with its own commands. */
+    /** Returns the command with its subcommands. */
     public static CommandLine line() {
         return new CommandLine(new DutyCommand())
                 .addSubcommand(new Check())
@@ -35,115 +35,120 @@
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Explores every order of a few steps of three voters and two candidates.")
+            description =
+                    "Explores every sequence of a few steps of three voters and two candidates.")
     private static final class Check implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
         @Option(
                 names = "--depth",
                 defaultValue = "10",
-                description = "Steps; default: ${DEFAULT-VALUE}.")
+                description = "Maximum number of steps; default: ${DEFAULT-VALUE}.")
         private int depth;
 
         @Option(
                 names = "--ticks",
                 defaultValue = "3",
-                description = "Half leases that pass at most; default: ${DEFAULT-VALUE}.")
+                description = "Maximum number of half leases that pass; default: ${DEFAULT-VALUE}.")
         private int ticks;
 
         @Option(
                 names = "--crashes",
                 defaultValue = "1",
-                description = "At most; default: ${DEFAULT-VALUE}.")
+                description = "Maximum number of crashes; default: ${DEFAULT-VALUE}.")
         private int crashes;
 
         @Option(
                 names = "--copies",
                 defaultValue = "1",
-                description = "Messages that arrive twice at most; default: ${DEFAULT-VALUE}.")
+                description =
+                        "Maximum number of messages that arrive twice; default: ${DEFAULT-VALUE}.")
         private int copies;
 
         @Override
         public Integer call() {
-            DutyChecker.Result found =
+            DutyChecker.Result result =
                     new DutyChecker(StateMachineFactory.PRODUCTION, depth, ticks, crashes, copies)
                             .run();
             PrintWriter out = spec.commandLine().getOut();
             out.println(
-                    found.states()
+                    result.states()
                             + " states, "
-                            + (found.violation() == null
+                            + (result.violation() == null
                                     ? "nothing is broken"
-                                    : "BROKEN: " + found.violation()));
+                                    : "BROKEN: " + result.violation()));
             out.flush();
-            return found.violation() == null ? 0 : Commands.EXIT_FAILURE;
+            return result.violation() == null ? 0 : Commands.EXIT_FAILURE;
         }
     }
 
     @Command(
             name = "random",
             mixinStandardHelpOptions = true,
-            description = "Plays voters and candidates with random faults, by seed.")
+            description =
+                    "Simulates voters and candidates with random faults, one run for each seed.")
     private static final class Random implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
         @Option(
                 names = "--seeds",
                 defaultValue = "1000",
-                description = "Default: ${DEFAULT-VALUE}.")
+                description = "Number of seeds, from 0; default: ${DEFAULT-VALUE}.")
         private int seeds;
 
-        @Option(names = "--voters", defaultValue = "5", description = "Default: ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--voters",
+                defaultValue = "5",
+                description = "Number of voters; default: ${DEFAULT-VALUE}.")
         private int voters;
 
         @Option(
                 names = "--candidates",
                 defaultValue = "4",
-                description = "Default: ${DEFAULT-VALUE}.")
+                description = "Number of candidates; default: ${DEFAULT-VALUE}.")
         private int candidates;
 
         @Option(
                 names = "--drift",
                 defaultValue = "0.01",
-                description = "Allowed by the configuration; default: ${DEFAULT-VALUE}.")
+                description = "Maximum clock drift allowed; default: ${DEFAULT-VALUE}.")
         private double drift;
 
         @Option(
                 names = "--real-drift",
                 defaultValue = "0.01",
-                description = "That clocks have; default: ${DEFAULT-VALUE}.")
+                description = "Maximum drift that clocks have; default: ${DEFAULT-VALUE}.")
         private double realDrift;
 
         @Override
         public Integer call() {
             Shape shape = new Shape(voters, candidates, 15, drift, realDrift);
             PrintWriter out = spec.commandLine().getOut();
-            List<RunResult> all =
+            List<RunResult> results =
                     LongStream.range(0, seeds)
                             .parallel()
                             .mapToObj(
                                     seed -> {
-                                        RunResult outcome =
+                                        RunResult result =
                                                 DutySim.simulate(
                                                         StateMachineFactory.PRODUCTION,
                                                         shape,
                                                         seed);
-                                        if (outcome.violation() != null) {
-                                            out.println(
-                                                    "seed " + seed + ": " + outcome.violation());
+                                        if (result.violation() != null) {
+                                            out.println("seed " + seed + ": " + result.violation());
                                         }
-                                        return outcome;
+                                        return result;
                                     })
                             .toList();
-            List<Long> gaps = all.stream().flatMap(o -> o.gapsUs().stream()).sorted().toList();
-            long broken = all.stream().filter(o -> o.violation() != null).count();
+            List<Long> gaps = results.stream().flatMap(o -> o.gapsUs().stream()).sorted().toList();
+            long violations = results.stream().filter(o -> o.violation() != null).count();
             out.printf(
                     Locale.ROOT,
                     "%d seeds, %d broken, %d changes of holder, %d moments with two acting%n",
                     seeds,
-                    broken,
-                    all.stream().mapToInt(RunResult::holderChanges).sum(),
-                    all.stream().mapToInt(RunResult::overlaps).sum());
+                    violations,
+                    results.stream().mapToInt(RunResult::holderChanges).sum(),
+                    results.stream().mapToInt(RunResult::overlaps).sum());
             if (!gaps.isEmpty()) {
                 out.printf(
                         Locale.ROOT,
@@ -153,7 +158,7 @@
                         gaps.get(gaps.size() - 1) * 1e-6);
             }
             out.flush();
-            return broken == 0 ? 0 : Commands.EXIT_FAILURE;
+            return violations == 0 ? 0 : Commands.EXIT_FAILURE;
         }
     }
 }
--- a/src/main/java/passhatch/lab/duty/DutyModel.java
+++ b/src/main/java/passhatch/lab/duty/DutyModel.java
@@ -15,9 +15,9 @@
 import passhatch.duty.Voter;
 
 /**
- * Three voters and two candidates of one duty, with every message that is under way: one state of
- * the model checker, reached by a row of steps. All clocks are one here; time moves by half a lease
- * a step.
+ * Three voters and two candidates of one duty, with all messages in flight: one state of the model
+ * checker, reached by a sequence of steps. All processes share one clock, which advances by half a
+ * lease in a step.
  */
 final class DutyModel {
 
@@ -29,30 +29,32 @@
     private static final List<String> SENDER_NAMES = List.of("v0", "v1", "v2", "x");
     private static final List<String> CANDIDATE_NAMES = List.of("c0", "c1");
 
-    /** Not a voter: a holder that is gone. */
+    /** Index of a sender that is not a voter: a former holder that has stopped. */
     private static final int FORMER_HOLDER = 3;
 
     private static final DutySettings SETTINGS =
             new DutySettings(SENDER_NAMES.subList(0, VOTERS), 1, LEASE_US, 0);
 
-    /** Always the shortest: every other wait is a step of the checker's. */
+    /** Draws the shortest wait; longer waits result from the steps of the checker. */
     private static final RandomGenerator ZERO_RANDOM = () -> 0;
 
+    // Step 0 advances the clock; the constants are the first steps of each of the other types.
     private static final int FIRST_TIMER_STEP = 1;
     private static final int FIRST_VOTER_CRASH_STEP = FIRST_TIMER_STEP + CANDIDATES;
     private static final int FIRST_CANDIDATE_CRASH_STEP = FIRST_VOTER_CRASH_STEP + VOTERS;
     private static final int FIRST_DELIVERY_STEP = FIRST_CANDIDATE_CRASH_STEP + CANDIDATES;
 
     /**
-     * How often things happen at most in one row of steps.
+     * Bounds on one sequence of steps.
      *
-     * @param depth steps
-     * @param ticks half leases
-     * @param crashes of voters and candidates
-     * @param copies messages that arrive and still are under way
+     * @param depth maximum number of steps
+     * @param ticks maximum number of half leases that pass
+     * @param crashes maximum number of crashes of voters and candidates
+     * @param copies maximum number of messages that arrive and stay in flight
      */
     record Bounds(int depth, int ticks, int crashes, int copies) {}
 
+    /** A message in flight between a voter, or the former holder, and a candidate. */
     private record Envelope(int from, int to, boolean toVoter, DutyMessage message) {}
 
     private final StateMachineFactory factory;
@@ -72,8 +74,8 @@
     private long maxGrantedTerm;
     private String violation;
 
-    DutyModel(StateMachineFactory parts, Bounds bounds) {
-        this.factory = parts;
+    DutyModel(StateMachineFactory factory, Bounds bounds) {
+        this.factory = factory;
         this.bounds = bounds;
         for (int i = 0; i < VOTERS; i++) {
             startVoter(i);
@@ -82,7 +84,8 @@
         for (int i = 0; i < CANDIDATES; i++) {
             startCandidate(i);
         }
-        // The last word of an earlier holder, that it has given up; it may come at any time, or
+        // The last message of a former holder, which gives the duty up; it may arrive at any time
+        // or
         // never.
         inFlight.add(
                 new Envelope(
@@ -146,12 +149,12 @@
         return candidate + ":" + incarnations[candidate];
     }
 
-    /** Steps are numbers from 0 to below this. */
+    /** Returns the number of steps; a step is a number from 0 to below it. */
     int stepCount() {
         return FIRST_DELIVERY_STEP + 2 * inFlight.size();
     }
 
-    /** Takes a step; false where it changes nothing or is out of bounds. */
+    /** Takes a step; returns false if it is not due, changes nothing or exceeds a bound. */
     boolean step(int step) {
         if (step < FIRST_TIMER_STEP) {
             nowUs += TICK_US;
@@ -171,104 +174,110 @@
             return ++crashes <= bounds.crashes();
         } else {
             int index = (step - FIRST_DELIVERY_STEP) / 2;
-            Envelope sent = inFlight.get(index);
+            Envelope envelope = inFlight.get(index);
             if ((step - FIRST_DELIVERY_STEP) % 2 == 0) {
                 inFlight.remove(index);
             } else if (++copies > bounds.copies()) {
                 return false;
             }
-            deliver(sent);
+            deliver(envelope);
         }
         long acting = Arrays.stream(candidates).filter(c -> c.mayAct(nowUs)).count();
         if (acting > 1) {
-            violation = "two act: " + Arrays.toString(candidates);
+            violation = "two candidates may act: " + Arrays.toString(candidates);
         }
         return true;
     }
 
-    private void deliver(Envelope sent) {
-        if (!sent.toVoter()) {
-            candidates[sent.to()].onMessage(nowUs, SENDER_NAMES.get(sent.from()), sent.message());
+    private void deliver(Envelope envelope) {
+        if (!envelope.toVoter()) {
+            candidates[envelope.to()].onMessage(
+                    nowUs, SENDER_NAMES.get(envelope.from()), envelope.message());
             return;
         }
-        DutyMessage answer =
-                voters[sent.to()].onMessage(
-                        nowUs, CANDIDATE_NAMES.get(sent.from()), sent.message());
-        if (answer != null) {
-            inFlight.add(new Envelope(sent.to(), sent.from(), false, answer));
+        DutyMessage reply =
+                voters[envelope.to()].onMessage(
+                        nowUs, CANDIDATE_NAMES.get(envelope.from()), envelope.message());
+        if (reply != null) {
+            inFlight.add(new Envelope(envelope.to(), envelope.from(), false, reply));
         }
     }
 
-    /** What does not hold, or null. */
+    /** Returns the property that does not hold, or null. */
     String violation() {
         return violation;
     }
 
     /**
-     * The same for states that differ only in which voter is which, and which candidate is which.
+     * Returns a text that identifies the state; it is the same for states that differ only in which
+     * voter or which candidate is which.
      */
     String signature() {
-        String one = signature(new int[] {0, 1});
-        String other = signature(new int[] {1, 0});
-        return one.compareTo(other) < 0 ? one : other;
+        String inOrder = signature(new int[] {0, 1});
+        String swapped = signature(new int[] {1, 0});
+        return inOrder.compareTo(swapped) < 0 ? inOrder : swapped;
     }
 
     private String signature(int[] order) {
         String[] byVoter = new String[VOTERS];
-        for (int v = 0; v < VOTERS; v++) {
+        for (int voter = 0; voter < VOTERS; voter++) {
             StringBuilder text = new StringBuilder();
-            Promise promise = voters[v].promised(DUTY);
+            Promise promise = voters[voter].promised(DUTY);
             if (promise != null) {
                 text.append(promise.term())
                         .append(canonicalHolder(promise.holder(), order))
                         .append('/')
-                        .append(voters[v].boundForUs(nowUs, DUTY))
-                        .append(voters[v].released(DUTY) ? 'r' : '-');
+                        .append(voters[voter].boundForUs(nowUs, DUTY))
+                        .append(voters[voter].released(DUTY) ? 'r' : '-');
             }
-            Promise kept = disks.get(v).get(DUTY);
-            if (kept != null && !kept.equals(promise)) {
-                text.append('!').append(kept.term()).append(canonicalHolder(kept.holder(), order));
+            Promise onDisk = disks.get(voter).get(DUTY);
+            if (onDisk != null && !onDisk.equals(promise)) {
+                text.append('!')
+                        .append(onDisk.term())
+                        .append(canonicalHolder(onDisk.holder(), order));
             }
             List<String> messages = new ArrayList<>();
-            for (Envelope sent : inFlight) {
-                if ((sent.toVoter() ? sent.to() : sent.from()) == v) {
-                    DutyMessage m = sent.message();
+            for (Envelope envelope : inFlight) {
+                if ((envelope.toVoter() ? envelope.to() : envelope.from()) == voter) {
+                    DutyMessage message = envelope.message();
                     messages.add(
-                            m.kind().ordinal()
+                            message.kind().ordinal()
                                     + ","
-                                    + m.term()
+                                    + message.term()
                                     + ","
-                                    + m.round()
+                                    + message.round()
                                     + ","
-                                    + canonicalHolder(m.holder(), order)
+                                    + canonicalHolder(message.holder(), order)
                                     + ","
-                                    + m.waitUs());
+                                    + message.waitUs());
                 }
             }
             messages.sort(null);
-            byVoter[v] = text.append(messages).append(replies(v, order)).toString();
+            byVoter[voter] = text.append(messages).append(replies(voter, order)).toString();
         }
         Arrays.sort(byVoter);
-        StringBuilder whole = new StringBuilder(String.join("|", byVoter));
+        StringBuilder signature = new StringBuilder(String.join("|", byVoter));
         inFlight.stream()
                 .filter(s -> s.from() == FORMER_HOLDER && !s.toVoter())
-                .forEach(s -> whole.append("|take").append(order[0] == s.to() ? 0 : 1));
+                .forEach(s -> signature.append("|take").append(order[0] == s.to() ? 0 : 1));
         for (int i : order) {
-            Candidate c = candidates[i];
-            whole.append('|')
-                    .append(c)
+            Candidate candidate = candidates[i];
+            signature
+                    .append('|')
+                    .append(candidate)
                     .append(
-                            c.wakeAtUs() == Long.MAX_VALUE
+                            candidate.wakeAtUs() == Long.MAX_VALUE
                                     ? "-"
-                                    : Math.max(-1, c.wakeAtUs() - nowUs))
+                                    : Math.max(-1, candidate.wakeAtUs() - nowUs))
                     .append('/')
-                    .append(c.remainingUs(nowUs))
+                    .append(candidate.remainingUs(nowUs))
                     .append('/')
-                    .append(Math.max(-2 * LEASE_US, c.requestedUs() - nowUs))
+                    .append(Math.max(-2 * LEASE_US, candidate.requestedUs() - nowUs))
                     .append('/')
                     .append(incarnations[i]);
         }
-        return whole.append('|')
+        return signature
+                .append('|')
                 .append(ticks)
                 .append(crashes)
                 .append(copies)
@@ -276,6 +285,7 @@
                 .toString();
     }
 
+    /** Returns the replies of a voter to the last request of each candidate. */
     private String replies(int voter, int[] order) {
         StringBuilder text = new StringBuilder();
         for (int i : order) {
@@ -284,6 +294,7 @@
         return text.toString();
     }
 
+    /** Replaces the candidate's number in a holder by its index in the given order. */
     private static String canonicalHolder(String holder, int[] order) {
         int candidate = holder.charAt(0) - '0';
         return (order[0] == candidate ? 0 : 1) + holder.substring(1);
--- a/src/main/java/passhatch/lab/duty/DutySim.java
+++ b/src/main/java/passhatch/lab/duty/DutySim.java
@@ -20,9 +20,9 @@
 import passhatch.lab.sim.EventQueue;
 
 /**
- * Voters and candidates of one duty in simulated time, each with a clock of its own pace, with
- * faults by seed. Checked at every event: at most one acts; terms grow; nothing with an older token
- * is carried out after something with a newer one.
+ * Simulates voters and candidates of one duty with seeded faults; each process has a clock with its
+ * own rate. Checks at every event that at most one candidate may act, that terms increase, and that
+ * no action with an older token is executed after one with a newer token.
  */
 public final class DutySim {
 
@@ -31,31 +31,34 @@
     private static final long LEASE_US = 4 * SECOND_US;
     private static final long RUN_US = 300 * SECOND_US;
 
-    /** The last part of a run is without faults. */
+    /** No fault starts in this last part of a run. */
     private static final long FAULT_FREE_US = 60 * SECOND_US;
 
     private static final long ACT_INTERVAL_US = 100_000;
+
+    /** Maximum time from sending an action to its arrival at the fence. */
     private static final long MAX_DEVICE_DELAY_US = 50_000;
 
     /**
-     * What is drawn for a run.
+     * The configuration of a run.
      *
-     * @param voters how many
-     * @param candidates how many
-     * @param faults so many crashes, holds, cuts and gifts on average
-     * @param drift that the configuration allows
-     * @param realDrift that clocks have at most; more than is allowed breaks the promise that one
-     *     acts
+     * @param voters number of voters
+     * @param candidates number of candidates
+     * @param faults mean number of crashes, pauses, partitions, handovers and other faults
+     * @param drift maximum clock drift that the configuration allows
+     * @param realDrift maximum drift that clocks have; more than is allowed breaks the guarantee
+     *     that at most one candidate acts
      */
     public record Shape(int voters, int candidates, int faults, double drift, double realDrift) {}
 
     /**
-     * What came of a run.
+     * The result of a run.
      *
-     * @param violation what did not hold, or null
-     * @param holderChanges of the holder
+     * @param violation the property that did not hold, or null
+     * @param holderChanges number of changes of the holder
      * @param gapsUs how long the duty had no holder each time, in microseconds
-     * @param overlaps moments at which two could act; 0 as long as clocks keep the bound
+     * @param overlaps number of events after which two candidates could act; 0 as long as clocks
+     *     keep to the bound
      */
     public record RunResult(String violation, int holderChanges, List<Long> gapsUs, int overlaps) {}
 
@@ -65,36 +68,37 @@
         private boolean paused;
         private final List<Runnable> pendingActions = new ArrayList<>();
 
-        Host(double pace) {
-            this.clockRate = pace;
+        Host(double clockRate) {
+            this.clockRate = clockRate;
         }
 
         long localUs() {
             return (long) (nowUs() * clockRate);
         }
 
-        /** Has something done here, once it is not held. */
-        void run(Runnable what) {
+        /** Runs an action on this host, once it is not paused. */
+        void run(Runnable action) {
             if (paused) {
-                pendingActions.add(what);
+                pendingActions.add(action);
             } else {
-                what.run();
+                action.run();
             }
         }
 
-        void pause(long us) {
+        void pause(long durationUs) {
             paused = true;
             scheduleAfter(
-                    us,
+                    durationUs,
                     () -> {
                         paused = false;
-                        List<Runnable> all = new ArrayList<>(pendingActions);
+                        List<Runnable> actions = new ArrayList<>(pendingActions);
                         pendingActions.clear();
-                        all.forEach(Runnable::run);
+                        actions.forEach(Runnable::run);
                     });
         }
     }
 
+    /** A voter with its disk; a restart creates a new state machine. */
     private final class VoterNode {
         private final String name;
         private final Host host;
@@ -106,19 +110,22 @@
             this.host = host;
         }
 
-        /** Asks the others what it has forgotten, as long as it does not vote. */
+        /**
+         * Asks the other voters every half second for the terms it has lost, while it does not
+         * vote.
+         */
         void recall() {
-            Voter then = voter;
-            if (!then.isVoting()) {
+            Voter asking = voter;
+            if (!asking.isVoting()) {
                 settings.voters().stream()
                         .filter(v -> voters.get(v) != this)
-                        .forEach(v -> send(name, v, then.recall()));
+                        .forEach(v -> send(name, v, asking.recall()));
                 scheduleAfter(
                         SECOND_US / 2,
                         () ->
                                 host.run(
                                         () -> {
-                                            if (voter == then) {
+                                            if (voter == asking) {
                                                 recall();
                                             }
                                         }));
@@ -138,7 +145,9 @@
             recall();
         }
 
-        /** Starts with a disk that has nothing; only while all others remember. */
+        /**
+         * Restarts with an empty disk, but only while all voters vote and so remember the terms.
+         */
         void startWithoutDisk() {
             if (voters.values().stream().allMatch(v -> v.voter.isVoting())) {
                 disk.clear();
@@ -147,6 +156,7 @@
         }
     }
 
+    /** A candidate; null as its state machine means that the process has stopped. */
     private final class CandidateNode implements DutyActions {
         private final int number;
         private final Host host;
@@ -180,20 +190,20 @@
             if (candidate == null || candidate.wakeAtUs() == Long.MAX_VALUE) {
                 return;
             }
-            long at =
+            long wakeUs =
                     Math.max(
                             nowUs() + 1,
                             (long) Math.ceil((candidate.wakeAtUs() + 1) / host.clockRate));
-            if (timerUs <= nowUs() || at < timerUs) {
-                timerUs = at;
-                Candidate then = candidate;
+            if (timerUs <= nowUs() || wakeUs < timerUs) {
+                timerUs = wakeUs;
+                Candidate scheduled = candidate;
                 events.scheduleAt(
-                        at,
+                        wakeUs,
                         () ->
                                 host.run(
                                         () -> {
-                                            if (candidate == then) {
-                                                then.timer(host.localUs());
+                                            if (candidate == scheduled) {
+                                                scheduled.timer(host.localUs());
                                                 scheduleTimer();
                                             }
                                         }));
@@ -227,7 +237,9 @@
         @Override
         public void lost(long term) {}
 
-        /** Checks and sends off an act, which arrives later; it may be held between the two. */
+        /**
+         * Checks the lease and sends an action, which arrives later; the host may pause in between.
+         */
         void act() {
             if (candidate != null && candidate.mayAct(host.localUs())) {
                 long token = candidate.term();
@@ -256,8 +268,8 @@
     private int overlaps;
     private String violation;
 
-    private DutySim(StateMachineFactory parts, Shape shape, long seed) {
-        this.factory = parts;
+    private DutySim(StateMachineFactory factory, Shape shape, long seed) {
+        this.factory = factory;
         this.shape = shape;
         this.seeds = new Seeds(seed);
         this.random = seeds.stream("world");
@@ -273,9 +285,9 @@
         return new Host(1 + (2 * random.nextDouble() - 1) * shape.realDrift());
     }
 
-    /** Plays a seed. */
-    public static RunResult simulate(StateMachineFactory parts, Shape shape, long seed) {
-        return new DutySim(parts, shape, seed).run();
+    /** Simulates the run of a seed. */
+    public static RunResult simulate(StateMachineFactory factory, Shape shape, long seed) {
+        return new DutySim(factory, shape, seed).run();
     }
 
     private RunResult run() {
@@ -292,20 +304,20 @@
         for (CandidateNode candidate : candidates.values()) {
             scheduleAfter(random.nextLong(ACT_INTERVAL_US), () -> actPeriodically(candidate));
         }
-        long end = nowUs() + RUN_US;
+        long endUs = nowUs() + RUN_US;
         while (violation == null) {
-            Runnable event = events.pollUntil(end);
+            Runnable event = events.pollUntil(endUs);
             if (event == null) {
                 break;
             }
-            if (end - nowUs() < FAULT_FREE_US / 2) {
+            if (endUs - nowUs() < FAULT_FREE_US / 2) {
                 unreliableNetwork = false;
             }
             event.run();
             checkState();
         }
         if (violation == null) {
-            events.advanceTo(end);
+            events.advanceTo(endUs);
             if (countActing() == 0) {
                 recordViolation(
                         "nobody holds the duty "
@@ -320,8 +332,8 @@
         return events.nowUs();
     }
 
-    private void scheduleAfter(long us, Runnable action) {
-        events.scheduleAfter(us, action);
+    private void scheduleAfter(long delayUs, Runnable action) {
+        events.scheduleAfter(delayUs, action);
     }
 
     private void actPeriodically(CandidateNode candidate) {
@@ -332,7 +344,7 @@
     private void execute(long token) {
         if (fence.admits(DUTY, token)) {
             if (token < lastExecutedToken) {
-                recordViolation("token " + token + " was carried out after " + lastExecutedToken);
+                recordViolation("token " + token + " was executed after " + lastExecutedToken);
             }
             lastExecutedToken = token;
         }
@@ -349,7 +361,7 @@
         if (acting > 1) {
             overlaps++;
             if (shape.realDrift() <= shape.drift()) {
-                recordViolation("two may act");
+                recordViolation("two candidates may act");
             }
         }
         if (acting > 0) {
@@ -359,9 +371,9 @@
         }
     }
 
-    private void recordViolation(String what) {
+    private void recordViolation(String text) {
         if (violation == null) {
-            violation = nowUs() / 1000 + " ms: " + what;
+            violation = nowUs() / 1000 + " ms: " + text;
         }
     }
 
@@ -372,14 +384,14 @@
                         || unreliableNetwork && random.nextDouble() < 0.3;
         int copies = lost ? 0 : unreliableNetwork && random.nextInt(5) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            // Some are late by up to a minute.
-            long us =
+            // An unreliable network delays some messages by up to a minute.
+            long delayUs =
                     100
                             + random.nextLong(
                                     unreliableNetwork && random.nextInt(10) == 0
                                             ? 60 * SECOND_US
                                             : 2_000);
-            scheduleAfter(us, () -> deliver(from, to, message));
+            scheduleAfter(delayUs, () -> deliver(from, to, message));
         }
     }
 
@@ -388,10 +400,10 @@
             VoterNode node = voters.get(to);
             node.host.run(
                     () -> {
-                        DutyMessage answer =
+                        DutyMessage reply =
                                 node.voter.onMessage(node.host.localUs(), from, message);
-                        if (answer != null) {
-                            send(to, from, answer);
+                        if (reply != null) {
+                            send(to, from, reply);
                         }
                     });
         } else if (candidates.containsKey(to)) {
@@ -405,23 +417,23 @@
         names.addAll(candidates.keySet());
         names.sort(null);
         String name = names.get(random.nextInt(names.size()));
-        long us = (long) (10_000 * Math.pow(2_000, random.nextDouble()));
+        long durationUs = (long) (10_000 * Math.pow(2_000, random.nextDouble()));
         switch (random.nextInt(8)) {
             case 0 -> crash(name);
             case 1 -> List.copyOf(voters.values()).forEach(VoterNode::start);
             case 7 -> voters.get("v" + random.nextInt(shape.voters())).startWithoutDisk();
-            case 2 -> host(name).pause(us);
+            case 2 -> host(name).pause(durationUs);
             case 3 -> {
                 partitioned.add(name);
-                scheduleAfter(us, () -> partitioned.remove(name));
+                scheduleAfter(durationUs, () -> partitioned.remove(name));
             }
             case 4 -> {
                 muted.add(name);
-                scheduleAfter(us, () -> muted.remove(name));
+                scheduleAfter(durationUs, () -> muted.remove(name));
             }
             case 5 -> {
                 unreliableNetwork = true;
-                scheduleAfter(us, () -> unreliableNetwork = false);
+                scheduleAfter(durationUs, () -> unreliableNetwork = false);
             }
             default ->
                     candidates.values().stream()
@@ -431,7 +443,7 @@
         }
     }
 
-    /** Gives the duty to another and wants it again later. */
+    /** Gives the duty up in favour of a random candidate and competes for it again. */
     private void giveUp(CandidateNode holder) {
         holder.host.run(
                 () -> {
--- a/src/main/java/passhatch/lab/duty/StateMachineFactory.java
+++ b/src/main/java/passhatch/lab/duty/StateMachineFactory.java
@@ -10,15 +10,15 @@
 import passhatch.duty.Voter;
 
 /**
- * Makes the state machines that are checked: the program's own, or ones with an error that has to
- * be found.
+ * Creates the state machines that are checked: those of the program, or variants with an error that
+ * the check has to detect.
  */
 public interface StateMachineFactory {
 
-    /** The program's own. */
+    /** Creates the state machines of the program. */
     StateMachineFactory PRODUCTION = new StateMachineFactory() {};
 
-    /** A voter that starts with what its disk has. */
+    /** Creates a voter that starts with the promises on its disk. */
     default Voter createVoter(
             DutySettings settings,
             long nowUs,
@@ -27,7 +27,7 @@
         return new Voter(settings, nowUs, promises, disk);
     }
 
-    /** A candidate. */
+    /** Creates a candidate of rank 0. */
     default Candidate createCandidate(
             DutySettings settings,
             String duty,
--- a/src/main/java/passhatch/lab/duty/package-info.java
+++ b/src/main/java/passhatch/lab/duty/package-info.java
@@ -1,2 +1,2 @@
-/** Duties under a model checker and under random faults: the program's own state machines. */
+/** Checks the state machines of the duties with a model checker and under random faults. */
 package passhatch.lab.duty;
--- a/src/test/java/passhatch/lab/drain/DrainCheckerTest.java
+++ b/src/test/java/passhatch/lab/drain/DrainCheckerTest.java
@@ -15,7 +15,8 @@
 import passhatch.lab.drain.DrainRecord.WrittenVersion;
 
 /**
- * Each sentence of the pages: a request just inside its bound passes, one at the bound is found.
+ * Guards each rule of the checker: a request sent just before the bound passes, one at the bound is
+ * reported.
  */
 final class DrainCheckerTest {
 
@@ -26,7 +27,7 @@
     private static final String SERVER = "s";
     private static final long NEVER = DrainRecord.NEVER;
 
-    /** The server drains at 10 s, as version 2. */
+    /** A record in which the server drains at 10 s, as version 2. */
     private static DrainRecord recordWithDrain(boolean pushed, long askEveryUs) {
         DrainRecord record = new DrainRecord(new Rules(pushed, GRACE_US, askEveryUs));
         record.add(new Change(0, 1, SERVER, true));
@@ -38,14 +39,14 @@
         return recordWithDrain(false, ASK_INTERVAL_US);
     }
 
-    private static void assertBound(DrainRecord record, long toldUs, NotificationRule sentence) {
-        record.add(new Send(toldUs + GRACE_US - 1, PROXY, SERVER));
+    private static void assertBound(DrainRecord record, long notifiedUs, NotificationRule rule) {
+        record.add(new Send(notifiedUs + GRACE_US - 1, PROXY, SERVER));
         assertEquals(List.of(), DrainChecker.check(record));
-        record.add(new Send(toldUs + GRACE_US, PROXY, SERVER));
+        record.add(new Send(notifiedUs + GRACE_US, PROXY, SERVER));
         List<DrainChecker.LateSend> late = DrainChecker.check(record);
         assertEquals(1, late.size());
-        assertEquals(toldUs, late.get(0).notifiedUs());
-        assertEquals(sentence, late.get(0).rule());
+        assertEquals(notifiedUs, late.get(0).notifiedUs());
+        assertEquals(rule, late.get(0).rule());
     }
 
     @Test
@@ -91,7 +92,7 @@
         assertBound(record, 16 * SECOND_US, NotificationRule.REACHABLE);
     }
 
-    /** It was opened anew: that its old connection stays open changes nothing. */
+    /** The watch was reopened; that its old connection stays open has no effect. */
     @Test
     void aSilentWatchMissesNothingAfterALaterCallGotAResponse() {
         DrainRecord record = recordOnRequest();
@@ -115,7 +116,7 @@
         assertBound(record, 12 * SECOND_US, NotificationRule.ASKING_TIME);
     }
 
-    /** A call is written down when it ends, which may be after the next was made. */
+    /** A call is recorded when it ends, which may be after the next one was started. */
     @Test
     void theLastCallIsTheOneThatWasStartedLast() {
         DrainRecord record = recordWithDrain(false, 2 * SECOND_US);
@@ -147,7 +148,7 @@
         assertBound(record, 14 * SECOND_US, NotificationRule.MOVED);
     }
 
-    /** So the operators' replay has it, to 10 ms in two plays (incident-317461). */
+    /** As the operators' replay of incident-317461 shows, to 10 ms in two runs. */
     @Test
     void aChangeSoonAfterAnAddressChangeIsDeemedNotifiedFourSecondsLater() {
         DrainRecord record = recordOnRequest();
@@ -178,7 +179,7 @@
         assertTrue(DrainChecker.check(record).isEmpty());
     }
 
-    /** A server that drains and is then removed is out of use since it began to drain. */
+    /** A server that drains and is then removed has been out of use since it began to drain. */
     @Test
     void aRemovalAfterADrainDelaysNothing() {
         DrainRecord record = recordOnRequest();
--- a/src/test/java/passhatch/lab/drain/DrainSimulationTest.java
+++ b/src/test/java/passhatch/lab/drain/DrainSimulationTest.java
@@ -9,7 +9,7 @@
 import passhatch.lab.drain.DrainSimulation.DrainBehavior;
 import passhatch.lab.drain.DrainSimulation.RunResult;
 
-/** No seed sends a request past the grace, whatever discovery and the proxy suffer. */
+/** No run sends a request past the drain grace, whatever faults discovery and the proxy have. */
 final class DrainSimulationTest {
 
     private static final int SEEDS = 2_000;
@@ -25,17 +25,23 @@
     }
 
     private static void assertRuleHolds(DrainBehavior draining) {
-        List<RunResult> all =
+        List<RunResult> results =
                 LongStream.range(0, SEEDS)
                         .parallel()
                         .mapToObj(seed -> DrainSimulation.simulate(seed, draining))
                         .toList();
-        List<RunResult> broken = all.stream().filter(o -> !o.lateSends().isEmpty()).toList();
+        List<RunResult> broken =
+                results.stream().filter(result -> !result.lateSends().isEmpty()).toList();
         assertEquals(
                 List.of(),
-                broken.stream().limit(5).map(o -> o.seed() + ": " + o.lateSends().get(0)).toList(),
+                broken.stream()
+                        .limit(5)
+                        .map(result -> result.seed() + ": " + result.lateSends().get(0))
+                        .toList(),
                 () -> broken.size() + " of " + SEEDS + " seeds");
-        long exercised = all.stream().filter(o -> o.notifiedUnwritten() > 0).count();
-        assertTrue(exercised > SEEDS * 9 / 10, exercised + " seeds had an unheard drain");
+        long effective = results.stream().filter(result -> result.notifiedUnwritten() > 0).count();
+        assertTrue(
+                effective > SEEDS * 9 / 10,
+                effective + " seeds had a drain deemed notified before or without being written");
     }
 }
--- a/src/test/java/passhatch/lab/drain/WatchCommandTest.java
+++ b/src/test/java/passhatch/lab/drain/WatchCommandTest.java
@@ -9,7 +9,7 @@
 import passhatch.cli.Commands;
 import picocli.CommandLine;
 
-/** What an operator of the lab gets for a range that cannot be played. */
+/** The error output of the command for an invalid range of seeds. */
 final class WatchCommandTest {
 
     private static final int USAGE = 2;
--- a/src/test/java/passhatch/lab/duty/DutyCheckerTest.java
+++ b/src/test/java/passhatch/lab/duty/DutyCheckerTest.java
@@ -15,27 +15,32 @@
 import passhatch.duty.Voter;
 
 /**
- * The model checker finds nothing in the program's state machines, and each of five errors put into
- * them.
+ * The model checker finds no violation in the state machines of the program, and detects each of
+ * five errors that are built into variants of them.
  */
 class DutyCheckerTest {
 
     private static DutyChecker.Result check(
-            String what, StateMachineFactory parts, int depth, int ticks, int crashes, int copies) {
-        DutyChecker.Result found = new DutyChecker(parts, depth, ticks, crashes, copies).run();
-        System.out.println("duties, " + what + ": " + found);
-        return found;
+            String description,
+            StateMachineFactory factory,
+            int depth,
+            int ticks,
+            int crashes,
+            int copies) {
+        DutyChecker.Result result = new DutyChecker(factory, depth, ticks, crashes, copies).run();
+        System.out.println("duties, " + description + ": " + result);
+        return result;
     }
 
     @Test
     void noViolationIsFoundInTheProductionStateMachines() {
-        DutyChecker.Result found =
-                check("the program's own, 8 steps", StateMachineFactory.PRODUCTION, 8, 3, 1, 1);
-        assertNull(found.violation());
-        assertTrue(found.states() > 50_000, "so few states that the steps cannot have worked");
+        DutyChecker.Result result =
+                check("production, 8 steps", StateMachineFactory.PRODUCTION, 8, 3, 1, 1);
+        assertNull(result.violation());
+        assertTrue(result.states() > 50_000, "too few states: steps had no effect");
         assertNull(
                 check(
-                                "the program's own, 9 steps without copies",
+                                "production, 9 steps without copies",
                                 StateMachineFactory.PRODUCTION,
                                 9,
                                 3,
@@ -48,18 +53,18 @@
     void aPromiseThatIsNotForcedToDiskIsDetected() {
         assertNotNull(
                 check(
-                                "promise not forced",
+                                "promise not forced to disk",
                                 new StateMachineFactory() {
                                     @Override
                                     public Voter createVoter(
-                                            DutySettings s,
+                                            DutySettings settings,
                                             long nowUs,
                                             Collection<Promise> promises,
                                             Predicate<Promise> disk) {
-                                        return new Voter(s, nowUs, promises, disk) {
+                                        return new Voter(settings, nowUs, promises, disk) {
                                             @Override
                                             protected boolean persist(Promise promise) {
-                                                // As if the crash took what was not forced.
+                                                // As if a crash lost what was not forced to disk.
                                                 return !promise.duty().isEmpty()
                                                         || super.persist(promise);
                                             }
@@ -81,11 +86,11 @@
                                 new StateMachineFactory() {
                                     @Override
                                     public Voter createVoter(
-                                            DutySettings s,
+                                            DutySettings settings,
                                             long nowUs,
                                             Collection<Promise> promises,
                                             Predicate<Promise> disk) {
-                                        return new Voter(s, nowUs, promises, disk) {
+                                        return new Voter(settings, nowUs, promises, disk) {
                                             @Override
                                             protected boolean isNewer(long term, Promise promised) {
                                                 return term >= promised.term();
@@ -108,14 +113,14 @@
                                 new StateMachineFactory() {
                                     @Override
                                     public Voter createVoter(
-                                            DutySettings s,
+                                            DutySettings settings,
                                             long nowUs,
                                             Collection<Promise> promises,
                                             Predicate<Promise> disk) {
-                                        return new Voter(s, nowUs, promises, disk) {
+                                        return new Voter(settings, nowUs, promises, disk) {
                                             @Override
-                                            protected long boundAfterStartUs(long us) {
-                                                return us;
+                                            protected long boundAfterStartUs(long startUs) {
+                                                return startUs;
                                             }
                                         };
                                     }
@@ -135,15 +140,16 @@
                                 new StateMachineFactory() {
                                     @Override
                                     public Candidate createCandidate(
-                                            DutySettings s,
+                                            DutySettings settings,
                                             String duty,
                                             String holder,
-                                            RandomGenerator r,
-                                            DutyActions a) {
-                                        return new Candidate(s, duty, holder, 0, r, a) {
+                                            RandomGenerator random,
+                                            DutyActions actions) {
+                                        return new Candidate(
+                                                settings, duty, holder, 0, random, actions) {
                                             @Override
                                             protected int majority() {
-                                                return s.voters().size() / 2;
+                                                return settings.voters().size() / 2;
                                             }
                                         };
                                     }
@@ -159,18 +165,20 @@
     void aLeaseThatIsCountedFromTheReplyIsDetected() {
         assertNotNull(
                 check(
-                                "lease counted from the answer",
+                                "lease counted from the reply",
                                 new StateMachineFactory() {
                                     @Override
                                     public Candidate createCandidate(
-                                            DutySettings s,
+                                            DutySettings settings,
                                             String duty,
                                             String holder,
-                                            RandomGenerator r,
-                                            DutyActions a) {
-                                        return new Candidate(s, duty, holder, 0, r, a) {
+                                            RandomGenerator random,
+                                            DutyActions actions) {
+                                        return new Candidate(
+                                                settings, duty, holder, 0, random, actions) {
                                             @Override
-                                            protected long leaseStartUs(long asked, long nowUs) {
+                                            protected long leaseStartUs(
+                                                    long requestUs, long nowUs) {
                                                 return nowUs;
                                             }
                                         };
--- a/src/test/java/passhatch/lab/duty/DutySimTest.java
+++ b/src/test/java/passhatch/lab/duty/DutySimTest.java
@@ -15,17 +15,17 @@
 import passhatch.lab.duty.DutySim.RunResult;
 import passhatch.lab.duty.DutySim.Shape;
 
-/** Random faults by seed; more seeds by {@code passhatch-lab.jar duty random}. */
+/** Random faults by seed; {@code passhatch-lab.jar duty random} runs more seeds. */
 class DutySimTest {
 
     private static final int SEEDS = 400;
 
     private static List<RunResult> simulate(
-            StateMachineFactory parts, Shape shape, Predicate<RunResult> that) {
+            StateMachineFactory factory, Shape shape, Predicate<RunResult> filter) {
         return LongStream.range(0, SEEDS)
                 .parallel()
-                .mapToObj(seed -> DutySim.simulate(parts, shape, seed))
-                .filter(that)
+                .mapToObj(seed -> DutySim.simulate(factory, shape, seed))
+                .filter(filter)
                 .toList();
     }
 
@@ -47,42 +47,42 @@
     }
 
     /**
-     * Beyond the bound on drift two may act, and still nothing older is carried out after something
-     * newer.
+     * With clocks that drift beyond the allowed bound two candidates may act, but no action with an
+     * older token is executed after one with a newer token.
      */
     @Test
     void fencingTokensHoldBeyondTheBoundOnDrift() {
         Shape shape = new Shape(5, 5, 15, 0.01, 0.3);
-        List<RunResult> all = simulate(StateMachineFactory.PRODUCTION, shape, o -> true);
+        List<RunResult> results = simulate(StateMachineFactory.PRODUCTION, shape, o -> true);
         assertEquals(
                 List.of(),
-                all.stream().map(RunResult::violation).filter(Objects::nonNull).toList());
+                results.stream().map(RunResult::violation).filter(Objects::nonNull).toList());
         assertTrue(
-                all.stream().mapToInt(RunResult::overlaps).sum() > 0,
-                "the bound was not passed at all");
+                results.stream().mapToInt(RunResult::overlaps).sum() > 0,
+                "no run had two acting candidates: the drift had no effect");
     }
 
     @Test
     void aMajorityThatIsCountedWronglyIsDetected() {
-        StateMachineFactory wrong =
+        StateMachineFactory faulty =
                 new StateMachineFactory() {
                     @Override
                     public Candidate createCandidate(
-                            DutySettings s,
+                            DutySettings settings,
                             String duty,
                             String holder,
                             RandomGenerator random,
                             DutyActions actions) {
-                        return new Candidate(s, duty, holder, 0, random, actions) {
+                        return new Candidate(settings, duty, holder, 0, random, actions) {
                             @Override
                             protected int majority() {
-                                return s.voters().size() / 2;
+                                return settings.voters().size() / 2;
                             }
                         };
                     }
                 };
         assertTrue(
-                !simulate(wrong, new Shape(3, 3, 15, 0.01, 0.01), o -> o.violation() != null)
+                !simulate(faulty, new Shape(3, 3, 15, 0.01, 0.01), o -> o.violation() != null)
                         .isEmpty());
     }
 }
