--- a/src/main/java/passhatch/agent/Agent.java
+++ b/src/main/java/passhatch/agent/Agent.java
@@ -72,7 +72,7 @@
      */
     public static void run(Path configFile, Map<String, String> env, String version)
             throws IOException, StoreException, InterruptedException {
-        AgentLog.toStandardError();
+        AgentLog.logToStandardError();
         Agent agent = new Agent(configFile, env);
         agent.start(version);
         if (!ReloadSignal.handle(() -> agent.loop.execute(agent::reload))) {
@@ -172,7 +172,7 @@
             case "act" ->
                     dutyNode == null || words.length != 2
                             ? "error act DUTY\n"
-                            : dutyNode.act(words[1]);
+                            : dutyNode.checkMayAct(words[1]);
             case "give-up" ->
                     dutyNode == null || words.length < 2
                             ? "error give-up DUTY [TO]\n"
--- a/src/main/java/passhatch/agent/AgentConfig.java
+++ b/src/main/java/passhatch/agent/AgentConfig.java
@@ -30,16 +30,16 @@
         InetSocketAddress control, Path store, Fleet fleet, Duties duties, ChangesConfig changes) {
 
     /** Bounds on the probe period. */
-    private static final Duration MIN_PERIOD = Duration.ofMillis(50);
+    private static final Duration MIN_PROBE_PERIOD = Duration.ofMillis(50);
 
-    private static final Duration MAX_PERIOD = Duration.ofMinutes(1);
+    private static final Duration MAX_PROBE_PERIOD = Duration.ofMinutes(1);
 
     /** Fewer bytes a second do not cover the probes. */
     private static final long MIN_BYTES_PER_SECOND = 2_048;
 
     private static final int MAX_MEMBERS = 4_096;
 
-    private static final String DEFAULTS =
+    private static final String AGENT_DEFAULTS =
             """
             [agent]
             """;
@@ -134,7 +134,7 @@
         TomlFile given = TomlFile.read(path);
         TomlFile file =
                 given.withDefaults(
-                        DEFAULTS
+                        AGENT_DEFAULTS
                                 + (given.tree().has("fleet") ? FLEET_DEFAULTS : "")
                                 + (given.tree().has("duties") ? DUTY_DEFAULTS : "")
                                 + (given.tree().has("changes") ? ChangesConfig.DEFAULTS : ""));
@@ -154,7 +154,7 @@
                 sections.duties(),
                 sections.changes() == null
                         ? null
-                        : ChangesConfig.checked(
+                        : ChangesConfig.validate(
                                 file, sections.changes(), fleet, sections.duties()));
     }
 
@@ -170,7 +170,7 @@
                 "the names of three, five or seven members");
         file.require(duties.epoch() >= 1, "duties.epoch", "1 or more");
         file.require(
-                within(duties.lease(), Duration.ofMillis(500), Duration.ofMinutes(10)),
+                isWithin(duties.lease(), Duration.ofMillis(500), Duration.ofMinutes(10)),
                 "duties.lease",
                 "500ms to 10m");
         file.require(duties.drift() >= 0 && duties.drift() <= 0.2, "duties.drift", "0 to 0.2");
@@ -203,14 +203,16 @@
                         + Names.MAX_LABEL_LENGTH
                         + " characters in all, including the commas between them");
         file.require(
-                within(section.period(), MIN_PERIOD, MAX_PERIOD), "fleet.period", "50ms to 1m");
+                isWithin(section.period(), MIN_PROBE_PERIOD, MAX_PROBE_PERIOD),
+                "fleet.period",
+                "50ms to 1m");
         file.require(
                 section.bytesPerSecond() != null
                         && section.bytesPerSecond() >= MIN_BYTES_PER_SECOND,
                 "fleet.bytes_per_second",
                 MIN_BYTES_PER_SECOND + " or more");
         file.require(
-                within(
+                isWithin(
                         section.forgetAfter(),
                         section.period().multipliedBy(100),
                         Duration.ofDays(365)),
@@ -261,7 +263,7 @@
                 section.forgetAfter());
     }
 
-    private static boolean within(Duration given, Duration min, Duration max) {
+    private static boolean isWithin(Duration given, Duration min, Duration max) {
         return given != null && given.compareTo(min) >= 0 && given.compareTo(max) <= 0;
     }
 
--- a/src/main/java/passhatch/agent/AgentLog.java
+++ b/src/main/java/passhatch/agent/AgentLog.java
@@ -13,7 +13,7 @@
 
     private AgentLog() {}
 
-    static void toStandardError() {
+    static void logToStandardError() {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         JsonEncoder encoder = new JsonEncoder();
--- a/src/main/java/passhatch/agent/AgentStore.java
+++ b/src/main/java/passhatch/agent/AgentStore.java
@@ -44,8 +44,8 @@
             // still greater than those used before.
             epoch = Math.max(epoch + 1, recordLog.epoch());
             // Written as a snapshot so that the log does not grow with each start.
-            List<Entry> state = new ArrayList<>(List.of(entry(epoch)));
-            promises.values().forEach(promise -> state.add(entry(promise)));
+            List<Entry> state = new ArrayList<>(List.of(toEntry(epoch)));
+            promises.values().forEach(promise -> state.add(toEntry(promise)));
             recordLog.snapshot(state);
         } catch (StoreException failed) {
             disk.close();
@@ -73,11 +73,11 @@
         }
     }
 
-    private static Entry entry(long epoch) {
+    private static Entry toEntry(long epoch) {
         return new Entry(EPOCH_RECORD, ByteBuffer.allocate(Long.BYTES).putLong(epoch).array());
     }
 
-    private static Entry entry(Promise promise) {
+    private static Entry toEntry(Promise promise) {
         try {
             return new Entry(
                     PROMISE_RECORD,
@@ -111,13 +111,13 @@
 
     /** Makes a greater epoch durable. */
     void persistEpoch(long newEpoch) throws StoreException {
-        recordLog.append(List.of(entry(newEpoch)));
+        recordLog.append(List.of(toEntry(newEpoch)));
         epoch = newEpoch;
     }
 
     /** Makes a promise durable. */
     void persistPromise(Promise promise) throws StoreException {
-        recordLog.append(List.of(entry(promise)));
+        recordLog.append(List.of(toEntry(promise)));
         promises.put(promise.duty(), promise);
     }
 
--- a/src/main/java/passhatch/agent/ChangesCalls.java
+++ b/src/main/java/passhatch/agent/ChangesCalls.java
@@ -24,7 +24,7 @@
     private static final long ANY_VERSION = -1;
 
     /** The control address accepts only ASCII. */
-    private static final JSON ASCII =
+    private static final JSON ASCII_JSON =
             JSON.builder(JsonFactory.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build())
                     .build();
 
@@ -42,9 +42,10 @@
     /** Answers a call, given as its words. */
     String answer(String... words) {
         return switch (words[0]) {
-            case "changes" -> status();
+            case "changes" -> describeStatus();
             case "changes-found" -> initialize();
-            case "change-get" -> words.length > 2 ? "error change-get [KEY]\n" : get(words);
+            case "change-get" ->
+                    words.length > 2 ? "error change-get [KEY]\n" : describeValues(words);
             case "change-put" ->
                     words.length < 3 || words.length > 4
                             ? "error change-put KEY VALUE [IF-VERSION]\n"
@@ -55,7 +56,7 @@
                             : submit(words[1], null, words.length == 3 ? words[2] : null);
             case "change-status" ->
                     words.length == 3
-                            ? outcome(words[1], words[2])
+                            ? describeOutcome(words[1], words[2])
                             : "error change-status VERSION TERM\n";
             default -> null;
         };
@@ -81,7 +82,7 @@
         }
         try {
             long version = changesNode.submit(key, value, expected);
-            return "accepted " + version + " " + changesNode.submitted().term() + "\n";
+            return "accepted " + version + " " + changesNode.submittedChanges().term() + "\n";
         } catch (InvalidChangeException rejected) {
             if (changesNode.participant().diskFailed()) {
                 // The change may be on disk nevertheless, and take effect once this process
@@ -92,9 +93,9 @@
         }
     }
 
-    private String outcome(String version, String term) {
+    private String describeOutcome(String version, String term) {
         return switch (changesNode
-                .submitted()
+                .submittedChanges()
                 .outcome(parseVersionOrTerm(version), parseVersionOrTerm(term))) {
             case COMMITTED -> "committed\n";
             case PENDING -> "pending\n";
@@ -107,7 +108,7 @@
         return text.matches("\\d{1,18}") ? Long.parseLong(text) : -1;
     }
 
-    private String get(String... words) {
+    private String describeValues(String... words) {
         Map<String, Object> values = new LinkedHashMap<>();
         changesNode
                 .participant()
@@ -123,29 +124,29 @@
                         });
         return values.isEmpty() && words.length > 1
                 ? "error '" + words[1] + "' is not set here\n"
-                : json(values);
+                : toJson(values);
     }
 
-    private String status() {
+    private String describeStatus() {
         Participant participant = changesNode.participant();
         Map<String, Object> root = new LinkedHashMap<>();
         root.put("role", ChangesConfig.label(changesNode.role()));
         root.put("epoch", participant.epoch());
         root.put("version", participant.version());
-        root.put("age_ms", ageMs());
+        root.put("age_ms", stateAgeMs());
         root.put("founded", participant.isInitialized());
         root.put("leading", participant.isLeading());
-        root.put("term", changesNode.submitted().term());
+        root.put("term", changesNode.submittedChanges().term());
         root.put("source", participant.source());
         root.put("disk_failed", participant.diskFailed());
-        root.put("followers", followers());
+        root.put("followers", describeFollowers());
         Map<String, Object> dropped = new LinkedHashMap<>();
         changesNode.dropped().forEach((reason, count) -> dropped.put(reason.label(), count));
         root.put("dropped", dropped);
-        return json(root);
+        return toJson(root);
     }
 
-    private Map<String, Object> followers() {
+    private Map<String, Object> describeFollowers() {
         Map<String, Long> confirmed = changesNode.participant().confirmedVersions();
         Map<String, Long> countByVersion = new TreeMap<>();
         List<String> laggards = new ArrayList<>();
@@ -165,7 +166,7 @@
     }
 
     /** Time since the state was last known to be current, or -1 if it never was since the start. */
-    private long ageMs() {
+    private long stateAgeMs() {
         long ageMs = changesNode.participant().ageUs(FleetNode.nowUs()) / 1_000;
         return ageMs < Long.MAX_VALUE / 8_000 ? ageMs : -1;
     }
@@ -176,7 +177,7 @@
         StringBuilder text = new StringBuilder();
         appendLine(text, "version", participant.version());
         appendLine(text, "epoch", participant.epoch());
-        appendLine(text, "age_ms", ageMs());
+        appendLine(text, "age_ms", stateAgeMs());
         appendLine(text, "followers", participant.confirmedVersions().size());
         Arrays.stream(DropReason.values())
                 .forEach(
@@ -192,9 +193,9 @@
         text.append("changes_").append(name).append(' ').append(value).append('\n');
     }
 
-    private static String json(Map<String, Object> content) {
+    private static String toJson(Map<String, Object> content) {
         try {
-            return ASCII.asString(content) + "\n";
+            return ASCII_JSON.asString(content) + "\n";
         } catch (IOException impossible) {
             throw new IllegalStateException(impossible);
         }
--- a/src/main/java/passhatch/agent/ChangesConfig.java
+++ b/src/main/java/passhatch/agent/ChangesConfig.java
@@ -58,7 +58,7 @@
             String publish) {}
 
     /** Validates the section; an error names the key. */
-    static ChangesConfig checked(
+    static ChangesConfig validate(
             TomlFile file, Section section, AgentConfig.Fleet fleet, AgentConfig.Duties duties) {
         file.require(fleet != null, "changes", "a part [fleet] beside it");
         Role role = role(file, section.role());
@@ -148,7 +148,7 @@
                 "none, as a relay has all keys");
         file.require(
                 services.size() <= MAX_SERVICES
-                        && services.stream().allMatch(ChangesConfig::isService),
+                        && services.stream().allMatch(ChangesConfig::isServiceName),
                 "changes.services",
                 "names of at most " + MAX_SERVICES + " services");
         file.require(
@@ -157,7 +157,7 @@
                 "no '" + DUTY + "', as only replicas may lead");
     }
 
-    private static boolean isService(String name) {
+    private static boolean isServiceName(String name) {
         return name != null && ConfigKey.isKey("service/" + name + "/" + Setting.ENABLED.label());
     }
 }
--- a/src/main/java/passhatch/agent/ChangesNode.java
+++ b/src/main/java/passhatch/agent/ChangesNode.java
@@ -49,7 +49,7 @@
     private final ChangesConfig config;
     private final AgentConfig.Fleet fleet;
     private final ValuesFile valuesFile;
-    private final SubmittedChanges submitted = new SubmittedChanges();
+    private final SubmittedChanges submittedChanges = new SubmittedChanges();
     private final Map<DropReason, Long> dropped = new EnumMap<>(DropReason.class);
 
     /** Null if a follower runs without a disk. */
@@ -86,7 +86,7 @@
                 DatagramListener.bind(
                         loop, config.listen(), new Receiver(), MAX_DATAGRAMS_PER_READ);
         try {
-            loop.submit(() -> begin(bound, records, random)).sync();
+            loop.submit(() -> startParticipant(bound, records, random)).sync();
         } catch (IllegalArgumentException higherEpoch) {
             throw new InvalidInputException("changes.epoch: " + higherEpoch.getMessage());
         }
@@ -107,7 +107,8 @@
         }
     }
 
-    private void begin(Channel channel, List<DiskRecord> records, RandomGenerator random) {
+    private void startParticipant(
+            Channel channel, List<DiskRecord> records, RandomGenerator random) {
         DistributionSettings settings =
                 new DistributionSettings(
                         fleet.self(),
@@ -138,8 +139,8 @@
     }
 
     /** The changes submitted at this process. */
-    SubmittedChanges submitted() {
-        return submitted;
+    SubmittedChanges submittedChanges() {
+        return submittedChanges;
     }
 
     /** Datagrams dropped on receipt, by reason. */
@@ -175,7 +176,7 @@
     }
 
     private void compactLog() {
-        if (store == null || participant.diskFailed() || !store.wantsSnapshot()) {
+        if (store == null || participant.diskFailed() || !store.isSnapshotDue()) {
             return;
         }
         try {
@@ -273,15 +274,15 @@
     }
 
     @Override
-    public void granted(long term) {
-        submitted.beginTerm(term);
+    public void dutyGranted(long term) {
+        submittedChanges.beginTerm(term);
         participant.leaseGranted(FleetNode.nowUs(), term);
         compactAndSchedule();
     }
 
     @Override
-    public void lost(long term) {
-        submitted.endTerm();
+    public void dutyLost(long term) {
+        submittedChanges.endTerm();
         participant.leaseLost();
         compactAndSchedule();
     }
@@ -319,7 +320,7 @@
 
     @Override
     public void committed(long version) {
-        submitted.committed(version);
+        submittedChanges.recordCommitted(version);
     }
 
     @Override
--- a/src/main/java/passhatch/agent/ChangesStore.java
+++ b/src/main/java/passhatch/agent/ChangesStore.java
@@ -156,7 +156,7 @@
         int chunkBytes = 0;
         for (int i = 0; i < group.size(); i++) {
             Entry entry =
-                    new Entry(groupKind(i, group.size()), DiskRecordCodec.encode(group.get(i)));
+                    new Entry(kindInGroup(i, group.size()), DiskRecordCodec.encode(group.get(i)));
             chunk.add(entry);
             chunkBytes += entry.bytes().length;
             if (chunkBytes > MAX_FORCED_BYTES) {
@@ -170,7 +170,7 @@
         }
     }
 
-    private static int groupKind(int index, int size) {
+    private static int kindInGroup(int index, int size) {
         if (size == 1) {
             return KIND_SINGLE;
         }
@@ -178,7 +178,7 @@
     }
 
     /** Whether the log has grown enough for a {@link #snapshot} to be worth its cost. */
-    boolean wantsSnapshot() {
+    boolean isSnapshotDue() {
         return recordLog.isSnapshotDue();
     }
 
--- a/src/main/java/passhatch/agent/DutyListener.java
+++ b/src/main/java/passhatch/agent/DutyListener.java
@@ -8,8 +8,8 @@
      *
      * @param term the fencing token
      */
-    void granted(long term);
+    void dutyGranted(long term);
 
     /** Called when this process no longer holds the duty. */
-    void lost(long term);
+    void dutyLost(long term);
 }
--- a/src/main/java/passhatch/agent/DutyNode.java
+++ b/src/main/java/passhatch/agent/DutyNode.java
@@ -39,7 +39,7 @@
     private final AgentConfig.Duties config;
     private final DutySettings settings;
     private final String self;
-    private final Map<String, WantedDuty> candidates = new TreeMap<>();
+    private final Map<String, WantedDuty> wantedDutyByName = new TreeMap<>();
     private Voter voter;
 
     /** A duty for which this process is a candidate. */
@@ -85,7 +85,7 @@
                     .addKeyValue("term", term)
                     .log("duty acquired");
             if (listener != null) {
-                listener.granted(term);
+                listener.dutyGranted(term);
             }
         }
 
@@ -97,7 +97,7 @@
                     .addKeyValue("term", term)
                     .log("duty lost");
             if (listener != null) {
-                listener.lost(term);
+                listener.dutyLost(term);
             }
         }
     }
@@ -131,25 +131,25 @@
             voter = new Voter(settings, FleetNode.nowUs(), store.promises(), this::persistPromise);
         }
         fleetNode.onDutyMessage(this::receive);
-        recall();
+        recallPromises();
         Set<String> wanted = new TreeSet<>(config.wanted());
         wanted.addAll(listeners.keySet());
         for (String duty : wanted) {
             WantedDuty wantedDuty =
                     new WantedDuty(duty, self + ":" + store.epoch(), random, listeners.get(duty));
-            candidates.put(duty, wantedDuty);
+            wantedDutyByName.put(duty, wantedDuty);
             wantedDuty.candidate.campaign(FleetNode.nowUs());
             wantedDuty.scheduleTimer();
         }
     }
 
     /** Asks the other voters for the promises that this one has lost, until it votes. */
-    private void recall() {
+    private void recallPromises() {
         if (voter != null && !voter.isVoting()) {
             config.voters().stream()
                     .filter(v -> !v.equals(self))
                     .forEach(v -> send(v, voter.recall()));
-            loop.schedule(this::recall, RECALL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::recallPromises, RECALL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -194,7 +194,7 @@
                 }
             }
             case GRANT, REFUSAL, TAKE -> {
-                WantedDuty wantedDuty = candidates.get(message.duty());
+                WantedDuty wantedDuty = wantedDutyByName.get(message.duty());
                 if (wantedDuty != null) {
                     wantedDuty.candidate.onMessage(nowUs, from, message);
                     wantedDuty.scheduleTimer();
@@ -207,8 +207,8 @@
      * Whether this process may act on a duty now: {@code done TERM}, with the fencing token to act
      * with, or {@code error ...}.
      */
-    String act(String duty) {
-        WantedDuty wantedDuty = candidates.get(duty);
+    String checkMayAct(String duty) {
+        WantedDuty wantedDuty = wantedDutyByName.get(duty);
         long term = wantedDuty == null ? 0 : wantedDuty.candidate.term();
         return wantedDuty != null && wantedDuty.candidate.mayActInTerm(FleetNode.nowUs(), term)
                 ? "done " + term + "\n"
@@ -220,7 +220,7 @@
      * after the duration of a lease.
      */
     String giveUp(String duty, String to) {
-        WantedDuty wantedDuty = candidates.get(duty);
+        WantedDuty wantedDuty = wantedDutyByName.get(duty);
         if (wantedDuty == null || !wantedDuty.candidate.mayAct(FleetNode.nowUs())) {
             return "error this process does not hold '" + duty + "'\n";
         }
@@ -240,7 +240,7 @@
     String json() {
         long nowUs = FleetNode.nowUs();
         List<Object> wantedDuties = new ArrayList<>();
-        candidates.forEach(
+        wantedDutyByName.forEach(
                 (duty, wantedDuty) -> {
                     Map<String, Object> entry = new LinkedHashMap<>();
                     entry.put("duty", duty);
--- a/src/main/java/passhatch/agent/MembersText.java
+++ b/src/main/java/passhatch/agent/MembersText.java
@@ -35,7 +35,7 @@
             entry.put("incarnation", member.incarnation().toString());
             entry.put("version", member.version());
             entry.put("roles", member.roles());
-            entry.put("for_ms", membership.ageUs(member) / 1_000);
+            entry.put("for_ms", membership.statusAgeUs(member) / 1_000);
             entry.put(
                     "address",
                     member.addressIndex() < 0 ? "" : format(addresses.get(member.addressIndex())));
--- a/src/main/java/passhatch/agent/SubmittedChanges.java
+++ b/src/main/java/passhatch/agent/SubmittedChanges.java
@@ -20,7 +20,7 @@
     /** Most terms that are remembered. */
     private static final int MAX_TERMS = 16;
 
-    private final Map<Long, Long> committedByTerm =
+    private final Map<Long, Long> committedVersionByTerm =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1;
 
@@ -36,7 +36,7 @@
     void beginTerm(long newTerm) {
         term = newTerm;
         leading = true;
-        committedByTerm.put(term, 0L);
+        committedVersionByTerm.put(term, 0L);
     }
 
     /** Ends the term. */
@@ -50,13 +50,13 @@
     }
 
     /** Records that all changes of this term up to a version are committed. */
-    void committed(long version) {
-        committedByTerm.merge(term, version, Math::max);
+    void recordCommitted(long version) {
+        committedVersionByTerm.merge(term, version, Math::max);
     }
 
     /** Returns what is known of a change, by its version and the term in which it was submitted. */
     Outcome outcome(long version, long submittedTerm) {
-        if (version <= committedByTerm.getOrDefault(submittedTerm, 0L)) {
+        if (version <= committedVersionByTerm.getOrDefault(submittedTerm, 0L)) {
             return Outcome.COMMITTED;
         }
         return leading && submittedTerm == term ? Outcome.PENDING : Outcome.UNKNOWN;
--- a/src/main/java/passhatch/agent/ValuesFile.java
+++ b/src/main/java/passhatch/agent/ValuesFile.java
@@ -16,7 +16,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ValuesFile.class);
 
     private final Path path;
-    private boolean failed;
+    private boolean lastWriteFailed;
 
     ValuesFile(Path path) {
         this.path = path;
@@ -39,14 +39,14 @@
                     path,
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
-            failed = false;
+            lastWriteFailed = false;
         } catch (IOException unwritable) {
-            if (!failed) {
+            if (!lastWriteFailed) {
                 LOG.atError()
                         .addKeyValue("event", "changes")
                         .log("the values file cannot be written: {}", unwritable.toString());
             }
-            failed = true;
+            lastWriteFailed = true;
         }
     }
 }
--- a/src/main/java/passhatch/fleet/AntiEntropy.java
+++ b/src/main/java/passhatch/fleet/AntiEntropy.java
@@ -39,8 +39,9 @@
      * Starts a comparison with one member. Returns whether the next one is due soon, because a
      * difference was found recently.
      */
-    boolean start(Member peer) {
-        outbox.sendSync(peer.addressIndex(), Digests.ROOT, view.digests().children(Digests.ROOT));
+    boolean startComparison(Member peer) {
+        outbox.sendSync(
+                peer.addressIndex(), Digests.ROOT, view.digests().childDigests(Digests.ROOT));
         eagerRoundsLeft = Math.max(0, eagerRoundsLeft - 1);
         return eagerRoundsLeft > 0;
     }
@@ -50,7 +51,7 @@
      * differences.
      */
     void onDigests(int senderIndex, int node, int[] digests) {
-        int[] ownDigests = view.digests().children(node);
+        int[] ownDigests = view.digests().childDigests(node);
         List<Integer> different = new ArrayList<>();
         for (int i = 0; i < ownDigests.length; i++) {
             if (ownDigests[i] != digests[i]) {
@@ -66,9 +67,9 @@
         }
         for (int child : different) {
             if (node == Digests.ROOT) {
-                outbox.sendSync(senderIndex, child, view.digests().children(child));
+                outbox.sendSync(senderIndex, child, view.digests().childDigests(child));
             } else {
-                int leaf = node * Digests.CHILDREN + child;
+                int leaf = node * Digests.CHILDREN_PER_NODE + child;
                 outbox.sendLeaf(
                         senderIndex, Message.Type.LEAF, leaf, updatesAtLeaf(leaf, List.of()));
             }
@@ -88,7 +89,7 @@
 
     private List<MemberUpdate> updatesAtLeaf(int leaf, List<MemberUpdate> known) {
         List<MemberUpdate> updates = new ArrayList<>();
-        for (Member member : view.leaf(leaf)) {
+        for (Member member : view.membersOfLeaf(leaf)) {
             boolean alreadyKnown =
                     known.stream()
                             .anyMatch(
--- a/src/main/java/passhatch/fleet/Codec.java
+++ b/src/main/java/passhatch/fleet/Codec.java
@@ -19,7 +19,7 @@
     /** The format version that this program writes and reads. */
     static final byte VERSION = 1;
 
-    private static final int FIELDS = 8;
+    private static final int MESSAGE_FIELDS = 8;
     private static final int UPDATE_FIELDS = 7;
     private static final int MAX_UPDATES = 32;
     private static final Message.Type[] TYPES = Message.Type.values();
@@ -64,12 +64,12 @@
                 + textSize(message.target())
                 + integerSize(message.node())
                 + (message.digests().length == 0 ? 1 : 2 + 4 * message.digests().length)
-                + size(message.sender())
+                + encodedSize(message.sender())
                 + 2;
     }
 
     /** Encoded size of an update, in bytes. */
-    static int size(MemberUpdate update) {
+    static int encodedSize(MemberUpdate update) {
         int size =
                 1
                         + 1
@@ -102,7 +102,7 @@
         out.write(VERSION);
         out.writeBytes(new byte[Frame.HEADER_BYTES - 1]);
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
-            cbor.writeStartArray(null, FIELDS);
+            cbor.writeStartArray(null, MESSAGE_FIELDS);
             cbor.writeString(fleetName);
             cbor.writeNumber(message.type().ordinal());
             cbor.writeNumber(message.sequenceNumber());
@@ -173,9 +173,11 @@
         boolean sync = type == Message.Type.SYNC;
         int node =
                 cbor.readInt(
-                        sync ? Digests.ROOT : 0, (sync ? Digests.CHILDREN : Digests.LEAVES) - 1);
+                        sync ? Digests.ROOT : 0,
+                        (sync ? Digests.CHILDREN_PER_NODE : Digests.LEAF_COUNT) - 1);
         byte[] digestBytes = cbor.readBytes();
-        CborReader.require(digestBytes.length == (sync ? Integer.BYTES * Digests.CHILDREN : 0));
+        CborReader.require(
+                digestBytes.length == (sync ? Integer.BYTES * Digests.CHILDREN_PER_NODE : 0));
         int[] digests = new int[digestBytes.length / Integer.BYTES];
         ByteBuffer.wrap(digestBytes).asIntBuffer().get(digests);
         cbor.beginArray();
--- a/src/main/java/passhatch/fleet/Digests.java
+++ b/src/main/java/passhatch/fleet/Digests.java
@@ -9,8 +9,8 @@
  */
 final class Digests {
 
-    static final int CHILDREN = 16;
-    static final int LEAVES = CHILDREN * CHILDREN;
+    static final int CHILDREN_PER_NODE = 16;
+    static final int LEAF_COUNT = CHILDREN_PER_NODE * CHILDREN_PER_NODE;
 
     /** The node number of the root. */
     static final int ROOT = -1;
@@ -20,7 +20,7 @@
     private final int[] leaves;
 
     Digests() {
-        leaves = new int[LEAVES];
+        leaves = new int[LEAF_COUNT];
     }
 
     /** Creates a copy. */
@@ -30,7 +30,7 @@
 
     /** The leaf of a member, from {@link Names#hash} of its name. */
     static int leafIndex(int nameHash) {
-        return nameHash & LEAVES - 1;
+        return nameHash & LEAF_COUNT - 1;
     }
 
     /** Adds an update to its leaf, or removes it if it was added before. */
@@ -52,18 +52,18 @@
     }
 
     /** The digests of the children of an inner node or of the root. */
-    int[] children(int node) {
-        int[] digests = new int[CHILDREN];
-        for (int i = 0; i < CHILDREN; i++) {
-            digests[i] = node == ROOT ? innerDigest(i) : leaves[node * CHILDREN + i];
+    int[] childDigests(int node) {
+        int[] digests = new int[CHILDREN_PER_NODE];
+        for (int i = 0; i < CHILDREN_PER_NODE; i++) {
+            digests[i] = node == ROOT ? innerDigest(i) : leaves[node * CHILDREN_PER_NODE + i];
         }
         return digests;
     }
 
     private int innerDigest(int node) {
         int digest = 1;
-        for (int i = 0; i < CHILDREN; i++) {
-            digest = mix(digest, leaves[node * CHILDREN + i]);
+        for (int i = 0; i < CHILDREN_PER_NODE; i++) {
+            digest = mix(digest, leaves[node * CHILDREN_PER_NODE + i]);
         }
         return digest;
     }
@@ -71,7 +71,7 @@
     /**
      * The digest of the whole view; equal digests mean views that are equal except for suspicions.
      */
-    int root() {
+    int rootDigest() {
         int digest = 1;
         for (int leaf : leaves) {
             digest = mix(digest, leaf);
--- a/src/main/java/passhatch/fleet/GossipQueue.java
+++ b/src/main/java/passhatch/fleet/GossipQueue.java
@@ -14,9 +14,9 @@
 final class GossipQueue {
 
     /** After this many updates that do not fit, the datagram counts as full. */
-    private static final int MAX_MISSES = 4;
+    private static final int MAX_SKIPPED_UPDATES = 4;
 
-    private static final Comparator<Item> ORDER =
+    private static final Comparator<Item> SEND_ORDER =
             Comparator.comparingInt((Item i) -> i.sendCount)
                     .thenComparing(Comparator.comparingLong((Item i) -> i.sequence).reversed());
 
@@ -32,7 +32,7 @@
     }
 
     private final Map<String, Item> byMember = new HashMap<>();
-    private final TreeSet<Item> items = new TreeSet<>(ORDER);
+    private final TreeSet<Item> items = new TreeSet<>(SEND_ORDER);
     private long nextSequence;
 
     int size() {
@@ -66,11 +66,11 @@
         int remainingBytes = maxBytes;
         int misses = 0;
         for (Item item : items) {
-            int size = Codec.size(item.update);
+            int size = Codec.encodedSize(item.update);
             if (size <= remainingBytes) {
                 remainingBytes -= size;
                 taken.add(item);
-            } else if (++misses == MAX_MISSES) {
+            } else if (++misses == MAX_SKIPPED_UPDATES) {
                 break;
             }
         }
--- a/src/main/java/passhatch/fleet/Incarnation.java
+++ b/src/main/java/passhatch/fleet/Incarnation.java
@@ -23,7 +23,7 @@
     }
 
     /** Whether both belong to the same run of one process. */
-    boolean sameRun(Incarnation other) {
+    boolean isSameRun(Incarnation other) {
         return epoch == other.epoch && runId == other.runId;
     }
 
--- a/src/main/java/passhatch/fleet/Member.java
+++ b/src/main/java/passhatch/fleet/Member.java
@@ -9,17 +9,17 @@
     private final MemberUpdate lastUpdate;
     private final int nameHash;
     private final int addressIndex;
-    private final long sinceUs;
+    private final long statusSinceUs;
 
-    Member(MemberUpdate lastUpdate, long sinceUs) {
-        this(lastUpdate, Names.hash(lastUpdate.name()), -1, sinceUs);
+    Member(MemberUpdate lastUpdate, long statusSinceUs) {
+        this(lastUpdate, Names.hash(lastUpdate.name()), -1, statusSinceUs);
     }
 
-    private Member(MemberUpdate lastUpdate, int nameHash, int addressIndex, long sinceUs) {
+    private Member(MemberUpdate lastUpdate, int nameHash, int addressIndex, long statusSinceUs) {
         this.lastUpdate = lastUpdate;
         this.nameHash = nameHash;
         this.addressIndex = addressIndex;
-        this.sinceUs = sinceUs;
+        this.statusSinceUs = statusSinceUs;
     }
 
     String name() {
@@ -39,8 +39,8 @@
         return lastUpdate;
     }
 
-    long sinceUs() {
-        return sinceUs;
+    long statusSinceUs() {
+        return statusSinceUs;
     }
 
     int addressIndex() {
@@ -52,20 +52,20 @@
      * differs.
      */
     Member withUpdate(MemberUpdate update, long nowUs) {
-        long since = update.status() == lastUpdate.status() ? sinceUs : nowUs;
+        long since = update.status() == lastUpdate.status() ? statusSinceUs : nowUs;
         return new Member(update, nameHash, addressIndex, since);
     }
 
     /**
      * Returns the member with its status time moved later, as the time of a stall does not count.
      */
-    Member withSinceDelayed(long byUs) {
-        return new Member(lastUpdate, nameHash, addressIndex, sinceUs + byUs);
+    Member withStatusDelayed(long byUs) {
+        return new Member(lastUpdate, nameHash, addressIndex, statusSinceUs + byUs);
     }
 
     /** Returns the member at another address, or -1 if none is known. */
     Member withAddressIndex(int newIndex) {
-        return new Member(lastUpdate, nameHash, newIndex, sinceUs);
+        return new Member(lastUpdate, nameHash, newIndex, statusSinceUs);
     }
 
     MemberInfo info() {
@@ -75,7 +75,7 @@
                 lastUpdate.incarnation(),
                 lastUpdate.version(),
                 lastUpdate.roles(),
-                sinceUs,
+                statusSinceUs,
                 addressIndex);
     }
 }
--- a/src/main/java/passhatch/fleet/MemberInfo.java
+++ b/src/main/java/passhatch/fleet/MemberInfo.java
@@ -3,7 +3,8 @@
 /**
  * A member as this process sees it.
  *
- * @param sinceUs when it took its status; {@link Membership#ageUs} returns how long ago that is
+ * @param statusSinceUs when it took its status; {@link Membership#statusAgeUs} returns how long ago
+ *     that is
  * @param addressIndex index in the address list from which it was last received, or else where its
  *     own list places it; -1 if none is known
  */
@@ -13,5 +14,5 @@
         Incarnation incarnation,
         String version,
         String roles,
-        long sinceUs,
+        long statusSinceUs,
         int addressIndex) {}
--- a/src/main/java/passhatch/fleet/MemberStates.java
+++ b/src/main/java/passhatch/fleet/MemberStates.java
@@ -27,7 +27,7 @@
     private static final int MAX_CONFIRMATIONS = MemberUpdate.MAX_REPORTERS - 1;
 
     /** Stands for the largest number of reporters that counts. */
-    private static final List<Integer> ALL_REPORTERS =
+    private static final List<Integer> PLACEHOLDER_REPORTERS =
             IntStream.range(0, MemberUpdate.MAX_REPORTERS).boxed().toList();
 
     /**
@@ -93,13 +93,13 @@
                     changeMember(
                             nowUs,
                             member,
-                            unconfirmed ? suspectUpdate(update, ALL_REPORTERS) : update);
+                            unconfirmed ? suspectUpdate(update, PLACEHOLDER_REPORTERS) : update);
             if (member.status() == Status.SUSPECT) {
                 suspicionListener.accept(member);
             }
         } else if (update.incarnation().equals(known.incarnation())) {
             if (update.status() == Status.SUSPECT && known.status() == Status.SUSPECT) {
-                confirm(nowUs, member, update.reporters());
+                addReporters(nowUs, member, update.reporters());
             } else if (update.status() == Status.ALIVE
                     && known.status() == Status.ALIVE
                     && known.version().isEmpty()
@@ -130,7 +130,7 @@
     private void applyToSelf(long nowUs, MemberUpdate update) {
         Incarnation ownIncarnation = self.incarnation();
         int order = update.incarnation().compareTo(ownIncarnation);
-        if (update.incarnation().sameRun(ownIncarnation)) {
+        if (update.incarnation().isSameRun(ownIncarnation)) {
             boolean wrong = update.status() != (self.leaving() ? Status.LEFT : Status.ALIVE);
             if (!self.leaving() && order >= 0 && (wrong || order > 0)) {
                 if (update.status() == Status.SUSPECT || update.status() == Status.FAILED) {
@@ -215,11 +215,11 @@
         if (member.status() == Status.ALIVE) {
             changeMember(nowUs, member, suspectUpdate(member.lastUpdate(), ownReport));
         } else if (member.status() == Status.SUSPECT) {
-            confirm(nowUs, member, ownReport);
+            addReporters(nowUs, member, ownReport);
         }
     }
 
-    private void confirm(long nowUs, Member member, List<Integer> reporters) {
+    private void addReporters(long nowUs, Member member, List<Integer> reporters) {
         List<Integer> all = new ArrayList<>(member.lastUpdate().reporters());
         for (Integer reporter : reporters) {
             if (!all.contains(reporter) && all.size() < MemberUpdate.MAX_REPORTERS) {
@@ -256,7 +256,7 @@
     }
 
     /** Marks as failed the suspects whose suspicion timeout has ended. */
-    void expire(long nowUs) {
+    void expireSuspicions(long nowUs) {
         if (nowUs < nextExpiryCheckUs()) {
             return;
         }
@@ -294,14 +294,14 @@
                         ? 1
                         : Math.log(confirmations + 1) / Math.log(maxConfirmations + 1);
         double timeoutUs = maxUs - (maxUs - minUs) * fraction;
-        return suspect.sinceUs() + (long) (timeoutUs * health.timeoutMultiplier());
+        return suspect.statusSinceUs() + (long) (timeoutUs * health.timeoutMultiplier());
     }
 
     /**
      * Extends all suspicions by the length of a stall, in which refutations could not be received.
      */
     void onStall(long byUs) {
-        view.delaySuspects(byUs);
+        view.extendSuspicions(byUs);
     }
 
     /** Removes members that failed or left more than {@code afterUs} ago. */
--- a/src/main/java/passhatch/fleet/MemberTable.java
+++ b/src/main/java/passhatch/fleet/MemberTable.java
@@ -17,7 +17,7 @@
     private int size;
 
     MemberTable() {
-        leaves = new Member[Digests.LEAVES][];
+        leaves = new Member[Digests.LEAF_COUNT][];
         Arrays.fill(leaves, EMPTY);
     }
 
@@ -70,7 +70,7 @@
         size--;
     }
 
-    List<Member> leaf(int leafIndex) {
+    List<Member> membersOfLeaf(int leafIndex) {
         return Arrays.asList(leaves[leafIndex]);
     }
 
--- a/src/main/java/passhatch/fleet/Membership.java
+++ b/src/main/java/passhatch/fleet/Membership.java
@@ -37,7 +37,7 @@
 
     private static final double SYNC_INTERVAL_PERIODS = 4;
     private static final double SMALL_FLEET_PROBE_INTERVAL_PERIODS = 0.2;
-    private static final double LATE_TIMER_PERIODS = 0.5;
+    private static final double MIN_STALL_PERIODS = 0.5;
 
     /**
      * Members that gossip is sent to at a time. More updates than fit into one datagram raise the
@@ -185,7 +185,7 @@
     private void handle(int addressIndex, Message message) {
         MemberUpdate sender = message.sender();
         boolean sameName = sender.name().equals(self.name());
-        if (sameName && sender.incarnation().sameRun(self.incarnation())) {
+        if (sameName && sender.incarnation().isSameRun(self.incarnation())) {
             outbox.countDropped(DropReason.ECHO);
             return;
         }
@@ -238,10 +238,10 @@
     /** Does what is due; to be called at {@link #wakeAtUs}. */
     public void timer(long callerNowUs) {
         advanceTime(callerNowUs);
-        memberStates.expire(nowUs);
-        probes.runDue(nowUs);
+        memberStates.expireSuspicions(nowUs);
+        probes.runDueActions(nowUs);
         if (nowUs >= probeAtUs && !self.leaving()) {
-            probes.startNext(nowUs);
+            probes.startNextProbe(nowUs);
             boolean smallFleet =
                     view.presentCount() <= Math.min(SMALL_FLEET_SIZE, settings.addressCount() - 1);
             probeAtUs =
@@ -262,7 +262,7 @@
         }
         if (nowUs >= syncAtUs && !self.leaving()) {
             List<Member> peers = probes.pickRandom(1, "");
-            boolean again = peers.isEmpty() || antiEntropy.start(peers.get(0));
+            boolean again = peers.isEmpty() || antiEntropy.startComparison(peers.get(0));
             syncAtUs = nowUs + periodsUs(again ? GOSSIP_INTERVAL_PERIODS : SYNC_INTERVAL_PERIODS);
         }
         if (nowUs >= removeAtUs) {
@@ -282,7 +282,7 @@
         nowUs = callerNowUs + clockSetbackUs;
         outbox.setTime(nowUs);
         long lateUs = nowUs - wakeAtUs;
-        if (lateUs > periodsUs(LATE_TIMER_PERIODS)) {
+        if (lateUs > periodsUs(MIN_STALL_PERIODS)) {
             stalls++;
             health.degrade(1);
             probes.onStall();
@@ -292,7 +292,7 @@
     }
 
     private long nextWakeUs() {
-        long wakeUs = Math.min(memberStates.nextExpiryCheckUs(), probes.nextActionUs());
+        long wakeUs = Math.min(memberStates.nextExpiryCheckUs(), probes.nextActionAtUs());
         if (!self.leaving()) {
             wakeUs = Math.min(wakeUs, Math.min(probeAtUs, syncAtUs));
         }
@@ -331,7 +331,7 @@
         settings = settings.withAddresses(ownAddressIndex, addressCount);
         self.addressIndex(ownAddressIndex);
         view.remap(newIndexes, addressCount);
-        probes.addressesChanged(ownAddressIndex);
+        probes.onAddressesChanged(ownAddressIndex);
         probeAtUs = nowUs;
         wakeAtUs = nextWakeUs();
     }
@@ -360,8 +360,8 @@
     }
 
     /** How long a member has had its status, in microseconds. */
-    public long ageUs(MemberInfo member) {
-        return nowUs - member.sinceUs();
+    public long statusAgeUs(MemberInfo member) {
+        return nowUs - member.statusSinceUs();
     }
 
     /** All known members in the order of their names, including this process. */
@@ -382,7 +382,7 @@
 
     /** A digest of the view without suspicions; processes with equal digests have equal views. */
     public int digest() {
-        return view.digests().root();
+        return view.digests().rootDigest();
     }
 
     /**
@@ -409,7 +409,7 @@
                 health.score(),
                 stalls,
                 received,
-                outbox.sent(),
+                outbox.sentDatagrams(),
                 outbox.sentBytes(),
                 new TreeMap<>(outbox.dropCounts()));
     }
--- a/src/main/java/passhatch/fleet/Outbox.java
+++ b/src/main/java/passhatch/fleet/Outbox.java
@@ -27,7 +27,7 @@
     private final RateLimiter rateLimiter;
     private final Map<DropReason, Long> dropCounts = new EnumMap<>(DropReason.class);
     private long nowUs;
-    private long sent;
+    private long sentDatagrams;
     private long sentBytes;
 
     Outbox(
@@ -54,8 +54,8 @@
         nowUs = newUs;
     }
 
-    long sent() {
-        return sent;
+    long sentDatagrams() {
+        return sentDatagrams;
     }
 
     long sentBytes() {
@@ -131,7 +131,7 @@
         int remainingBytes = Frame.MAX_BYTES - codec.sizeWithoutUpdates(message);
         int takenOfFirst = 0;
         for (MemberUpdate update : first) {
-            int size = Codec.size(update);
+            int size = Codec.encodedSize(update);
             if (size > remainingBytes) {
                 break;
             }
@@ -144,8 +144,8 @@
                         remainingBytes,
                         (int) Math.ceil(RETRANSMIT_FACTOR * Math.log10(view.presentCount() + 1))));
         byte[] bytes = codec.encode(message);
-        rateLimiter.release(Frame.MAX_BYTES - bytes.length);
-        sent++;
+        rateLimiter.refund(Frame.MAX_BYTES - bytes.length);
+        sentDatagrams++;
         sentBytes += bytes.length;
         actions.send(addressIndex, bytes);
         return takenOfFirst;
--- a/src/main/java/passhatch/fleet/Probes.java
+++ b/src/main/java/passhatch/fleet/Probes.java
@@ -56,15 +56,20 @@
     /** A ping that this process sends on behalf of another one. */
     private static final class RelayedProbe {
         private final int requesterIndex;
-        private final int requestNumber;
+        private final int requestSequenceNumber;
         private final String target;
         private final int addressIndex;
         private final long endUs;
         private long nextSendUs;
 
-        RelayedProbe(int requesterIndex, int requestNumber, Member target, long nowUs, long endUs) {
+        RelayedProbe(
+                int requesterIndex,
+                int requestSequenceNumber,
+                Member target,
+                long nowUs,
+                long endUs) {
             this.requesterIndex = requesterIndex;
-            this.requestNumber = requestNumber;
+            this.requestSequenceNumber = requestSequenceNumber;
             this.target = target.name();
             this.addressIndex = target.addressIndex();
             this.nextSendUs = nowUs;
@@ -106,7 +111,7 @@
     }
 
     /** Starts a new round over a changed address list and abandons all probes. */
-    void addressesChanged(int newOwnAddressIndex) {
+    void onAddressesChanged(int newOwnAddressIndex) {
         ownAddressIndex = newOwnAddressIndex;
         probeOrder = new ProbeOrder(view.addressCount(), random);
         runningProbes.clear();
@@ -114,7 +119,7 @@
     }
 
     /** Starts the next probe, and pings at most one address at which no present member is known. */
-    void startNext(long nowUs) {
+    void startNextProbe(long nowUs) {
         boolean absentPinged = false;
         for (int skipped = 0; skipped < MAX_SKIPPED_ADDRESSES; skipped++) {
             int addressIndex = nextAddress();
@@ -123,7 +128,7 @@
             }
             Member member = view.memberAt(addressIndex);
             if (member != null && member.status().present() && !member.name().equals(self.name())) {
-                start(nowUs, member);
+                startProbe(nowUs, member);
                 break;
             }
             if (!absentPinged) {
@@ -143,15 +148,15 @@
      * there is none.
      */
     private int nextAddress() {
-        int addressIndex = nextOfRound();
+        int addressIndex = nextAddressOfRound();
         if (addressIndex < 0) {
             probeOrder = new ProbeOrder(view.addressCount(), random);
-            addressIndex = nextOfRound();
+            addressIndex = nextAddressOfRound();
         }
         return addressIndex;
     }
 
-    private int nextOfRound() {
+    private int nextAddressOfRound() {
         int addressIndex = probeOrder.next();
         return addressIndex >= 0 && addressIndex == ownAddressIndex
                 ? probeOrder.next()
@@ -169,7 +174,7 @@
                                                 && !m.name().equals(self.name()))
                         .toList();
         if (!without.isEmpty()) {
-            start(nowUs, without.get(random.nextInt(without.size())));
+            startProbe(nowUs, without.get(random.nextInt(without.size())));
         }
     }
 
@@ -179,7 +184,7 @@
                 : List.of(member.lastUpdate());
     }
 
-    private void start(long nowUs, Member member) {
+    private void startProbe(long nowUs, Member member) {
         if (runningProbes.size() < MAX_RUNNING_PROBES && !self.superseded()) {
             Probe probe = new Probe(member.name(), member.addressIndex(), nowUs);
             int sequenceNumber = nextSequenceNumber();
@@ -202,12 +207,12 @@
         if (random.nextDouble() * Math.max(1, view.presentCount()) < EXPECTED_CONFIRMING_PROBES
                 && !suspect.name().equals(self.name())
                 && runningProbes.values().stream().noneMatch(p -> p.name.equals(suspect.name()))) {
-            start(nowUs, suspect);
+            startProbe(nowUs, suspect);
         }
     }
 
     /** Sends the pings that are due and ends the probes that have timed out. */
-    void runDue(long nowUs) {
+    void runDueActions(long nowUs) {
         for (Map.Entry<Integer, Probe> entry : List.copyOf(runningProbes.entrySet())) {
             Probe probe = entry.getValue();
             if (nowUs >= timeoutAtUs(probe)) {
@@ -227,7 +232,7 @@
                 outbox.sendEssential(
                         relayed.requesterIndex,
                         Message.Type.NACK,
-                        relayed.requestNumber,
+                        relayed.requestSequenceNumber,
                         relayed.target,
                         List.of());
             } else if (nowUs >= relayed.nextSendUs) {
@@ -373,7 +378,7 @@
             outbox.sendEssential(
                     relayed.requesterIndex,
                     Message.Type.ACK,
-                    relayed.requestNumber,
+                    relayed.requestSequenceNumber,
                     relayed.target,
                     List.of(ack.sender()));
         }
@@ -394,7 +399,7 @@
     }
 
     /** When the next action is due, or {@link Long#MAX_VALUE} if there is none. */
-    long nextActionUs() {
+    long nextActionAtUs() {
         long actionUs = Long.MAX_VALUE;
         for (Probe probe : runningProbes.values()) {
             actionUs = Math.min(actionUs, Math.min(probe.nextSendUs, timeoutAtUs(probe)));
--- a/src/main/java/passhatch/fleet/RateLimiter.java
+++ b/src/main/java/passhatch/fleet/RateLimiter.java
@@ -8,7 +8,7 @@
 
     private final long bytesPerSecond;
     private double availableBytes;
-    private long lastUs;
+    private long lastRefillUs;
 
     RateLimiter(long bytesPerSecond) {
         this.bytesPerSecond = bytesPerSecond;
@@ -18,8 +18,10 @@
     /** Takes the bytes of a datagram from the bucket; returns false if there are too few. */
     boolean tryAcquire(long nowUs, int bytes, boolean essential) {
         availableBytes =
-                Math.min(bytesPerSecond, availableBytes + (nowUs - lastUs) * 1e-6 * bytesPerSecond);
-        lastUs = nowUs;
+                Math.min(
+                        bytesPerSecond,
+                        availableBytes + (nowUs - lastRefillUs) * 1e-6 * bytesPerSecond);
+        lastRefillUs = nowUs;
         if (availableBytes - bytes < (essential ? 0 : RESERVED_FRACTION * bytesPerSecond)) {
             return false;
         }
@@ -28,7 +30,7 @@
     }
 
     /** Returns bytes that were taken and not sent. */
-    void release(int bytes) {
+    void refund(int bytes) {
         availableBytes += bytes;
     }
 }
--- a/src/main/java/passhatch/fleet/View.java
+++ b/src/main/java/passhatch/fleet/View.java
@@ -19,7 +19,7 @@
     private final Set<String> suspects = new LinkedHashSet<>();
 
     /** The last update of each removed member, so that an old update does not add it again. */
-    private final Map<String, MemberUpdate> removed =
+    private final Map<String, MemberUpdate> lastUpdatesOfRemoved =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1L;
 
@@ -60,8 +60,8 @@
         return members.all();
     }
 
-    List<Member> leaf(int leafIndex) {
-        return members.leaf(leafIndex);
+    List<Member> membersOfLeaf(int leafIndex) {
+        return members.membersOfLeaf(leafIndex);
     }
 
     /** The members that are suspect now; the view may change while the list is iterated. */
@@ -74,8 +74,8 @@
     }
 
     /** Extends all suspicions by the time for which this process was stalled. */
-    void delaySuspects(long byUs) {
-        suspects().forEach(m -> members.put(m.withSinceDelayed(byUs)));
+    void extendSuspicions(long byUs) {
+        suspects().forEach(m -> members.put(m.withStatusDelayed(byUs)));
     }
 
     Digests digests() {
@@ -99,7 +99,7 @@
 
     /** The last update of a removed member, or null. */
     MemberUpdate lastUpdateOfRemoved(String name) {
-        return removed.get(name);
+        return lastUpdatesOfRemoved.get(name);
     }
 
     /** Adds a member and returns it, or returns null if there are too many. */
@@ -109,7 +109,7 @@
         }
         Member member = new Member(update, nowUs);
         members.put(member);
-        removed.remove(update.name());
+        lastUpdatesOfRemoved.remove(update.name());
         adjustCounts(member, 1);
         return placeByHint(member);
     }
@@ -128,7 +128,7 @@
         if (member.status().present()) {
             presentCount += by;
         } else {
-            earliestAbsenceUs = Math.min(earliestAbsenceUs, member.sinceUs());
+            earliestAbsenceUs = Math.min(earliestAbsenceUs, member.statusSinceUs());
         }
         if (member.status() == Status.SUSPECT) {
             if (by > 0) {
@@ -179,14 +179,14 @@
             return;
         }
         earliestAbsenceUs = Long.MAX_VALUE;
-        members.all().filter(m -> !m.status().present()).forEach(m -> removeOrKeep(m, us));
+        members.all().filter(m -> !m.status().present()).forEach(m -> removeIfAbsentBefore(m, us));
     }
 
-    private void removeOrKeep(Member absent, long us) {
-        if (absent.sinceUs() < us) {
+    private void removeIfAbsentBefore(Member absent, long us) {
+        if (absent.statusSinceUs() < us) {
             remove(absent);
         } else {
-            earliestAbsenceUs = Math.min(earliestAbsenceUs, absent.sinceUs());
+            earliestAbsenceUs = Math.min(earliestAbsenceUs, absent.statusSinceUs());
         }
     }
 
@@ -198,7 +198,7 @@
                 && member.name().equals(addressTable.get(member.addressIndex()))) {
             addressTable.set(member.addressIndex(), null);
         }
-        removed.put(member.name(), member.lastUpdate());
+        lastUpdatesOfRemoved.put(member.name(), member.lastUpdate());
     }
 
     /**
--- a/src/main/java/passhatch/lab/Main.java
+++ b/src/main/java/passhatch/lab/Main.java
@@ -24,7 +24,7 @@
         return Commands.oneLineErrors(
                 Commands.commandLine()
                         .addSubcommand(DrillCommand.line())
-                        .addSubcommand(FleetCommand.line())
+                        .addSubcommand(FleetCommand.commandLine())
                         .addSubcommand(DutyCommand.line())
                         .addSubcommand(new DistributionCommand())
                         .addSubcommand(new WatchCommand())
--- a/src/main/java/passhatch/lab/distribution/ConsistencyChecker.java
+++ b/src/main/java/passhatch/lab/distribution/ConsistencyChecker.java
@@ -33,8 +33,8 @@
     private final Map<Long, TreeMap<Long, LogEntry>> committedByEpoch = new HashMap<>();
     private final Map<Node, ReplicaDiskView> diskViews = new HashMap<>();
     private final Map<Node, AppliedState> appliedStates = new HashMap<>();
-    private final Set<Node> lostDisks = new HashSet<>();
-    private final Map<Submitted, LogEntry> submitted = new HashMap<>();
+    private final Set<Node> nodesWithLostDisks = new HashSet<>();
+    private final Map<Submitted, LogEntry> submittedEntries = new HashMap<>();
     private long reportedChanges;
 
     /** Creates a checker for runs in which only these keys are changed. */
@@ -51,18 +51,18 @@
      * Records that the operator has raised the epoch. The log of the most complete remaining
      * replica, up to and including {@code lastVersion}, continues in the new epoch.
      */
-    public void raiseEpoch(long from, long to, long lastVersion) {
+    public void recordRaisedEpoch(long from, long to, long lastVersion) {
         committedEntries(to).putAll(committedEntries(from).headMap(lastVersion, true));
     }
 
     /** Records that a replica's disk has been emptied. */
-    public void diskLost(Node node) {
-        lostDisks.add(node);
+    public void recordLostDisk(Node node) {
+        nodesWithLostDisks.add(node);
     }
 
     /** Records that a leader has accepted a change and assigned it a version. */
-    public void submitted(Node leader, long version, String key, String value) {
-        submitted.put(new Submitted(leader, version), new LogEntry(version, 0, key, value));
+    public void recordSubmitted(Node leader, long version, String key, String value) {
+        submittedEntries.put(new Submitted(leader, version), new LogEntry(version, 0, key, value));
     }
 
     /** Returns how many submitted changes were reported as committed. */
@@ -188,7 +188,7 @@
     private void checkMajority(Node node, LogEntry entry) {
         long holders = 0;
         for (Map.Entry<Node, ReplicaDiskView> each : diskViews.entrySet()) {
-            if (lostDisks.contains(each.getKey()) || each.getValue().has(entry)) {
+            if (nodesWithLostDisks.contains(each.getKey()) || each.getValue().hasEntry(entry)) {
                 holders++;
             }
         }
@@ -212,7 +212,7 @@
 
     @Override
     public void commitReported(Node node, long version) {
-        LogEntry expected = submitted.remove(new Submitted(node, version));
+        LogEntry expected = submittedEntries.remove(new Submitted(node, version));
         if (expected == null) {
             return;
         }
@@ -228,7 +228,7 @@
     /** The outcome of changes submitted to this leader in an earlier term is unknown. */
     @Override
     public void leaseGranted(Node leader) {
-        submitted.keySet().removeIf(change -> change.leader() == leader);
+        submittedEntries.keySet().removeIf(change -> change.leader() == leader);
     }
 
     /** Checks that a node holds the newest state of the keys that it subscribes to. */
--- a/src/main/java/passhatch/lab/distribution/Node.java
+++ b/src/main/java/passhatch/lab/distribution/Node.java
@@ -177,7 +177,7 @@
             return;
         }
         if (isPaused()) {
-            simulation.at(pausedUntilUs, () -> receive(from, message));
+            simulation.scheduleAt(pausedUntilUs, () -> receive(from, message));
             return;
         }
         invoke(p -> p.onMessage(simulation.nowUs(), from, message));
@@ -189,7 +189,7 @@
             int generation = timerGeneration;
             timerAtUs = Math.max(wakeAtUs, simulation.nowUs());
             long atUs = timerAtUs;
-            simulation.at(atUs, () -> onTimer(generation, atUs));
+            simulation.scheduleAt(atUs, () -> onTimer(generation, atUs));
         }
     }
 
@@ -200,7 +200,7 @@
         timerAtUs = Long.MAX_VALUE;
         if (isPaused()) {
             timerAtUs = pausedUntilUs;
-            simulation.at(pausedUntilUs, () -> onTimer(generation, timerAtUs));
+            simulation.scheduleAt(pausedUntilUs, () -> onTimer(generation, timerAtUs));
             return;
         }
         if (participant.wakeAtUs() > simulation.nowUs()) {
--- a/src/main/java/passhatch/lab/distribution/RandomFaults.java
+++ b/src/main/java/passhatch/lab/distribution/RandomFaults.java
@@ -59,7 +59,7 @@
 
     void start() {
         simulation.network().setQuality(LOSSY);
-        simulation.at(endUs, this::repairAll);
+        simulation.scheduleAt(endUs, this::repairAll);
         injectNext();
     }
 
@@ -69,7 +69,7 @@
         }
         Kind[] kinds = Kind.values();
         inject(kinds[random.nextInt(kinds.length)]);
-        simulation.after(random.nextLong(1, 2 * MEAN_INTERVAL_US), this::injectNext);
+        simulation.scheduleAfter(random.nextLong(1, 2 * MEAN_INTERVAL_US), this::injectNext);
     }
 
     private void inject(Kind kind) {
@@ -114,7 +114,7 @@
     }
 
     private void restartAfter(Node node, long delayUs) {
-        simulation.after(
+        simulation.scheduleAfter(
                 delayUs,
                 () -> {
                     if (!node.isUp() && simulation.nowUs() < endUs) {
@@ -144,7 +144,7 @@
 
     private void failDisk(Node node) {
         node.setDiskMode(DiskMode.FAILING);
-        simulation.after(
+        simulation.scheduleAfter(
                 randomDurationUs(),
                 () -> {
                     if (simulation.nowUs() < endUs) {
@@ -163,7 +163,7 @@
         node.setDisk(List.of());
         if (isReplica && !replicasWithLostDisks.contains(node)) {
             replicasWithLostDisks.add(node);
-            checker.diskLost(node);
+            checker.recordLostDisk(node);
         }
         restartAfter(node, randomDurationUs());
     }
@@ -195,12 +195,12 @@
 
     private void blockForAWhile(BiPredicate<Node, Node> fromTo) {
         simulation.network().block(fromTo);
-        simulation.after(randomDurationUs(), () -> simulation.network().unblock(fromTo));
+        simulation.scheduleAfter(randomDurationUs(), () -> simulation.network().unblock(fromTo));
     }
 
     private void degradeNetwork() {
         simulation.network().setQuality(VERY_LOSSY);
-        simulation.after(
+        simulation.scheduleAfter(
                 randomDurationUs(),
                 () ->
                         simulation
--- a/src/main/java/passhatch/lab/distribution/RandomRun.java
+++ b/src/main/java/passhatch/lab/distribution/RandomRun.java
@@ -27,8 +27,8 @@
 
     private static final long MEAN_CHANGE_INTERVAL_US = 150_000;
     private static final int BURST_SIZE_BOUND = 60;
-    private static final int BURST_ONE_IN = 50;
-    private static final int DELETE_ONE_IN = 6;
+    private static final int SUBMISSIONS_PER_BURST = 50;
+    private static final int CHANGES_PER_DELETION = 6;
 
     /**
      * The outcome of a run.
@@ -108,7 +108,8 @@
         if (simulation.nowUs() >= CHANGE_PERIOD_US) {
             return;
         }
-        int changes = random.nextInt(BURST_ONE_IN) == 0 ? random.nextInt(BURST_SIZE_BOUND) : 1;
+        int changes =
+                random.nextInt(SUBMISSIONS_PER_BURST) == 0 ? random.nextInt(BURST_SIZE_BOUND) : 1;
         for (Node node : simulation.nodes(Role.REPLICA)) {
             for (int i = 0; i < changes; i++) {
                 if (node.isUp() && !node.isPaused() && node.participant().isLeading()) {
@@ -116,12 +117,13 @@
                 }
             }
         }
-        simulation.after(random.nextLong(1, 2 * MEAN_CHANGE_INTERVAL_US), this::submitChanges);
+        simulation.scheduleAfter(
+                random.nextLong(1, 2 * MEAN_CHANGE_INTERVAL_US), this::submitChanges);
     }
 
     private void submit(Node node) {
         String key = keys.get(random.nextInt(keys.size()));
-        String value = random.nextInt(DELETE_ONE_IN) == 0 ? null : newValue(key);
+        String value = random.nextInt(CHANGES_PER_DELETION) == 0 ? null : newValue(key);
         List<Long> versions = new ArrayList<>();
         node.invoke(
                 p -> {
@@ -133,7 +135,7 @@
                 });
         for (long version : versions) {
             submitted++;
-            checker.submitted(node, version, key, value);
+            checker.recordSubmitted(node, version, key, value);
         }
     }
 
--- a/src/main/java/passhatch/lab/distribution/ReplicaDiskView.java
+++ b/src/main/java/passhatch/lab/distribution/ReplicaDiskView.java
@@ -38,7 +38,7 @@
         return entries.get(version);
     }
 
-    boolean has(LogEntry entry) {
+    boolean hasEntry(LogEntry entry) {
         return isInBase(entry.version()) || entry.equals(entries.get(entry.version()));
     }
 
--- a/src/main/java/passhatch/lab/distribution/SimulatedLease.java
+++ b/src/main/java/passhatch/lab/distribution/SimulatedLease.java
@@ -63,7 +63,7 @@
     }
 
     private void checkHolder() {
-        simulation.after(CHECK_INTERVAL_US, this::checkHolder);
+        simulation.scheduleAfter(CHECK_INTERVAL_US, this::checkHolder);
         if (holder == null) {
             grant();
         } else if (isMakingProgress()) {
--- a/src/main/java/passhatch/lab/distribution/Simulation.java
+++ b/src/main/java/passhatch/lab/distribution/Simulation.java
@@ -40,7 +40,7 @@
         SAMPLED
     }
 
-    private static final int DECODE_ONE_IN = 64;
+    private static final int DATAGRAMS_PER_DECODING = 64;
 
     private final EventQueue<Runnable> queue = new EventQueue<>(0);
     private final Map<String, Node> nodes = new LinkedHashMap<>();
@@ -118,12 +118,12 @@
     }
 
     /** Schedules an action at a time, in microseconds. */
-    public void at(long atUs, Runnable action) {
+    public void scheduleAt(long atUs, Runnable action) {
         queue.scheduleAt(atUs, action);
     }
 
     /** Schedules an action after a delay, in microseconds. */
-    public void after(long delayUs, Runnable action) {
+    public void scheduleAfter(long delayUs, Runnable action) {
         queue.scheduleAfter(delayUs, action);
     }
 
@@ -172,7 +172,7 @@
             throw new BrokenPromise(
                     "more than " + maxDatagrams + " datagrams, the last " + message);
         }
-        if (fidelity == Fidelity.SAMPLED && datagrams % DECODE_ONE_IN != 0) {
+        if (fidelity == Fidelity.SAMPLED && datagrams % DATAGRAMS_PER_DECODING != 0) {
             return message;
         }
         MessageCodec.Read read = MessageCodec.decode(FLEET_NAME, bytes);
@@ -183,7 +183,7 @@
     }
 
     private void deliver(Node from, Node to, Message message, int bytes) {
-        after(
+        scheduleAfter(
                 network.delayUs(from, to),
                 () -> {
                     observer.received(to, bytes);
--- a/src/main/java/passhatch/lab/fleet/FleetCommand.java
+++ b/src/main/java/passhatch/lab/fleet/FleetCommand.java
@@ -35,7 +35,7 @@
     private FleetCommand() {}
 
     /** Creates the command line with all subcommands. */
-    public static CommandLine line() {
+    public static CommandLine commandLine() {
         return new CommandLine(new FleetCommand())
                 .addSubcommand(new Steady())
                 .addSubcommand(new Detect())
@@ -105,7 +105,7 @@
          * Starts a fleet on a reliable network, waits until the views converge, then runs it for 20
          * s under the given network conditions.
          */
-        FleetSim convergedFleet(long runSeed) {
+        FleetSim startConvergedFleet(long runSeed) {
             FleetSim sim = FleetSim.fleet(runSeed, members);
             sim.startAll();
             sim.runUntil(
@@ -195,7 +195,7 @@
             long[] counts = new long[4];
             forEachSeed(
                     runSeed -> {
-                        FleetSim sim = convergedFleet(runSeed);
+                        FleetSim sim = startConvergedFleet(runSeed);
                         long[] runCounts = new long[2];
                         sim.setStatusListener(
                                 (atUs, observer, before, after) -> {
@@ -241,7 +241,7 @@
                     out,
                     "killed, until known to all",
                     runSeed -> {
-                        FleetSim sim = convergedFleet(runSeed);
+                        FleetSim sim = startConvergedFleet(runSeed);
                         int victim = new Seeds(runSeed).stream("victim").nextInt(members());
                         String name = "n" + victim;
                         boolean[] notified = new boolean[members()];
@@ -286,7 +286,7 @@
                     out,
                     "healed, until views are the same",
                     runSeed -> {
-                        FleetSim sim = convergedFleet(runSeed);
+                        FleetSim sim = startConvergedFleet(runSeed);
                         sim.setConnectivity((a, b) -> a % parts == b % parts);
                         sim.runFor(seconds * SECOND_US);
                         sim.setConnectivity((a, b) -> true);
--- a/src/main/java/passhatch/lab/fleet/FleetExplorer.java
+++ b/src/main/java/passhatch/lab/fleet/FleetExplorer.java
@@ -28,7 +28,7 @@
     public static final long CONVERGENCE_TIMEOUT_US = 30_000_000;
 
     private static final long FAULT_PERIOD_MS = 120_000;
-    private static final long STARTUP_US = 60_000_000;
+    private static final long STARTUP_PERIOD_US = 60_000_000;
     private static final int MAX_FAULTS = 8;
     private static final long CHECK_INTERVAL_US = 500_000;
 
@@ -41,11 +41,11 @@
      */
     public record Outcome(String violation, long convergenceUs) {}
 
-    private final int members;
+    private final int memberCount;
 
     /** Creates an explorer for fleets of this size. */
-    public FleetExplorer(int members) {
-        this.members = members;
+    public FleetExplorer(int memberCount) {
+        this.memberCount = memberCount;
     }
 
     /** Returns the faults of a seed, ordered by time. */
@@ -58,7 +58,7 @@
             int target =
                     kind == FleetFault.Kind.PARTITION || kind == FleetFault.Kind.ONE_WAY
                             ? 2 + random.nextInt(2)
-                            : random.nextInt(members);
+                            : random.nextInt(memberCount);
             long value =
                     kind == FleetFault.Kind.WEATHER
                             ? random.nextInt(31)
@@ -71,23 +71,23 @@
 
     /** Runs a fleet with these faults; the seed is that of the processes and the network. */
     public Outcome run(long seed, List<FleetFault> faults) {
-        FleetSim sim = FleetSim.fleet(seed, members);
+        FleetSim sim = FleetSim.fleet(seed, memberCount);
         InvariantChecker checker = new InvariantChecker(faults);
         sim.setStatusListener(checker::statusChanged);
         sim.startAll();
-        sim.runFor(STARTUP_US);
+        sim.runFor(STARTUP_PERIOD_US);
         Partitions partitions = new Partitions();
         sim.setConnectivity(partitions::connects);
         long endMs = 0;
         for (FleetFault fault : faults) {
-            sim.after(fault.atMs() * 1000, () -> apply(sim, partitions, fault));
+            sim.scheduleAfter(fault.atMs() * 1000, () -> apply(sim, partitions, fault));
             endMs = Math.max(endMs, fault.endMs());
         }
         sim.runFor(endMs * 1000 + 1);
         // The network becomes reliable last: with 30 % loss that lasts, updates stay in transit.
         sim.setNetworkConditions(FleetSim.NetworkConditions.RELIABLE);
-        for (int i = 0; i < members; i++) {
-            sim.cont(i);
+        for (int i = 0; i < memberCount; i++) {
+            sim.resume(i);
             sim.start(i);
         }
         long convergenceUs =
@@ -110,21 +110,21 @@
         switch (fault.kind()) {
             case KILL -> {
                 sim.kill(target);
-                sim.after(valueUs, () -> sim.start(target));
+                sim.scheduleAfter(valueUs, () -> sim.start(target));
             }
             case LEAVE -> {
                 sim.leave(target);
-                sim.after(Math.max(valueUs, 1_500_000), () -> sim.start(target));
+                sim.scheduleAfter(Math.max(valueUs, 1_500_000), () -> sim.start(target));
             }
             case STOP -> {
                 sim.stop(target);
-                sim.after(valueUs, () -> sim.cont(target));
+                sim.scheduleAfter(valueUs, () -> sim.resume(target));
             }
             case JUMP -> sim.jumpClock(target, valueUs);
             case SET_BACK -> {
                 sim.kill(target);
                 sim.rollBackDisk(target, 2);
-                sim.after(valueUs, () -> sim.start(target));
+                sim.scheduleAfter(valueUs, () -> sim.start(target));
             }
             case PARTITION -> partitions.add(sim, valueUs, (a, b) -> a % target == b % target);
             case ONE_WAY ->
@@ -142,7 +142,7 @@
 
         void add(FleetSim sim, long durationUs, BiPredicate<Integer, Integer> filter) {
             filters.add(filter);
-            sim.after(durationUs, () -> filters.remove(filter));
+            sim.scheduleAfter(durationUs, () -> filters.remove(filter));
         }
 
         boolean connects(int from, int to) {
--- a/src/main/java/passhatch/lab/fleet/FleetSim.java
+++ b/src/main/java/passhatch/lab/fleet/FleetSim.java
@@ -166,16 +166,16 @@
     }
 
     /** Returns the default settings of a process in a fleet of this size. */
-    public static FleetSettings settings(int index, int members) {
-        return settings("n" + index, index, members);
+    public static FleetSettings defaultSettings(int index, int members) {
+        return defaultSettings("n" + index, index, members);
     }
 
     /** Returns the default settings of a process with this name. */
-    public static FleetSettings settings(String name, int index, int members) {
-        return settings(name, index, members, DEFAULT_BYTES_PER_SECOND);
+    public static FleetSettings defaultSettings(String name, int index, int members) {
+        return defaultSettings(name, index, members, DEFAULT_BYTES_PER_SECOND);
     }
 
-    private static FleetSettings settings(
+    private static FleetSettings defaultSettings(
             String name, int index, int members, long bytesPerSecond) {
         return new FleetSettings(
                 "jackson",
@@ -200,7 +200,7 @@
     public static FleetSim fleet(long seed, int members, long bytesPerSecond) {
         List<FleetSettings> settings = new ArrayList<>();
         for (int i = 0; i < members; i++) {
-            settings.add(settings("n" + i, i, members, bytesPerSecond));
+            settings.add(defaultSettings("n" + i, i, members, bytesPerSecond));
         }
         return new FleetSim(seed, settings);
     }
@@ -304,7 +304,7 @@
             Membership leaving = node.membership;
             leaving.leave(node.localTimeUs());
             node.scheduleTimer();
-            after(
+            scheduleAfter(
                     1_000_000,
                     () -> {
                         if (node.membership == leaving) {
@@ -315,7 +315,7 @@
     }
 
     /** Runs an action after a delay in microseconds. */
-    public void after(long delayUs, Runnable action) {
+    public void scheduleAfter(long delayUs, Runnable action) {
         events.add(new Event(nowUs + delayUs, nextSequenceNumber++, -1, -1, null, action));
     }
 
@@ -325,7 +325,7 @@
     }
 
     /** Continues a stopped process as SIGCONT does; it first receives the buffered datagrams. */
-    public void cont(int index) {
+    public void resume(int index) {
         Node node = nodes.get(index);
         if (node.stopped) {
             node.stopped = false;
@@ -365,14 +365,14 @@
 
     private void scheduleNextStop(
             int index, long maxStoppedUs, long maxRunningUs, UniformRandomProvider stopRandom) {
-        after(
+        scheduleAfter(
                 1 + stopRandom.nextLong(maxRunningUs),
                 () -> {
                     stop(index);
-                    after(
+                    scheduleAfter(
                             1 + stopRandom.nextLong(maxStoppedUs),
                             () -> {
-                                cont(index);
+                                resume(index);
                                 scheduleNextStop(index, maxStoppedUs, maxRunningUs, stopRandom);
                             });
                 });
@@ -504,7 +504,7 @@
     }
 
     /** Returns how many datagrams a running process has dropped for a reason. */
-    public long dropped(int index, DropReason reason) {
+    public long droppedDatagrams(int index, DropReason reason) {
         return metrics(index).dropped().getOrDefault(reason, 0L);
     }
 }
--- a/src/main/java/passhatch/lab/scale/MembershipMemory.java
+++ b/src/main/java/passhatch/lab/scale/MembershipMemory.java
@@ -60,7 +60,7 @@
 
     private static Membership membership(int number, int members, long seed, FleetActions actions) {
         return new Membership(
-                FleetSim.settings(number, members),
+                FleetSim.defaultSettings(number, members),
                 START_US,
                 1,
                 new SplittableRandom(seed + number),
--- a/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
@@ -107,7 +107,7 @@
         for (int i = 0; i < events; i++) {
             int number = (int) ((long) i * members / Math.max(1, events));
             boolean fails = i < failures;
-            sim.after(
+            sim.scheduleAfter(
                     (long) (i * intervalSeconds * SECOND_US),
                     () -> {
                         if (fails) {
@@ -134,7 +134,7 @@
 
     private static void restart(FleetSim sim, int number) {
         sim.leave(number);
-        sim.after(RESTART_DOWNTIME_US, () -> sim.start(number));
+        sim.scheduleAfter(RESTART_DOWNTIME_US, () -> sim.start(number));
     }
 
     private List<Figure> measureLoss(MembershipTrial trial) throws TimeoutException {
@@ -188,7 +188,7 @@
         for (int i = 0; i < count; i++) {
             int number = i;
             sim.kill(number);
-            sim.after(RESTART_DOWNTIME_US, () -> sim.start(number));
+            sim.scheduleAfter(RESTART_DOWNTIME_US, () -> sim.start(number));
         }
         trial.advance(RESTART_DOWNTIME_US + SECOND_US);
         double elapsedSeconds =
--- a/src/test/java/passhatch/fleet/CodecTest.java
+++ b/src/test/java/passhatch/fleet/CodecTest.java
@@ -71,9 +71,9 @@
                         new ArrayList<>());
         int remainingBytes = Frame.MAX_BYTES - codec.sizeWithoutUpdates(message);
         for (MemberUpdate update = randomUpdate(randomStatus());
-                Codec.size(update) <= remainingBytes;
+                Codec.encodedSize(update) <= remainingBytes;
                 update = randomUpdate(randomStatus())) {
-            remainingBytes -= Codec.size(update);
+            remainingBytes -= Codec.encodedSize(update);
             message.updates().add(update);
         }
         return message;
@@ -95,7 +95,7 @@
             byte[] bytes = codec.encode(sent);
             int predictedSize =
                     codec.sizeWithoutUpdates(sent)
-                            + sent.updates().stream().mapToInt(Codec::size).sum();
+                            + sent.updates().stream().mapToInt(Codec::encodedSize).sum();
             assertTrue(
                     bytes.length <= predictedSize
                             && predictedSize <= bytes.length + 1
@@ -135,8 +135,8 @@
                                 largest,
                                 List.of()));
         assertTrue(
-                headerSize + Codec.size(largest) <= Frame.MAX_BYTES,
-                headerSize + " + " + Codec.size(largest));
+                headerSize + Codec.encodedSize(largest) <= Frame.MAX_BYTES,
+                headerSize + " + " + Codec.encodedSize(largest));
         Message sync = new Message(Message.Type.SYNC, 0, "", 15, new int[16], largest, List.of());
         assertTrue(codec.sizeWithoutUpdates(sync) <= Frame.MAX_BYTES);
     }
--- a/src/test/java/passhatch/fleet/IncarnationRulesTest.java
+++ b/src/test/java/passhatch/fleet/IncarnationRulesTest.java
@@ -158,7 +158,7 @@
             case 0, 1 -> world.processes.get(step).suspect();
             case 2, 3 -> {
                 world.nowUs += HOUR_US;
-                world.processes.get(step - 2).memberStates.expire(world.nowUs);
+                world.processes.get(step - 2).memberStates.expireSuspicions(world.nowUs);
             }
             case 4 -> world.startSubject(world.epoch + 1);
             // Restarts with the epoch that is in use already.
@@ -227,8 +227,8 @@
                 // has left does not answer.
                 world.processes.get(0).suspect();
                 world.nowUs += HOUR_US;
-                world.processes.get(0).memberStates.expire(world.nowUs);
-                world.processes.get(1).memberStates.expire(world.nowUs);
+                world.processes.get(0).memberStates.expireSuspicions(world.nowUs);
+                world.processes.get(1).memberStates.expireSuspicions(world.nowUs);
             }
         }
         if (world.subject().self.leaving()) {
--- a/src/test/java/passhatch/lab/distribution/DistributionFaultsTest.java
+++ b/src/test/java/passhatch/lab/distribution/DistributionFaultsTest.java
@@ -109,7 +109,7 @@
     private static void loseDisk(ScriptedRun run, int replica) {
         run.replica(replica).kill();
         run.replica(replica).setDisk(List.of());
-        run.checker().diskLost(run.replica(replica));
+        run.checker().recordLostDisk(run.replica(replica));
         run.replica(replica).start();
     }
 
--- a/src/test/java/passhatch/lab/distribution/ScriptedRun.java
+++ b/src/test/java/passhatch/lab/distribution/ScriptedRun.java
@@ -120,7 +120,7 @@
                             }
                         });
         if (version.get() > 0) {
-            checker.submitted(replica(index), version.get(), key, value);
+            checker.recordSubmitted(replica(index), version.get(), key, value);
         }
         return version.get();
     }
--- a/src/test/java/passhatch/lab/fleet/MembershipFaultsTest.java
+++ b/src/test/java/passhatch/lab/fleet/MembershipFaultsTest.java
@@ -125,7 +125,7 @@
     void theOlderOfTwoProcessesWithOneNameIsSupersededUntilTheOtherEnds() {
         List<FleetSettings> settings = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            settings.add(FleetSim.settings(i == 4 ? "n3" : "n" + i, i, 5));
+            settings.add(FleetSim.defaultSettings(i == 4 ? "n3" : "n" + i, i, 5));
         }
         sim = new FleetSim(3, settings);
         for (int i = 0; i < 4; i++) {
@@ -176,7 +176,7 @@
     void aMemberThatRestartsWithinAProbePeriodIsNotFailed() {
         Incarnation before = sim.incarnation(6);
         sim.kill(6);
-        sim.after(SECOND_US / 10, () -> sim.start(6));
+        sim.scheduleAfter(SECOND_US / 10, () -> sim.start(6));
         sim.runFor(20 * SECOND_US);
         assertEquals(List.of(), failures);
         assertTrue(sim.viewsAreAccurate() && sim.incarnation(6).epoch() == before.epoch() + 1);
@@ -188,7 +188,7 @@
         awaitStatusInAllViews(Status.FAILED, 5, 10);
         sim.runFor(60 * SECOND_US);
         failures.clear();
-        sim.cont(5);
+        sim.resume(5);
         awaitConvergence(10);
         assertEquals(List.of(), failures);
     }
@@ -249,7 +249,7 @@
                         seen.add(observer + " " + after);
                     }
                 });
-        sim.cont(1);
+        sim.resume(1);
         sim.runFor(60 * SECOND_US);
         assertEquals(List.of(), seen);
         assertEquals(Status.FAILED, sim.statusInView(1, "n9"));
@@ -266,13 +266,13 @@
         List<FleetSettings> settings = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             settings.add(
-                    FleetSim.settings(
+                    FleetSim.defaultSettings(
                             "a-machine-whose-name-is-as-long-as-may-be-in-" + (100 + i), i, 30));
         }
         sim = new FleetSim(4, settings);
         sim.setNetworkConditions(new FleetSim.NetworkConditions(0.2, 0.2, 0.2, 200, 2_000));
         sim.startAll();
         awaitConvergence(30);
-        assertEquals(0, sim.dropped(0, DropReason.SIZE));
+        assertEquals(0, sim.droppedDatagrams(0, DropReason.SIZE));
     }
 }
