--- a/src/main/java/passhatch/agent/Agent.java
+++ b/src/main/java/passhatch/agent/Agent.java
@@ -22,17 +22,23 @@
 import passhatch.proxy.control.Control;
 import passhatch.store.StoreException;
 
-/** The process on each machine that participates in the fleet and answers operators' calls. */
+/**
+ * The agent: a process on each machine that participates in the fleet and answers operators' calls.
+ */
 public final class Agent {
 
     private static final Logger LOG = LoggerFactory.getLogger(Agent.class);
 
     /**
-     * How long a leaving agent keeps running so that the other members receive its leave message.
+     * Time for which a leaving agent keeps running so that the other members receive its leave
+     * message.
      */
     private static final long LEAVE_GOSSIP_MS = 1_000;
 
-    /** Folder, within the store's folder, for the records of the distribution of changes. */
+    /**
+     * Name of the folder for the records of the distribution of changes; it lies in the store's
+     * folder.
+     */
     private static final String CHANGES_FOLDER = "changes";
 
     private final Path configFile;
@@ -41,13 +47,13 @@
     private AgentConfig config;
     private AgentStore store;
 
-    /** Null if no fleet is configured. */
+    /** The node that drives the membership; null if no fleet is configured. */
     private FleetNode fleetNode;
 
-    /** Null if no duties are configured. */
+    /** The node that drives the duties; null if no duties are configured. */
     private DutyNode dutyNode;
 
-    /** Null if no distribution of changes is configured. */
+    /** The node that drives the distribution of changes; null if none is configured. */
     private ChangesNode changesNode;
 
     private ChangesCalls changesCalls;
@@ -64,7 +70,7 @@
     }
 
     /**
-     * Runs the agent until SIGTERM.
+     * Runs an agent until the process receives SIGTERM.
      *
      * @throws InvalidInputException if the configuration is invalid
      * @throws StoreException if the store cannot be used
@@ -182,8 +188,8 @@
     }
 
     /**
-     * Reloads the configuration. If it is invalid, or differs in something that cannot change while
-     * the agent runs, the current one stays in full.
+     * Reloads the configuration. If the new configuration is invalid or differs in something that
+     * cannot change while the agent runs, the current configuration stays in force unchanged.
      */
     private void reload() {
         try {
--- a/src/main/java/passhatch/agent/AgentConfig.java
+++ b/src/main/java/passhatch/agent/AgentConfig.java
@@ -16,9 +16,9 @@
 import passhatch.proxy.base.Addresses;
 
 /**
- * A validated agent configuration. Keys that {@code [fleet]} omits are taken from what the platform
- * passes to each proxy: the name from {@code PROXY_NAME}, the listen address and the members from
- * the file that {@code PROXY_CONFIG} names.
+ * A validated agent configuration. Keys that the {@code [fleet]} section omits are taken from what
+ * the platform passes to each proxy: the name from {@code PROXY_NAME}, the listen address and the
+ * members from the file that {@code PROXY_CONFIG} names.
  *
  * @param control address for operators' calls
  * @param store folder for the data that must survive a power loss
@@ -29,12 +29,12 @@
 record AgentConfig(
         InetSocketAddress control, Path store, Fleet fleet, Duties duties, ChangesConfig changes) {
 
-    /** Bounds on the probe period. */
+    /** Minimum probe period. */
     private static final Duration MIN_PROBE_PERIOD = Duration.ofMillis(50);
 
     private static final Duration MAX_PROBE_PERIOD = Duration.ofMinutes(1);
 
-    /** Fewer bytes a second do not cover the probes. */
+    /** Minimum send rate; the probes alone need this much. */
     private static final long MIN_BYTES_PER_SECOND = 2_048;
 
     private static final int MAX_MEMBERS = 4_096;
@@ -64,9 +64,11 @@
     /**
      * The {@code [duties]} section.
      *
-     * @param epoch of the set of voters; increases by one with each change of the set
+     * @param voters names of the members that vote
+     * @param epoch epoch of the set of voters; increases by one with each change of the set
      * @param wanted names of the duties for which this process is a candidate
-     * @param rank 0 for the candidates that are preferred as holders
+     * @param rank rank of this process as a candidate; candidates with rank 0 are preferred as
+     *     holders
      */
     record Duties(
             List<String> voters,
@@ -77,8 +79,9 @@
             int rank) {}
 
     /**
-     * The {@code [fleet]} section.
+     * The validated {@code [fleet]} section.
      *
+     * @param self name of this process
      * @param ownAddressIndex index of this process's own address among the members, or -1 if it is
      *     not listed
      */
@@ -93,7 +96,7 @@
             long bytesPerSecond,
             Duration forgetAfter) {
 
-        /** Whether the other section differs at most in the members. */
+        /** Returns whether another section equals this one, except perhaps in the members. */
         boolean equalsExceptMembers(Fleet other) {
             return other != null
                     && other.equals(
@@ -127,8 +130,8 @@
             AgentSection agent, FleetSection fleet, Duties duties, ChangesConfig.Section changes) {}
 
     /**
-     * Reads a file and the environment; throws {@link InvalidInputException} with the key and the
-     * reason.
+     * Reads a configuration file and completes it from the environment; throws {@link
+     * InvalidInputException} with the key and the reason if a value is invalid.
      */
     static AgentConfig read(Path path, Map<String, String> env) {
         TomlFile given = TomlFile.read(path);
@@ -267,7 +270,10 @@
         return given != null && given.compareTo(min) >= 0 && given.compareTo(max) <= 0;
     }
 
-    /** Parses an address; throws {@link InvalidInputException} with the key. */
+    /**
+     * Parses the address given for a key; throws {@link InvalidInputException} with the key if the
+     * address is malformed.
+     */
     static InetSocketAddress parseAddress(TomlFile file, String key, String text) {
         try {
             return Addresses.parse(text == null ? "" : text);
--- a/src/main/java/passhatch/agent/AgentStore.java
+++ b/src/main/java/passhatch/agent/AgentStore.java
@@ -16,7 +16,8 @@
 import passhatch.store.StoreException;
 
 /**
- * Durable state of this machine's agent: the epochs that it has used, and its promises as a voter.
+ * The durable state of this machine's agent: the latest epoch that it has used, and its promises as
+ * a voter.
  */
 final class AgentStore implements AutoCloseable {
 
@@ -31,17 +32,17 @@
     private long epoch;
 
     /**
-     * Opens the store of a process and takes the next epoch.
+     * Opens the store of a process and makes the next epoch durable.
      *
-     * @throws StoreException if the store is damaged, in use or another owner's, or if the disk
-     *     fails
+     * @throws StoreException if the store is damaged, in use by another process or owned by another
+     *     name, or if the disk fails
      */
     AgentStore(Path folder, String owner) throws IOException, StoreException {
         FolderDisk disk = FolderDisk.open(folder);
         try {
             recordLog = RecordLog.open(disk, owner, this::replay);
-            // The store's own epoch counts as well: if a salvage lost the record, the new epoch is
-            // still greater than those used before.
+            // The store's own epoch counts as well. So the new epoch is greater than all used
+            // before, even if a salvage lost the record of the last one.
             epoch = Math.max(epoch + 1, recordLog.epoch());
             // Written as a snapshot so that the log does not grow with each start.
             List<Entry> state = new ArrayList<>(List.of(toEntry(epoch)));
@@ -94,22 +95,22 @@
         }
     }
 
-    /** The epoch of this start, or a greater one that was made durable since. */
+    /** Returns the epoch of this start, or a greater one that was made durable since then. */
     long epoch() {
         return epoch;
     }
 
-    /** Warnings from opening the store. */
+    /** Returns the warnings that opening the store gave. */
     List<String> warnings() {
         return recordLog.warnings();
     }
 
-    /** The last promise of each duty. */
+    /** Returns the last promise for each duty. */
     Collection<Promise> promises() {
         return promises.values();
     }
 
-    /** Makes a greater epoch durable. */
+    /** Makes a new epoch durable, which must be greater than the current one. */
     void persistEpoch(long newEpoch) throws StoreException {
         recordLog.append(List.of(toEntry(newEpoch)));
         epoch = newEpoch;
--- a/src/main/java/passhatch/agent/ChangesCalls.java
+++ b/src/main/java/passhatch/agent/ChangesCalls.java
@@ -18,12 +18,12 @@
 /** Answers operators' calls about the distribution of changes at the control address. */
 final class ChangesCalls {
 
-    /** Most followers behind the current version that are listed by name. */
+    /** Maximum number of followers behind the current version that are listed by name. */
     private static final int MAX_LAGGARDS = 50;
 
     private static final long ANY_VERSION = -1;
 
-    /** The control address accepts only ASCII. */
+    /** Formats JSON in ASCII, because the control address accepts only ASCII. */
     private static final JSON ASCII_JSON =
             JSON.builder(JsonFactory.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build())
                     .build();
@@ -34,12 +34,12 @@
         this.changesNode = changesNode;
     }
 
-    /** Whether a word is one of these calls. */
+    /** Returns whether a word is the name of a call that this class answers. */
     static boolean isCall(String word) {
         return word.equals("changes") || word.startsWith("change-") || word.equals("changes-found");
     }
 
-    /** Answers a call, given as its words. */
+    /** Answers a call, given as its name and arguments; returns null if the call is not known. */
     String answer(String... words) {
         return switch (words[0]) {
             case "changes" -> describeStatus();
@@ -85,7 +85,7 @@
             return "accepted " + version + " " + changesNode.submittedChanges().term() + "\n";
         } catch (InvalidChangeException rejected) {
             if (changesNode.participant().diskFailed()) {
-                // The change may be on disk nevertheless, and take effect once this process
+                // The change may have reached the disk and may take effect once this process
                 // restarts.
                 return "error outcome not known: the disk fails\n";
             }
@@ -103,7 +103,7 @@
         };
     }
 
-    /** Parses a version or term; negative if the text is neither. */
+    /** Parses a version or a term; returns -1 if the text is neither. */
     private static long parseVersionOrTerm(String text) {
         return text.matches("\\d{1,18}") ? Long.parseLong(text) : -1;
     }
@@ -165,13 +165,16 @@
         return followers;
     }
 
-    /** Time since the state was last known to be current, or -1 if it never was since the start. */
+    /**
+     * Returns the time since the state was last known to be current, in milliseconds, or -1 if it
+     * has not been known to be current since the start.
+     */
     private long stateAgeMs() {
         long ageMs = changesNode.participant().ageUs(FleetNode.nowUs()) / 1_000;
         return ageMs < Long.MAX_VALUE / 8_000 ? ageMs : -1;
     }
 
-    /** The metrics of {@code vars}, one per line. */
+    /** Returns the metrics for {@code vars}, one per line. */
     String metrics() {
         Participant participant = changesNode.participant();
         StringBuilder text = new StringBuilder();
--- a/src/main/java/passhatch/agent/ChangesConfig.java
+++ b/src/main/java/passhatch/agent/ChangesConfig.java
@@ -16,11 +16,12 @@
  * The validated {@code [changes]} section, which configures the distribution of changes.
  *
  * @param listen address of the UDP socket for the distribution
- * @param epoch of the log; raised when the log is initialized again
+ * @param role role of this process in the distribution
+ * @param epoch epoch of the log; raised when the log is initialized again
  * @param replicas addresses of all replicas, including this one; empty unless this is a replica
- * @param sources addresses to follow, the preferred one first; empty for a replica
- * @param services whose keys a subscriber receives
- * @param publish file for the values in force, or null
+ * @param sources addresses of the nodes to follow, the preferred one first; empty for a replica
+ * @param services names of the services whose keys a subscriber receives
+ * @param publish file to which the values in force are written, or null
  */
 record ChangesConfig(
         Role role,
@@ -31,10 +32,10 @@
         List<String> services,
         Path publish) {
 
-    /** The duty whose holder is the leader. */
+    /** Name of the duty whose holder is the leader. */
     static final String DUTY = "changes";
 
-    /** Defaults of the keys that a file may omit. */
+    /** Default values, in TOML, for the keys that a file may omit. */
     static final String DEFAULTS =
             """
             [changes]
@@ -47,7 +48,7 @@
     private static final int MAX_SOURCES = 16;
     private static final int MAX_SERVICES = 64;
 
-    /** The section as written in the file. */
+    /** The section as it is written in the file, before validation. */
     record Section(
             String role,
             String listen,
@@ -57,7 +58,7 @@
             List<String> services,
             String publish) {}
 
-    /** Validates the section; an error names the key. */
+    /** Validates the section; throws an exception that names the key if a value is invalid. */
     static ChangesConfig validate(
             TomlFile file, Section section, AgentConfig.Fleet fleet, AgentConfig.Duties duties) {
         file.require(fleet != null, "changes", "a part [fleet] beside it");
@@ -99,7 +100,7 @@
         return roles.get(labels.indexOf(label));
     }
 
-    /** The name of a role in configuration and output. */
+    /** Returns the name of a role in configuration and output. */
     static String label(Role role) {
         return role.name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/passhatch/agent/ChangesNode.java
+++ b/src/main/java/passhatch/agent/ChangesNode.java
@@ -42,7 +42,10 @@
 
     private static final int MAX_DATAGRAMS_PER_READ = 256;
 
-    /** Changes within this time are published together. */
+    /**
+     * Delay after a change until the values are published, so that changes within this time are
+     * published together.
+     */
     private static final long PUBLISH_DELAY_MS = 50;
 
     private final EventLoop loop;
@@ -52,7 +55,7 @@
     private final SubmittedChanges submittedChanges = new SubmittedChanges();
     private final Map<DropReason, Long> dropped = new EnumMap<>(DropReason.class);
 
-    /** Null if a follower runs without a disk. */
+    /** The store; null if a follower runs without a disk because its store could not be opened. */
     private ChangesStore store;
 
     private Participant participant;
@@ -73,7 +76,7 @@
      * Reads the records on disk, binds the socket and starts the participant. Must not be called on
      * a thread of the loop.
      *
-     * @param folder of the records
+     * @param folder folder of the records
      * @throws IOException if the address cannot be used
      * @throws StoreException if a replica's store cannot be used
      * @throws InvalidInputException if the disk has a higher epoch than the configuration
@@ -124,12 +127,15 @@
         compactAndSchedule();
     }
 
-    /** Sets the action that gives up the duty when this replica can no longer be the leader. */
+    /**
+     * Sets the action that is run when this replica can no longer be the leader; it must give up
+     * the duty.
+     */
     void onStepDown(Runnable action) {
         giveUpDuty = action;
     }
 
-    /** The state machine; to be used on the loop only. */
+    /** Returns the state machine, which must be used on the loop only. */
     Participant participant() {
         return participant;
     }
@@ -138,17 +144,17 @@
         return config.role();
     }
 
-    /** The changes submitted at this process. */
+    /** Returns the tracker of the changes submitted at this process. */
     SubmittedChanges submittedChanges() {
         return submittedChanges;
     }
 
-    /** Datagrams dropped on receipt, by reason. */
+    /** Returns the number of datagrams dropped on receipt, by reason. */
     Map<DropReason, Long> dropped() {
         return Collections.unmodifiableMap(dropped);
     }
 
-    /** Submits a change, as {@link Participant#submit} does. */
+    /** Submits a change to the participant; see {@link Participant#submit}. */
     long submit(String key, String value, long ifVersion) throws InvalidChangeException {
         try {
             return participant.submit(FleetNode.nowUs(), key, value, ifVersion);
@@ -157,12 +163,12 @@
         }
     }
 
-    /** Lets this replica count towards majorities although its disk is empty. */
+    /** Makes this replica count towards majorities although its disk is empty. */
     boolean initialize() {
         return participant.initialize();
     }
 
-    /** Closes the store; nothing is confirmed afterwards. */
+    /** Closes the store. This process confirms no further records afterwards. */
     void close() throws StoreException {
         if (store != null) {
             store.close();
@@ -182,7 +188,7 @@
         try {
             store.snapshot(participant.snapshot());
         } catch (StoreException failed) {
-            // The next write fails as well and reports the failure to the participant.
+            // The participant learns of the failure at its next write, which fails as well.
             LOG.atError()
                     .addKeyValue("event", "store")
                     .log("changes: the log cannot be compacted: {}", failed.getMessage());
@@ -192,7 +198,7 @@
     private void scheduleTimer() {
         long wakeUs = participant.wakeAtUs();
         if (timer != null && timerAtUs <= wakeUs && !timer.isDone()) {
-            return; // The timer is scheduled again after the pending one has run.
+            return; // The pending timer runs early enough and schedules the next one.
         }
         if (timer != null) {
             timer.cancel(false);
@@ -229,7 +235,7 @@
 
     private boolean isUnknownSender(String from, Message message) {
         if (message instanceof Message.Poll || message instanceof Message.Ack) {
-            return false; // Any member of the fleet may follow.
+            return false; // Any member of the fleet may follow this node.
         }
         return !config.replicas().contains(from) && !config.sources().contains(from);
     }
@@ -305,7 +311,7 @@
             store.append(records);
             return true;
         } catch (StoreException failed) {
-            // Logged once, as nothing is forced to disk after a failure.
+            // This is logged only once, because nothing is forced to disk after a failure.
             LOG.atError()
                     .addKeyValue("event", "store")
                     .log("changes cannot be written to disk: {}", failed.getMessage());
@@ -329,7 +335,7 @@
                 .addKeyValue("event", "changes")
                 .addKeyValue("term", term)
                 .log("this replica is no longer the leader: {}", reason);
-        // Deferred, as the duty's candidate may be further up the call stack.
+        // The action is deferred because the duty's candidate may be further up the call stack.
         loop.execute(giveUpDuty);
     }
 }
--- a/src/main/java/passhatch/agent/ChangesStore.java
+++ b/src/main/java/passhatch/agent/ChangesStore.java
@@ -18,29 +18,37 @@
 import passhatch.store.StoreException;
 
 /**
- * The records on disk of a participant in the distribution of changes. Records written together are
- * replayed together or not at all: after a crash, a group without its last record is skipped.
+ * Stores the records of a participant in the distribution of changes on disk. Records that are
+ * written together form a group and are replayed together or not at all. After a crash, a group
+ * without its last record is skipped.
  */
 final class ChangesStore implements AutoCloseable {
 
-    /** Kinds of entries: a single record, or the position of a record in a group. */
+    /**
+     * Kind of an entry that holds a group of one record. The next three kinds give the position of
+     * a record in a larger group.
+     */
     private static final int KIND_SINGLE = 1;
 
     private static final int KIND_FIRST = 2;
     private static final int KIND_MIDDLE = 3;
     private static final int KIND_LAST = 4;
 
-    /** The services whose keys the records cover, one per line; for subscribers only. */
+    /**
+     * Kind of an entry that lists the services whose keys the records cover, one per line; written
+     * for subscribers only.
+     */
     private static final int KIND_SERVICES = 5;
 
     /**
-     * Most bytes of records that are forced to disk at once; a larger group is written in chunks.
+     * Maximum size of the records that are forced to disk together, in bytes; a larger group is
+     * written in chunks.
      */
     private static final int MAX_FORCED_BYTES = 1 << 20;
 
     private final RecordLog recordLog;
 
-    /** One per line; null unless this is a subscriber. */
+    /** Names of the services that a subscriber wants, one per line; null for other roles. */
     private final String services;
 
     private final List<DiskRecord> incompleteGroup = new ArrayList<>();
@@ -63,9 +71,9 @@
     }
 
     /**
-     * Opens the store.
+     * Opens the store on a disk.
      *
-     * @param services that a subscriber wants; empty for other roles
+     * @param services names of the services that a subscriber wants; empty for other roles
      * @throws StoreException if a replica's records are damaged, if they belong to another owner,
      *     or if the disk fails
      * @throws IOException if a record cannot be read because a newer release wrote it
@@ -91,7 +99,7 @@
         }
     }
 
-    /** Thrown for a record whose checksum matches but which this program cannot read. */
+    /** Thrown if the checksum of a record matches but this program cannot read the record. */
     private static final class UnreadableRecordException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -120,9 +128,9 @@
     }
 
     /**
-     * Returns the values of the records without their versions. The keys of the services added
-     * since were skipped, so the whole state must be fetched; the old values serve until it is
-     * received.
+     * Returns the values of the records without their versions. Used when the services have
+     * changed: the records lack the keys of the added services, so the whole state must be fetched.
+     * The old values are used until it is received.
      */
     private static List<DiskRecord> withoutVersions(List<DiskRecord> records) {
         List<DiskRecord> values = new ArrayList<>();
@@ -138,19 +146,22 @@
         return values;
     }
 
-    /** Returns the records found on opening, in the order written; empty when called again. */
+    /**
+     * Returns the records that were on disk when the store was opened, in the order written. A
+     * second call returns an empty list.
+     */
     List<DiskRecord> takeRecords() {
         List<DiskRecord> all = records;
         records = List.of();
         return all;
     }
 
-    /** Warnings from opening the store. */
+    /** Returns the warnings that opening the store gave. */
     List<String> warnings() {
         return recordLog.warnings();
     }
 
-    /** Makes records durable; after a crash either all of them are replayed or none. */
+    /** Makes a group of records durable. After a crash, either all of them are replayed or none. */
     void append(List<DiskRecord> group) throws StoreException {
         List<Entry> chunk = new ArrayList<>();
         int chunkBytes = 0;
@@ -177,12 +188,12 @@
         return index == 0 ? KIND_FIRST : index == size - 1 ? KIND_LAST : KIND_MIDDLE;
     }
 
-    /** Whether the log has grown enough for a {@link #snapshot} to be worth its cost. */
+    /** Returns whether the log has grown so much that a {@link #snapshot} is worth its cost. */
     boolean isSnapshotDue() {
         return recordLog.isSnapshotDue();
     }
 
-    /** Replaces everything written so far by these records. */
+    /** Replaces everything written so far with the given records. */
     void snapshot(List<DiskRecord> state) throws StoreException {
         List<Entry> entries = new ArrayList<>();
         if (services != null) {
--- a/src/main/java/passhatch/agent/DatagramListener.java
+++ b/src/main/java/passhatch/agent/DatagramListener.java
@@ -14,16 +14,20 @@
 /** Binds the UDP sockets on which an agent receives datagrams. */
 final class DatagramListener {
 
-    /** More than the largest valid datagram, so that longer ones are recognized and dropped. */
+    /**
+     * Size of the receive buffer. It is greater than the largest valid datagram, so that longer
+     * datagrams are recognized and dropped.
+     */
     private static final int RECEIVE_BYTES = 512;
 
     private DatagramListener() {}
 
     /**
-     * Binds a socket whose datagrams are passed to a handler on the loop. Must not be called on a
-     * thread of the loop.
+     * Binds a socket and passes the datagrams that it receives to a handler on the loop. This
+     * method must not be called on a thread of the loop.
      *
-     * @param maxDatagramsPerRead most datagrams that are read before the loop turns to other work
+     * @param maxDatagramsPerRead maximum number of datagrams that are read before the loop
+     *     continues with other work
      * @throws IOException if the address cannot be used
      */
     static Channel bind(
--- a/src/main/java/passhatch/agent/DutyListener.java
+++ b/src/main/java/passhatch/agent/DutyListener.java
@@ -1,12 +1,12 @@
 package passhatch.agent;
 
-/** A part of this process that acts while the process holds a duty. */
+/** Listener for a part of this process that is active only while the process holds a duty. */
 interface DutyListener {
 
     /**
      * Called when this process has acquired the duty.
      *
-     * @param term the fencing token
+     * @param term term of the duty, which is its fencing token
      */
     void dutyGranted(long term);
 
--- a/src/main/java/passhatch/agent/DutyNode.java
+++ b/src/main/java/passhatch/agent/DutyNode.java
@@ -24,8 +24,8 @@
 import passhatch.store.StoreException;
 
 /**
- * Drives the duties of this machine's agent on its event loop: as a candidate, and as a voter if it
- * is one.
+ * Drives the duties of this machine's agent on the agent's event loop. The agent is a candidate for
+ * each wanted duty, and a voter if the configuration lists it.
  */
 final class DutyNode {
 
@@ -105,8 +105,8 @@
     /**
      * Starts the voter and the candidates; to be called on the loop.
      *
-     * @param listeners parts of this process that are notified when a duty is acquired or lost;
-     *     their duties are wanted in addition to the configured ones
+     * @param listeners the listener for each duty that a part of this process needs; this process
+     *     is a candidate for these duties in addition to the configured ones
      */
     DutyNode(
             EventLoop loop,
@@ -143,7 +143,10 @@
         }
     }
 
-    /** Asks the other voters for the promises that this one has lost, until it votes. */
+    /**
+     * Asks the other voters for the promises that this voter has lost, and repeats this until this
+     * voter may vote.
+     */
     private void recallPromises() {
         if (voter != null && !voter.isVoting()) {
             config.voters().stream()
@@ -154,7 +157,8 @@
     }
 
     /**
-     * Lets this voter vote without stored promises, when the set of voters is first initialized.
+     * Allows this voter to vote although it has no stored promises, when the set of voters is first
+     * initialized. Returns the answer for the operator.
      */
     String initializeVoter() {
         return voter != null && voter.initialize()
@@ -204,8 +208,8 @@
     }
 
     /**
-     * Whether this process may act on a duty now: {@code done TERM}, with the fencing token to act
-     * with, or {@code error ...}.
+     * Returns an answer that says whether this process may act on a duty now: {@code done TERM},
+     * where the term is the fencing token to use, or {@code error ...}.
      */
     String checkMayAct(String duty) {
         WantedDuty wantedDuty = wantedDutyByName.get(duty);
@@ -216,8 +220,8 @@
     }
 
     /**
-     * Releases a duty, to another candidate if one is named. This process becomes a candidate again
-     * after the duration of a lease.
+     * Gives up a duty, in favour of another candidate if {@code to} names one. This process becomes
+     * a candidate again after the duration of one lease. Returns the answer for the operator.
      */
     String giveUp(String duty, String to) {
         WantedDuty wantedDuty = wantedDutyByName.get(duty);
@@ -236,7 +240,7 @@
         return "done\n";
     }
 
-    /** The state of the duties at this process, as one line of JSON. */
+    /** Returns the state of the duties at this process, as one line of JSON. */
     String json() {
         long nowUs = FleetNode.nowUs();
         List<Object> wantedDuties = new ArrayList<>();
--- a/src/main/java/passhatch/agent/FleetNode.java
+++ b/src/main/java/passhatch/agent/FleetNode.java
@@ -30,8 +30,8 @@
 import passhatch.store.StoreException;
 
 /**
- * Drives membership over UDP on one event loop. Datagrams that were received are handled before a
- * timer runs, so that a process that was stalled does not suspect members whose replies wait at its
+ * Drives membership over UDP on one event loop. Received datagrams are handled before a timer runs.
+ * So after a stall, this process does not suspect members whose replies are already queued at its
  * socket.
  */
 final class FleetNode implements FleetActions {
@@ -41,8 +41,8 @@
     private static final int MAX_DATAGRAMS_PER_READ = 512;
 
     /**
-     * Most changes of members that are logged within an interval, as a thousand members may change
-     * at once.
+     * Maximum number of member changes that are logged in one interval, because a thousand members
+     * may change at once.
      */
     private static final int MAX_LOGGED_CHANGES = 50;
 
@@ -68,7 +68,8 @@
     }
 
     /**
-     * Binds the socket and starts the membership. Must not be called on a thread of the loop.
+     * Binds the socket and starts the membership. This method must not be called on a thread of the
+     * loop.
      *
      * @throws IOException if the address cannot be used
      */
@@ -115,12 +116,15 @@
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    /** Sets the listener for duty messages, which is called on the loop. */
+    /** Sets the listener for duty messages. The listener is called on the loop. */
     void onDutyMessage(BiConsumer<String, DutyMessage> listener) {
         dutyListener = listener;
     }
 
-    /** Sends a duty message to a member if its address is known; to be called on the loop. */
+    /**
+     * Sends a duty message to a member if the member's address is known. Must be called on the
+     * loop.
+     */
     void send(String to, DutyMessage message) {
         int addressIndex = membership.addressIndex(to);
         if (addressIndex >= 0) {
@@ -128,12 +132,15 @@
         }
     }
 
-    /** The state machine; to be used on the loop only. */
+    /** Returns the state machine, which must be used on the loop only. */
     Membership membership() {
         return membership;
     }
 
-    /** Whether this process participates; false if a newer process has its name. */
+    /**
+     * Returns whether this process participates in the fleet. It does not if a newer process uses
+     * its name.
+     */
     boolean participates() {
         return membership != null && !membership.superseded();
     }
@@ -145,7 +152,7 @@
     private void scheduleTimer() {
         long wakeUs = membership.wakeAtUs();
         if (timer != null && timerAtUs <= wakeUs && !timer.isDone()) {
-            return; // The timer is scheduled again after the pending one has run.
+            return; // The pending timer runs early enough and schedules the next one.
         }
         if (timer != null) {
             timer.cancel(false);
@@ -193,7 +200,7 @@
         }
     }
 
-    /** Switches to another list of members; to be called on the loop. */
+    /** Switches to a new list of members. Must be called on the loop. */
     void reconfigure(AgentConfig.Fleet newer) {
         Map<InetSocketAddress, Integer> newIndexByAddress = indexesByAddress(newer.members());
         int[] newIndexes =
@@ -212,8 +219,8 @@
     }
 
     /**
-     * Announces that this process leaves; to be called on the loop. The process must run for
-     * another second so that the other members receive the announcement.
+     * Announces that this process leaves. Must be called on the loop. The process must keep running
+     * for another second so that the other members receive the announcement.
      */
     void leave() {
         membership.leave(nowUs());
--- a/src/main/java/passhatch/agent/MembersText.java
+++ b/src/main/java/passhatch/agent/MembersText.java
@@ -23,7 +23,7 @@
         return status.name().toLowerCase(Locale.ROOT);
     }
 
-    /** The members and counters as one line of JSON. */
+    /** Returns the members and the counters of a node as one line of JSON. */
     static String json(FleetNode node) {
         Membership membership = node.membership();
         List<InetSocketAddress> addresses = node.memberAddresses();
@@ -63,12 +63,12 @@
         }
     }
 
-    /** The address as IP address and port. */
+    /** Formats an address as an IP address and a port. */
     static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** The metrics, one per line. */
+    /** Returns the metrics of a node, one per line. */
     static String metrics(FleetNode node) {
         Membership membership = node.membership();
         Membership.Metrics metrics = membership.metrics();
--- a/src/main/java/passhatch/agent/SubmittedChanges.java
+++ b/src/main/java/passhatch/agent/SubmittedChanges.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * Tracks the outcome of changes submitted at this process. For each term in which it was the
- * leader, the versions up to a bound are committed; the outcome of later ones is unknown once the
- * term has ended.
+ * Tracks the outcome of changes submitted at this process. For each recent term in which this
+ * process was the leader, it remembers the last committed version. Once a term has ended, the
+ * outcome of later versions of that term is unknown.
  */
 final class SubmittedChanges {
 
-    /** The known outcome of a change. */
+    /** What this process knows about the outcome of a change. */
     enum Outcome {
         COMMITTED,
         PENDING,
         UNKNOWN
     }
 
-    /** Most terms that are remembered. */
+    /** Maximum number of terms that are remembered. */
     private static final int MAX_TERMS = 16;
 
     private final Map<Long, Long> committedVersionByTerm =
@@ -32,29 +32,32 @@
     private long term;
     private boolean leading;
 
-    /** Starts a term. */
+    /** Starts a term in which this process is the leader. */
     void beginTerm(long newTerm) {
         term = newTerm;
         leading = true;
         committedVersionByTerm.put(term, 0L);
     }
 
-    /** Ends the term. */
+    /** Ends the current term, so that this process is no longer the leader. */
     void endTerm() {
         leading = false;
     }
 
-    /** The newest term in which this process held the duty. */
+    /** Returns the newest term in which this process was the leader. */
     long term() {
         return term;
     }
 
-    /** Records that all changes of this term up to a version are committed. */
+    /** Records that all changes of the current term up to a version are committed. */
     void recordCommitted(long version) {
         committedVersionByTerm.merge(term, version, Math::max);
     }
 
-    /** Returns what is known of a change, by its version and the term in which it was submitted. */
+    /**
+     * Returns what is known about the outcome of the change with a version that was submitted in a
+     * term.
+     */
     Outcome outcome(long version, long submittedTerm) {
         if (version <= committedVersionByTerm.getOrDefault(submittedTerm, 0L)) {
             return Outcome.COMMITTED;
--- a/src/main/java/passhatch/agent/ValuesFile.java
+++ b/src/main/java/passhatch/agent/ValuesFile.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes the values in force to a file, for other programs on this machine. */
+/** Writes the values in force to a file that other programs on this machine can read. */
 final class ValuesFile {
 
     private static final Logger LOG = LoggerFactory.getLogger(ValuesFile.class);
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Replaces the file atomically, so that a reader sees the values of one version. Failures are
-     * logged.
+     * Replaces the file atomically, so that a reader always sees the values of a single version. A
+     * failure is logged.
      */
     void replace(long epoch, long version, Map<String, String> values) {
         Map<String, Object> content = new LinkedHashMap<>();
--- a/src/main/java/passhatch/agent/config/TomlFile.java
+++ b/src/main/java/passhatch/agent/config/TomlFile.java
@@ -50,7 +50,7 @@
         this.tree = tree;
     }
 
-    /** Reads a file; checks only that it is valid TOML. */
+    /** Reads a file and checks only that the file is valid TOML. */
     public static TomlFile read(Path file) {
         try {
             return of(file.toString(), Files.readString(file));
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Parses a text as the content of a file with this name. */
+    /** Parses a text as if it were the content of a file with the given name. */
     public static TomlFile of(String name, String text) {
         try {
             return new TomlFile(name, TOML.readTree(text).deepCopy());
@@ -73,17 +73,20 @@
         }
     }
 
-    /** The file's name, for messages. */
+    /** Returns the file's name, for error messages. */
     public String name() {
         return name;
     }
 
-    /** The parsed content, which may be changed before {@link #as}. */
+    /** Returns the parsed content. It may be changed before {@link #as} is called. */
     public ObjectNode tree() {
         return tree;
     }
 
-    /** Returns the file with defaults, given as TOML, for the keys that it omits. */
+    /**
+     * Returns a copy of this file in which the keys that it omits have default values. The defaults
+     * are given as TOML.
+     */
     public TomlFile withDefaults(String defaults) {
         ObjectNode merged = of(name, defaults).tree;
         merge(merged, tree);
@@ -104,7 +107,7 @@
                         });
     }
 
-    /** Converts the content to a record of this type. */
+    /** Converts the content to a record of the given type. */
     public <T> T as(Class<T> type) {
         try {
             return TOML.treeToValue(tree, type);
--- a/src/main/java/passhatch/agent/package-info.java
+++ b/src/main/java/passhatch/agent/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The agent: the process on each machine that drives the fleet's state machines over sockets and
- * disk.
+ * Implements the agent, a process on each machine that connects the fleet's state machines to
+ * sockets and the disk.
  */
 package passhatch.agent;
--- a/src/main/java/passhatch/fleet/AddressTable.java
+++ b/src/main/java/passhatch/fleet/AddressTable.java
@@ -1,9 +1,9 @@
 package passhatch.fleet;
 
 /**
- * The name of the member at each index of the address list. It is stored in immutable pages: a
- * change replaces the page, so that copies of the table share the pages that neither has changed
- * since.
+ * Maps each index of the address list to the name of the member there. The names are stored in
+ * immutable pages. A change replaces a page, so copies of the table share the pages that neither
+ * copy has changed.
  */
 final class AddressTable {
 
@@ -17,7 +17,9 @@
         this.pages = new String[(length + PAGE_SIZE - 1) / PAGE_SIZE][];
     }
 
-    /** Creates a copy that shares unchanged pages. */
+    /**
+     * Creates a copy of another table; the two tables share all pages that neither of them changes.
+     */
     AddressTable(AddressTable other) {
         this.length = other.length;
         this.pages = other.pages.clone();
@@ -27,13 +29,13 @@
         return length;
     }
 
-    /** The name at an index, or null. */
+    /** Returns the name of the member at an index, or null if there is none. */
     String get(int addressIndex) {
         String[] page = pages[addressIndex / PAGE_SIZE];
         return page == null ? null : page[addressIndex % PAGE_SIZE];
     }
 
-    /** Sets the name at an index; null if no member is there any more. */
+    /** Sets the name of the member at an index, or null if no member is there any more. */
     void set(int addressIndex, String name) {
         String[] page = pages[addressIndex / PAGE_SIZE];
         String[] changed = page == null ? new String[PAGE_SIZE] : page.clone();
--- a/src/main/java/passhatch/fleet/AntiEntropy.java
+++ b/src/main/java/passhatch/fleet/AntiEntropy.java
@@ -6,21 +6,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Reconciles views that gossip left different. Two processes compare digests from the root of the
- * tree downwards and send each other their updates of the leaves that differ. A reply depends only
- * on the datagram that it answers.
+ * Reconciles views that still differ after gossip. Two processes compare digests from the root of
+ * the tree downwards and send each other their updates of the leaves that differ. A reply depends
+ * only on the datagram that it answers.
  */
 final class AntiEntropy {
 
     /**
-     * Most children that are followed up after one comparison, so that one datagram does not cause
-     * hundreds of replies.
+     * Maximum number of differing children that one comparison follows up. Without this limit, one
+     * datagram could cause hundreds of replies.
      */
     private static final int MAX_CHILDREN_PER_REPLY = 4;
 
     /**
-     * Comparisons at the short interval after one that found a difference; several, because
-     * datagrams get lost.
+     * Number of comparisons at the short interval after one that found a difference. There are
+     * several because datagrams get lost.
      */
     private static final int EAGER_ROUNDS = 8;
 
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Starts a comparison with one member. Returns whether the next one is due soon, because a
-     * difference was found recently.
+     * Starts a comparison with one member. Returns whether the next comparison is due soon because
+     * a recent one found a difference.
      */
     boolean startComparison(Member peer) {
         outbox.sendSync(
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Compares another process's digests of a node with this process's and follows up the
-     * differences.
+     * Compares the digests that another process sent for a tree node with this process's digests,
+     * and sends a reply for each child that differs.
      */
     void onDigests(int senderIndex, int node, int[] digests) {
         int[] ownDigests = view.digests().childDigests(node);
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Replies to another process's updates of a leaf, which were applied already, with those that
-     * it lacks.
+     * Sends another process the updates of a leaf that it lacks. The updates that it sent must
+     * already be applied to the view.
      */
     void onLeaf(int senderIndex, int leaf, List<MemberUpdate> receivedUpdates) {
         List<MemberUpdate> missing = updatesAtLeaf(leaf, receivedUpdates);
@@ -87,11 +87,11 @@
         }
     }
 
-    private List<MemberUpdate> updatesAtLeaf(int leaf, List<MemberUpdate> known) {
+    private List<MemberUpdate> updatesAtLeaf(int leaf, List<MemberUpdate> peerUpdates) {
         List<MemberUpdate> updates = new ArrayList<>();
         for (Member member : view.membersOfLeaf(leaf)) {
-            boolean alreadyKnown =
-                    known.stream()
+            boolean peerHasUpdate =
+                    peerUpdates.stream()
                             .anyMatch(
                                     update ->
                                             update.name().equals(member.name())
@@ -100,8 +100,9 @@
                                                                     member.lastUpdate()
                                                                             .incarnation())
                                                     && update.status() == member.status());
-            if (!alreadyKnown) {
-                // Random order, so that each update is sent eventually if not all of them fit.
+            if (!peerHasUpdate) {
+                // The order is random, so each update is sent eventually even if not all of them
+                // fit.
                 updates.add(random.nextInt(updates.size() + 1), member.lastUpdate());
             }
         }
--- a/src/main/java/passhatch/fleet/CborReader.java
+++ b/src/main/java/passhatch/fleet/CborReader.java
@@ -5,13 +5,14 @@
 import java.io.IOException;
 
 /**
- * Reads the fields of a datagram in order; throws an {@link IOException} for unexpected content.
+ * Reads the fields of a datagram in order. The methods throw an {@link IOException} for unexpected
+ * content.
  */
 public final class CborReader {
 
     private final JsonParser cbor;
 
-    /** Reads from the current position of the parser. */
+    /** Creates a reader that starts at the parser's current position. */
     public CborReader(JsonParser cbor) {
         this.cbor = cbor;
     }
@@ -77,7 +78,7 @@
         return cbor.getBinaryValue();
     }
 
-    /** Skips to the end of the current array, over fields added by a later release. */
+    /** Skips to the end of the current array, including any fields that a later release added. */
     public void skipToArrayEnd() throws IOException {
         JsonToken token = cbor.nextToken();
         while (token != null && token != JsonToken.END_ARRAY) {
@@ -87,7 +88,7 @@
         require(token == JsonToken.END_ARRAY);
     }
 
-    /** Requires that nothing follows. */
+    /** Throws an {@link IOException} if the datagram contains anything more. */
     void requireEnd() throws IOException {
         require(cbor.nextToken() == null);
     }
--- a/src/main/java/passhatch/fleet/Codec.java
+++ b/src/main/java/passhatch/fleet/Codec.java
@@ -19,19 +19,24 @@
     /** The format version that this program writes and reads. */
     static final byte VERSION = 1;
 
+    /** Number of fields of a message. */
     private static final int MESSAGE_FIELDS = 8;
+
+    /** Number of fields of an update with one field that depends on the status. */
     private static final int UPDATE_FIELDS = 7;
+
     private static final int MAX_UPDATES = 32;
     private static final Message.Type[] TYPES = Message.Type.values();
     private static final Status[] STATUSES = Status.values();
     private static final CBORFactory CBOR = new CBORFactory();
 
-    /** Updates and labels recur, so all memberships in one process share equal instances. */
+    /** Shares equal updates among all memberships in one process, because updates recur. */
     private static final Interner<MemberUpdate> UPDATE_POOL = new Interner<>(4096);
 
+    /** Shares equal labels among all memberships in one process, because labels recur. */
     private static final Interner<String> LABEL_POOL = new Interner<>(64);
 
-    /** Says why a datagram was rejected. */
+    /** Thrown when a datagram is rejected; gives the reason. */
     static final class RejectedException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient DropReason reason;
@@ -53,9 +58,9 @@
         this.fleetName = fleetName;
     }
 
-    /** Upper bound on the encoded size of a message without its updates, in bytes. */
+    /** Returns an upper bound on the encoded size of a message without its updates, in bytes. */
     int sizeWithoutUpdates(Message message) {
-        // The header of the list of updates takes two bytes from 24 entries on.
+        // The header of the list of updates takes two bytes if the list has 24 or more entries.
         return Frame.HEADER_BYTES
                 + 1
                 + textSize(fleetName)
@@ -68,7 +73,7 @@
                 + 2;
     }
 
-    /** Encoded size of an update, in bytes. */
+    /** Returns the encoded size of an update, in bytes. */
     static int encodedSize(MemberUpdate update) {
         int size =
                 1
@@ -147,7 +152,10 @@
         cbor.writeEndArray();
     }
 
-    /** Decodes a datagram into a message within its bounds, or rejects it with a reason. */
+    /**
+     * Decodes a datagram and checks that all fields are within their bounds; throws {@link
+     * RejectedException} with the reason if the datagram is invalid.
+     */
     Message decode(byte[] bytes) throws RejectedException {
         DropReason rejection = Frame.dropReason(VERSION, bytes);
         if (rejection != null) {
--- a/src/main/java/passhatch/fleet/Digests.java
+++ b/src/main/java/passhatch/fleet/Digests.java
@@ -1,9 +1,10 @@
 package passhatch.fleet;
 
 /**
- * Digests of a view as a tree with a root, 16 inner nodes and 256 leaves, with which two processes
- * find their differences in a few datagrams (Merkle trees for anti-entropy as in Demers et al.,
- * "Epidemic Algorithms for Replicated Database Maintenance", 1987, and Dynamo).
+ * A tree of digests of a view, with a root, 16 inner nodes and 256 leaves. By comparing their
+ * trees, two processes find the differences between their views in a few datagrams (Merkle trees
+ * for anti-entropy as in Demers et al., "Epidemic Algorithms for Replicated Database Maintenance",
+ * 1987, and Dynamo).
  *
  * <p>A suspect counts as alive, because suspicions change faster than digests are compared.
  */
@@ -12,7 +13,7 @@
     static final int CHILDREN_PER_NODE = 16;
     static final int LEAF_COUNT = CHILDREN_PER_NODE * CHILDREN_PER_NODE;
 
-    /** The node number of the root. */
+    /** Number that stands for the root where a node number is expected. */
     static final int ROOT = -1;
 
     private static final int HASH_MULTIPLIER = 0x9E3779B9;
@@ -23,17 +24,17 @@
         leaves = new int[LEAF_COUNT];
     }
 
-    /** Creates a copy. */
+    /** Creates a copy of another tree. */
     Digests(Digests other) {
         leaves = other.leaves.clone();
     }
 
-    /** The leaf of a member, from {@link Names#hash} of its name. */
+    /** Returns the leaf index of the member whose name has this {@link Names#hash}. */
     static int leafIndex(int nameHash) {
         return nameHash & LEAF_COUNT - 1;
     }
 
-    /** Adds an update to its leaf, or removes it if it was added before. */
+    /** Adds an update to the digest of its leaf, or removes the update if it was added before. */
     void toggle(MemberUpdate update) {
         Status digestedStatus = update.status() == Status.SUSPECT ? Status.ALIVE : update.status();
         int hash = Names.hash(update.name());
@@ -51,7 +52,7 @@
         return x * HASH_MULTIPLIER ^ x >>> 13;
     }
 
-    /** The digests of the children of an inner node or of the root. */
+    /** Returns the digests of the children of an inner node or of the root. */
     int[] childDigests(int node) {
         int[] digests = new int[CHILDREN_PER_NODE];
         for (int i = 0; i < CHILDREN_PER_NODE; i++) {
@@ -69,7 +70,8 @@
     }
 
     /**
-     * The digest of the whole view; equal digests mean views that are equal except for suspicions.
+     * Returns the digest of the whole view. Views with equal digests are equal except for
+     * suspicions.
      */
     int rootDigest() {
         int digest = 1;
--- a/src/main/java/passhatch/fleet/DropReason.java
+++ b/src/main/java/passhatch/fleet/DropReason.java
@@ -2,26 +2,26 @@
 
 import java.util.Locale;
 
-/** Why a datagram was dropped on receipt, or not sent. */
+/** The reason why a datagram was dropped on receipt or was not sent. */
 public enum DropReason {
-    /** It is too long or too short. */
+    /** The datagram is too long or too short. */
     SIZE,
-    /** Its format version is not one that this program reads. */
+    /** The datagram has a format version that this program does not read. */
     VERSION,
-    /** Its checksum does not match. */
+    /** The datagram's checksum does not match. */
     CHECKSUM,
-    /** It belongs to another fleet. */
+    /** The datagram belongs to another fleet. */
     FLEET,
-    /** It is not a message, or a field is out of bounds. */
+    /** The datagram is not a message, or one of its fields is out of bounds. */
     FORM,
-    /** It was received from an address that is not configured. */
+    /** The datagram was received from an address that is not configured. */
     STRANGER,
-    /** It was sent by this process itself. */
+    /** The datagram was sent by this process itself. */
     ECHO,
-    /** It was not sent because the rate limit is reached. */
+    /** The datagram was not sent because the rate limit was reached. */
     BUDGET;
 
-    /** The name in metrics and JSON. */
+    /** Returns the name of this reason in metrics and JSON. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/passhatch/fleet/FleetActions.java
+++ b/src/main/java/passhatch/fleet/FleetActions.java
@@ -1,22 +1,25 @@
 package passhatch.fleet;
 
 /**
- * Actions that the membership state machine requires of its driver. They are called only from
- * within a call to the state machine.
+ * Actions that the driver performs for the membership state machine. The state machine calls them
+ * only while the driver is calling it.
  */
 public interface FleetActions {
 
-    /** Sends a datagram to the address at this index of the address list; it may get lost. */
+    /**
+     * Sends a datagram to the address at an index of the address list. The datagram may get lost.
+     */
     void send(int addressIndex, byte[] datagram);
 
     /**
-     * Makes an epoch durable. Returns whether it may be used; no later start may then use it again.
+     * Makes an epoch durable. Returns whether this process may use the epoch; if so, no later start
+     * may use it again.
      */
     boolean persistEpoch(long epoch);
 
     /** Called when the status of a member changes; {@code before} is null for a new member. */
     void memberChanged(Status before, MemberInfo after);
 
-    /** Reports a condition that needs an operator's attention, in one line. */
+    /** Warns the operator, in one line of text, of a condition that needs attention. */
     void warn(String text);
 }
--- a/src/main/java/passhatch/fleet/FleetSettings.java
+++ b/src/main/java/passhatch/fleet/FleetSettings.java
@@ -5,13 +5,13 @@
  * configured list, from 0; the driver resolves them.
  *
  * @param fleetName name of the fleet; datagrams of other fleets are dropped
- * @param name of this process; stable across restarts and unique in the fleet
- * @param version of the program that this process runs
- * @param roles of this process, separated by commas; may be empty
- * @param ownAddressIndex index of its own address in the list, or -1
- * @param addressCount length of the list, including its own address
+ * @param name name of this process; stable across restarts and unique in the fleet
+ * @param version version of the program that this process runs
+ * @param roles roles of this process, separated by commas; may be empty
+ * @param ownAddressIndex index of this process's own address in the list, or -1 if it is not listed
+ * @param addressCount length of the list, including this process's own address
  * @param probePeriodUs time between two probes, in microseconds; all other intervals follow from it
- * @param bytesPerSecond most bytes that are sent in a second
+ * @param bytesPerSecond maximum number of bytes that this process sends per second
  * @param forgetAfterUs how long a member that failed or left is still listed, in microseconds
  */
 public record FleetSettings(
@@ -25,7 +25,7 @@
         long bytesPerSecond,
         long forgetAfterUs) {
 
-    /** Returns the same settings with another address list. */
+    /** Returns these settings with another address list. */
     FleetSettings withAddresses(int newOwnAddressIndex, int newAddressCount) {
         return new FleetSettings(
                 fleetName,
--- a/src/main/java/passhatch/fleet/Frame.java
+++ b/src/main/java/passhatch/fleet/Frame.java
@@ -9,21 +9,21 @@
  */
 public final class Frame {
 
-    /** The largest datagram that the platform allows. */
+    /** Size of the largest datagram that the platform allows, in bytes. */
     public static final int MAX_BYTES = 256;
 
-    /** Size of the header. */
+    /** Size of the header, in bytes. */
     public static final int HEADER_BYTES = 5;
 
     private Frame() {}
 
-    /** Sets the checksum of a datagram that is otherwise complete, and returns it. */
+    /** Writes the checksum into a datagram that is otherwise complete, and returns the datagram. */
     static byte[] withChecksum(byte[] bytes) {
         ByteBuffer.wrap(bytes).putInt(1, crc(bytes));
         return bytes;
     }
 
-    /** Builds a datagram of this format with this content. */
+    /** Builds a datagram with a header for a format, followed by the content. */
     public static byte[] of(byte format, byte[] content) {
         return withChecksum(
                 ByteBuffer.allocate(HEADER_BYTES + content.length)
@@ -33,7 +33,7 @@
                         .array());
     }
 
-    /** Why a datagram is not a valid one of this format, or null if it is. */
+    /** Returns why a datagram is not valid in a format, or null if it is valid. */
     public static DropReason dropReason(byte format, byte[] bytes) {
         if (bytes.length > MAX_BYTES || bytes.length <= HEADER_BYTES) {
             return DropReason.SIZE;
--- a/src/main/java/passhatch/fleet/GossipQueue.java
+++ b/src/main/java/passhatch/fleet/GossipQueue.java
@@ -8,12 +8,13 @@
 import java.util.TreeSet;
 
 /**
- * Updates to gossip, each a bounded number of times: those sent least often first, and among equals
- * the most recent (SWIM: Das, Gupta, Motivala, 2002, 4.1).
+ * A queue of updates to gossip, each a bounded number of times. The updates sent least often come
+ * first; among those sent equally often, the most recent comes first (SWIM: Das, Gupta, Motivala,
+ * 2002, 4.1).
  */
 final class GossipQueue {
 
-    /** After this many updates that do not fit, the datagram counts as full. */
+    /** After this many updates that do not fit into a datagram, the datagram counts as full. */
     private static final int MAX_SKIPPED_UPDATES = 4;
 
     private static final Comparator<Item> SEND_ORDER =
@@ -39,13 +40,13 @@
         return items.size();
     }
 
-    /** Removes all updates, as all members know them already. */
+    /** Removes all updates. Used when all members already know them. */
     void clear() {
         byMember.clear();
         items.clear();
     }
 
-    /** Queues an update in place of an earlier one about the same member. */
+    /** Queues an update, which replaces any earlier one about the same member. */
     void add(MemberUpdate update) {
         Item item = new Item(update, nextSequence++);
         Item previous = byMember.put(update.name(), item);
@@ -58,19 +59,19 @@
     /**
      * Takes updates for one datagram.
      *
-     * @param maxBytes bytes that they may take
+     * @param maxBytes maximum total size of the updates
      * @param maxSends how often an update is sent before it is removed
      */
     List<MemberUpdate> take(int maxBytes, int maxSends) {
         List<Item> taken = new ArrayList<>();
         int remainingBytes = maxBytes;
-        int misses = 0;
+        int skipped = 0;
         for (Item item : items) {
             int size = Codec.encodedSize(item.update);
             if (size <= remainingBytes) {
                 remainingBytes -= size;
                 taken.add(item);
-            } else if (++misses == MAX_SKIPPED_UPDATES) {
+            } else if (++skipped == MAX_SKIPPED_UPDATES) {
                 break;
             }
         }
--- a/src/main/java/passhatch/fleet/Incarnation.java
+++ b/src/main/java/passhatch/fleet/Incarnation.java
@@ -3,11 +3,15 @@
 import java.util.Comparator;
 
 /**
- * Orders a member's statements about itself; the greater incarnation is newer.
+ * Orders the statements that a member makes about itself: the statement with the greater
+ * incarnation is newer.
  *
- * @param epoch grows with each start of the process and is durable before it is used; 0 or more
- * @param runId drawn at random at each start, so that two processes with one name and epoch differ
- * @param refutation grows each time the process refutes an update about itself; 0 or more
+ * @param epoch number that grows with each start of the process and is made durable before it is
+ *     used; 0 or more
+ * @param runId number drawn at random at each start, so that the incarnations of two processes with
+ *     the same name and epoch differ
+ * @param refutation number that grows each time the process refutes an update about itself; 0 or
+ *     more
  */
 public record Incarnation(long epoch, int runId, int refutation)
         implements Comparable<Incarnation> {
@@ -22,7 +26,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** Whether both belong to the same run of one process. */
+    /** Returns whether this incarnation and another one belong to the same run of one process. */
     boolean isSameRun(Incarnation other) {
         return epoch == other.epoch && runId == other.runId;
     }
--- a/src/main/java/passhatch/fleet/Interner.java
+++ b/src/main/java/passhatch/fleet/Interner.java
@@ -3,8 +3,9 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * Interns values, so that a value that is received repeatedly is held in memory once. Each slot
- * keeps only the latest value that hashes to it; earlier values are then no longer shared.
+ * Shares equal values, so that a value that is received repeatedly is held in memory only once.
+ * Each slot keeps only the latest value that hashes to it; values that it replaces are no longer
+ * shared.
  */
 final class Interner<T> {
 
@@ -15,7 +16,10 @@
         slots = new AtomicReferenceArray<>(size);
     }
 
-    /** Returns an equal value seen earlier if it is still held, or else this one. */
+    /**
+     * Returns an equal earlier value if this interner still holds one, and otherwise the given
+     * value.
+     */
     T intern(T value) {
         int hash = value.hashCode();
         int slot = (hash ^ hash >>> Short.SIZE) & slots.length() - 1;
--- a/src/main/java/passhatch/fleet/LocalHealth.java
+++ b/src/main/java/passhatch/fleet/LocalHealth.java
@@ -1,9 +1,9 @@
 package passhatch.fleet;
 
 /**
- * Lifeguard's local health score: the worse it is, the less reliably this process can judge others,
- * and the longer it waits before it suspects them (Dadgar, Phillips, Currey, "Lifeguard: SWIM-ing
- * with Situational Awareness", 2017).
+ * The local health score of Lifeguard. A high score means that this process cannot reliably judge
+ * whether others respond, so it waits longer before it suspects them (Dadgar, Phillips, Currey,
+ * "Lifeguard: SWIM-ing with Situational Awareness", 2017).
  */
 final class LocalHealth {
 
@@ -11,20 +11,22 @@
 
     private int score;
 
-    /** From 0 (healthy) to 8. */
+    /** Returns the health score, from 0 (healthy) to 8. */
     int score() {
         return score;
     }
 
-    /** The factor by which timeouts are multiplied. */
+    /** Returns the factor by which probe and suspicion timeouts are multiplied. */
     int timeoutMultiplier() {
         return 1 + score;
     }
 
-    void degrade(int by) {
-        score = Math.min(MAX_SCORE, score + by);
+    /** Makes the score worse by a number of points. */
+    void degrade(int points) {
+        score = Math.min(MAX_SCORE, score + points);
     }
 
+    /** Makes the score better by one point. */
     void recover() {
         score = Math.max(0, score - 1);
     }
--- a/src/main/java/passhatch/fleet/LocalMember.java
+++ b/src/main/java/passhatch/fleet/LocalMember.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Whether a newer process has this name. This process then does not participate, but still
-     * receives updates so that it notices when the newer one ends.
+     * Returns whether a newer process uses this process's name. If so, this process does not
+     * participate, but still receives updates so that it notices when the newer process ends.
      */
     boolean superseded() {
         return superseded;
--- a/src/main/java/passhatch/fleet/Member.java
+++ b/src/main/java/passhatch/fleet/Member.java
@@ -1,8 +1,8 @@
 package passhatch.fleet;
 
 /**
- * What this process knows of one member. Immutable, so that several views in one process can share
- * it until one of them changes.
+ * What this process knows about one member. Instances are immutable, so several views in one
+ * process can share them.
  */
 final class Member {
 
@@ -26,7 +26,7 @@
         return lastUpdate.name();
     }
 
-    /** {@link Names#hash} of its name. */
+    /** Returns the {@link Names#hash} of this member's name. */
     int nameHash() {
         return nameHash;
     }
@@ -48,22 +48,23 @@
     }
 
     /**
-     * Returns the member with a newer update; the time of its status restarts if the status
-     * differs.
+     * Returns this member with a newer update. If the status differs, the member has had it since
+     * {@code nowUs}.
      */
     Member withUpdate(MemberUpdate update, long nowUs) {
-        long since = update.status() == lastUpdate.status() ? statusSinceUs : nowUs;
-        return new Member(update, nameHash, addressIndex, since);
+        long newSinceUs = update.status() == lastUpdate.status() ? statusSinceUs : nowUs;
+        return new Member(update, nameHash, addressIndex, newSinceUs);
     }
 
     /**
-     * Returns the member with its status time moved later, as the time of a stall does not count.
+     * Returns this member with the start of its status moved later. Used after a stall of this
+     * process, because the time of the stall does not count towards a suspicion timeout.
      */
-    Member withStatusDelayed(long byUs) {
-        return new Member(lastUpdate, nameHash, addressIndex, statusSinceUs + byUs);
+    Member withStatusDelayed(long delayUs) {
+        return new Member(lastUpdate, nameHash, addressIndex, statusSinceUs + delayUs);
     }
 
-    /** Returns the member at another address, or -1 if none is known. */
+    /** Returns this member with another address index; -1 if its address is not known. */
     Member withAddressIndex(int newIndex) {
         return new Member(lastUpdate, nameHash, newIndex, statusSinceUs);
     }
--- a/src/main/java/passhatch/fleet/MemberInfo.java
+++ b/src/main/java/passhatch/fleet/MemberInfo.java
@@ -3,10 +3,11 @@
 /**
  * A member as this process sees it.
  *
- * @param statusSinceUs when it took its status; {@link Membership#statusAgeUs} returns how long ago
- *     that is
- * @param addressIndex index in the address list from which it was last received, or else where its
- *     own list places it; -1 if none is known
+ * @param statusSinceUs time at which the member took its status; {@link Membership#statusAgeUs}
+ *     returns how long ago that was
+ * @param addressIndex index of the member's address in the address list: the address that its last
+ *     datagram came from, or if none was received, the index that the member itself announces; -1
+ *     if neither is known
  */
 public record MemberInfo(
         String name,
--- a/src/main/java/passhatch/fleet/MemberStates.java
+++ b/src/main/java/passhatch/fleet/MemberStates.java
@@ -6,11 +6,11 @@
 import java.util.stream.IntStream;
 
 /**
- * Decides which update about a member holds and applies it: the newer one, as {@link
- * MemberUpdate#overrides} defines it. Updates about this process itself are refuted. Changes the
- * view and moves suspects to failed when their suspicion timeout ends. The timeout is SWIM's with
- * Lifeguard's dynamic suspicion: the more members report the suspect independently, the shorter it
- * is.
+ * Applies updates about members to the view: of two updates about a member, the one that
+ * {@linkplain MemberUpdate#overrides overrides} the other holds. Wrong updates about this process
+ * itself are refuted. A suspect becomes failed when its suspicion timeout ends. The timeout is that
+ * of SWIM with Lifeguard's dynamic suspicion: it becomes shorter as more members report the suspect
+ * independently.
  */
 final class MemberStates {
 
@@ -23,20 +23,23 @@
     /** The longest suspicion timeout as a multiple of the shortest. */
     private static final double MAX_TO_MIN_SUSPICION_RATIO = 6;
 
-    /** Reports after the first with which the suspicion timeout is shortest. */
+    /** Number of reports after the first one at which the suspicion timeout reaches its minimum. */
     private static final int MAX_CONFIRMATIONS = MemberUpdate.MAX_REPORTERS - 1;
 
-    /** Stands for the largest number of reporters that counts. */
+    /**
+     * Placeholders for the reporters of a suspicion whose real reporters are not known. There are
+     * as many as count, so the suspicion timeout is the shortest.
+     */
     private static final List<Integer> PLACEHOLDER_REPORTERS =
             IntStream.range(0, MemberUpdate.MAX_REPORTERS).boxed().toList();
 
     /**
-     * Interval between checks for expired suspicions, in probe periods. They are checked at
-     * intervals because their deadlines change with every update received.
+     * Interval between checks for expired suspicions, in probe periods. There is no timer for each
+     * suspicion because its deadline changes with every update received.
      */
     private static final double EXPIRY_CHECK_INTERVAL_PERIODS = 0.2;
 
-    /** Shortest time between two warnings that another process uses this one's name. */
+    /** Minimum time between two warnings that another process uses this process's name. */
     private static final long CONFLICT_WARNING_INTERVAL_US = 10_000_000;
 
     private final LocalMember self;
@@ -49,7 +52,10 @@
     private long lastExpiryCheckUs;
     private long lastConflictWarningUs = Long.MIN_VALUE / 2;
 
-    /** Creates the states; {@code suspicionListener} is called for members that others suspect. */
+    /**
+     * Creates the member states; {@code suspicionListener} is called for each member that other
+     * members suspect.
+     */
     MemberStates(
             FleetSettings settings,
             LocalMember self,
@@ -67,7 +73,7 @@
         this.periodUs = settings.probePeriodUs();
     }
 
-    /** Applies an update, or ignores it if what is known overrides it. */
+    /** Applies an update, unless the update already known about that member overrides it. */
     void apply(long nowUs, MemberUpdate update) {
         boolean aboutSelf = update.name().equals(self.name());
         if (aboutSelf && !self.superseded()) {
@@ -82,10 +88,9 @@
         MemberUpdate known = member.lastUpdate();
         if (update.overrides(known)) {
             // A reported failure of a member that this process knows as alive is not final. The
-            // member
-            // may have missed the suspicion, as across a partition that has healed, so it becomes
-            // suspect first and has the time to refute.
-            boolean unconfirmed =
+            // member may not have received the suspicion, for example because of a partition that
+            // has healed. So it first becomes suspect and has time to refute.
+            boolean mayRefute =
                     update.status() == Status.FAILED
                             && known.status() == Status.ALIVE
                             && !aboutSelf;
@@ -93,7 +98,7 @@
                     changeMember(
                             nowUs,
                             member,
-                            unconfirmed ? suspectUpdate(update, PLACEHOLDER_REPORTERS) : update);
+                            mayRefute ? suspectUpdate(update, PLACEHOLDER_REPORTERS) : update);
             if (member.status() == Status.SUSPECT) {
                 suspicionListener.accept(member);
             }
@@ -156,18 +161,18 @@
                                 + ") gives way");
                 changeMember(nowUs, view.get(self.name()), update);
             } else {
-                // An earlier run of this process whose epoch was lost, for example because the
-                // machine was restored from a snapshot.
+                // The update is about an earlier run of this process whose epoch was lost, for
+                // example because the machine was restored from a snapshot.
                 supersede(nowUs, update);
             }
         } else if (update.status() == Status.ALIVE) {
-            // An earlier run of this process, or another process of its name, which learns from
-            // this update that it is superseded.
+            // The update is about an earlier run of this process or about another process with its
+            // name. That process learns from this process's update that it is superseded.
             outbox.gossipQueue().add(self.currentUpdate());
         }
     }
 
-    /** Warns that another process sends under this one's name, with an older incarnation. */
+    /** Warns that another process uses this process's name with an older incarnation. */
     void onNameConflict(long nowUs, MemberUpdate sender, int addressIndex) {
         if (nowUs - lastConflictWarningUs >= CONFLICT_WARNING_INTERVAL_US) {
             lastConflictWarningUs = nowUs;
@@ -188,7 +193,7 @@
         }
     }
 
-    /** Takes an incarnation newer than that of the run that has ended. */
+    /** Adopts an incarnation that is newer than the one of a run that has ended. */
     private void supersede(long nowUs, MemberUpdate endedRun) {
         long epoch = endedRun.incarnation().epoch() + 1;
         if (actions.persistEpoch(epoch)) {
@@ -209,7 +214,10 @@
         changeMember(nowUs, view.get(self.name()), self.currentUpdate());
     }
 
-    /** Marks a member suspect because it did not answer this process. */
+    /**
+     * Marks a member as suspect because it did not answer this process, or adds this process to the
+     * reporters if the member is already suspect.
+     */
     void suspect(long nowUs, Member member) {
         List<Integer> ownReport = List.of(shortHash(self.name()));
         if (member.status() == Status.ALIVE) {
@@ -255,7 +263,7 @@
         return changed;
     }
 
-    /** Marks as failed the suspects whose suspicion timeout has ended. */
+    /** Marks each suspect whose suspicion timeout has ended as failed. */
     void expireSuspicions(long nowUs) {
         if (nowUs < nextExpiryCheckUs()) {
             return;
@@ -276,7 +284,10 @@
                 Status.FAILED, update.name(), update.incarnation(), update.addressIndex());
     }
 
-    /** When suspects are checked next, or {@link Long#MAX_VALUE} if there are none. */
+    /**
+     * Returns the time of the next check for expired suspicions, or {@link Long#MAX_VALUE} if no
+     * member is suspect.
+     */
     long nextExpiryCheckUs() {
         return view.hasSuspects()
                 ? lastExpiryCheckUs + (long) (EXPIRY_CHECK_INTERVAL_PERIODS * periodUs)
@@ -298,13 +309,14 @@
     }
 
     /**
-     * Extends all suspicions by the length of a stall, in which refutations could not be received.
+     * Extends all suspicions by the length of a stall of this process, during which it could not
+     * receive refutations.
      */
-    void onStall(long byUs) {
-        view.extendSuspicions(byUs);
+    void onStall(long stallUs) {
+        view.extendSuspicions(stallUs);
     }
 
-    /** Removes members that failed or left more than {@code afterUs} ago. */
+    /** Removes the members that failed or left more than {@code afterUs} ago. */
     void removeAbsent(long nowUs, long afterUs) {
         view.removeAbsentBefore(nowUs - afterUs);
     }
--- a/src/main/java/passhatch/fleet/MemberTable.java
+++ b/src/main/java/passhatch/fleet/MemberTable.java
@@ -5,9 +5,9 @@
 import java.util.stream.Stream;
 
 /**
- * Members by name, in the leaves of the digest tree. A leaf is an immutable array in the order of
- * the names' hashes: a change replaces it, so that copies of the table share the leaves that
- * neither has changed since.
+ * A table of members by name, divided into the leaves of the digest tree. Each leaf is an immutable
+ * array, sorted by the hashes of the names. A change replaces a leaf, so copies of the table share
+ * the leaves that neither copy has changed.
  */
 final class MemberTable {
 
@@ -21,7 +21,10 @@
         Arrays.fill(leaves, EMPTY);
     }
 
-    /** Creates a copy that shares unchanged leaves. */
+    /**
+     * Creates a copy of another table; the two tables share all leaves that neither of them
+     * changes.
+     */
     MemberTable(MemberTable other) {
         leaves = other.leaves.clone();
         size = other.size;
@@ -31,7 +34,7 @@
         return size;
     }
 
-    /** The member with this name, or null. */
+    /** Returns the member with a name, or null if there is none. */
     Member get(String name) {
         int hash = Names.hash(name);
         Member[] leaf = leaves[Digests.leafIndex(hash)];
@@ -59,7 +62,7 @@
         size++;
     }
 
-    /** Removes a member that is present. */
+    /** Removes a member, which must be in the table. */
     void remove(Member member) {
         int leafIndex = Digests.leafIndex(member.nameHash());
         Member[] leaf = leaves[leafIndex];
@@ -74,14 +77,14 @@
         return Arrays.asList(leaves[leafIndex]);
     }
 
-    /** All members; the table may change while they are iterated. */
+    /** Returns all members. The table may change while the stream is in use. */
     Stream<Member> all() {
         return Arrays.stream(leaves.clone()).flatMap(Arrays::stream);
     }
 
     /**
-     * The index of a name in a leaf, or a negative value as {@link Arrays#binarySearch(int[], int)}
-     * returns it.
+     * Returns the index of the member with a name in a leaf, or a negative value as {@link
+     * Arrays#binarySearch(int[], int)} returns it.
      */
     private static int find(Member[] leaf, int hash, String name) {
         int low = 0;
--- a/src/main/java/passhatch/fleet/Membership.java
+++ b/src/main/java/passhatch/fleet/Membership.java
@@ -9,10 +9,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The membership state machine of one process. It is given the time and the datagrams received,
- * sends through {@link FleetActions} and says when to wake it. It is single-threaded and never
- * blocks. After each call, {@link #wakeAtUs} is the time at which {@link #timer} must be called
- * next. The caller passes in all datagrams that wait at its socket before it calls the timer.
+ * The membership state machine of one process. The caller passes in the time and the datagrams
+ * received; the state machine sends datagrams through {@link FleetActions}. It is single-threaded
+ * and never blocks. After each call, {@link #wakeAtUs} returns the time at which {@link #timer}
+ * must be called next. Before the caller calls the timer, it passes in all datagrams that are
+ * queued at its socket.
  *
  * <p>Failure detection follows SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's local health
  * (Dadgar, Phillips, Currey, 2017), and anti-entropy reconciles the views. {@code
@@ -20,39 +21,51 @@
  */
 public final class Membership {
 
-    /** Heap that the membership of a proxy may use: a quarter of the memory allotted to control. */
+    /**
+     * Maximum heap that the membership of a proxy may use, in bytes: a quarter of the memory
+     * allotted to control.
+     */
     private static final int MAX_HEAP_BYTES = 32 << 20;
 
     /**
-     * Most bytes of heap that one member takes while updates about it are still queued. Removed
-     * members, whose last update is kept, take as much again at worst.
+     * Maximum heap that one member takes, in bytes, including the queued updates about it. In the
+     * worst case there are as many removed members, whose last updates are kept and take the same
+     * amount again.
      */
     private static final int BYTES_PER_MEMBER = 512;
 
-    /** Most members that one process tracks; updates about further members are ignored. */
+    /**
+     * Maximum number of members that one process tracks; updates about further members are ignored.
+     */
     public static final int MAX_MEMBERS = MAX_HEAP_BYTES / (2 * BYTES_PER_MEMBER);
 
-    /** Intervals in probe periods. */
+    /** Interval between two rounds of gossip, in probe periods. */
     private static final double GOSSIP_INTERVAL_PERIODS = 0.4;
 
+    /** Interval between two comparisons of views, in probe periods. */
     private static final double SYNC_INTERVAL_PERIODS = 4;
+
+    /** Interval between two probes in a small fleet, in probe periods. */
     private static final double SMALL_FLEET_PROBE_INTERVAL_PERIODS = 0.2;
+
+    /** A timer that runs later than this, in probe periods, counts as a stall of this process. */
     private static final double MIN_STALL_PERIODS = 0.5;
 
     /**
-     * Members that gossip is sent to at a time. More updates than fit into one datagram raise the
-     * number, up to the maximum and within the rate limit.
+     * Number of members that gossip is sent to in one round. If more updates are queued than fit
+     * into one datagram, the number is higher, up to {@link #MAX_GOSSIP_FANOUT} and within the rate
+     * limit.
      */
     private static final int GOSSIP_FANOUT = 3;
 
     private static final int MAX_GOSSIP_FANOUT = 6;
     private static final int UPDATES_PER_DATAGRAM = 8;
 
-    /** Members that a leaving process notifies at once. */
+    /** Number of members that a leaving process notifies immediately. */
     private static final int LEAVE_FANOUT = 8;
 
     /**
-     * With at most this many members present, the process probes more often in order to find
+     * If at most this many members are present, the process probes more often in order to find
      * others.
      */
     private static final int SMALL_FLEET_SIZE = 4;
@@ -71,7 +84,7 @@
     private FleetSettings settings;
     private long nowUs;
 
-    /** Total time by which the caller's clock has gone back. */
+    /** Total time by which the caller's clock has been set back. */
     private long clockSetbackUs;
 
     private long wakeAtUs;
@@ -85,8 +98,9 @@
     /**
      * Starts the membership of this process.
      *
-     * @param epoch durable, and greater than that of any earlier run unless the disk lost it
-     * @param random seeded by the caller; the only source of randomness
+     * @param epoch epoch of this run, which is already durable; greater than the epoch of any
+     *     earlier run unless the disk lost that epoch
+     * @param random the only source of randomness, seeded by the caller
      */
     public Membership(
             FleetSettings settings,
@@ -116,7 +130,8 @@
         Member own = view.add(self.currentUpdate(), nowUs);
         outbox.gossipQueue().add(own.lastUpdate());
         actions.memberChanged(null, own.info());
-        // Spreads the first probes of processes that start at the same moment.
+        // Starts the first probe after a random delay, so that processes that start together do not
+        // probe together.
         probeAtUs = nowUs + random.nextLong(periodsUs(1));
         gossipAtUs = probeAtUs;
         syncAtUs = nowUs + random.nextLong(periodsUs(SYNC_INTERVAL_PERIODS));
@@ -125,8 +140,8 @@
     }
 
     /**
-     * Builds the view of a process that knows exactly these members, each as it describes itself.
-     * It is a common start for views that agree, which share their state until they change.
+     * Builds a view of exactly these members, each as it describes itself. Several processes can
+     * start from this view; their views share their state until they change.
      */
     public static Snapshot snapshot(Collection<Membership> members, int addressCount) {
         View view = new View(addressCount);
@@ -134,7 +149,7 @@
         return new Snapshot(view);
     }
 
-    /** A view to start from; see {@link Membership#snapshot}. */
+    /** A view that several processes can start from; see {@link Membership#snapshot}. */
     public static final class Snapshot {
         private final View view;
 
@@ -143,7 +158,10 @@
         }
     }
 
-    /** Takes over the view of a snapshot that includes this process; none of it is gossiped. */
+    /**
+     * Replaces the view with that of a snapshot, which must include this process. The content of
+     * the snapshot is not gossiped.
+     */
     public void adopt(Snapshot snapshot) {
         view.adopt(snapshot.view);
         outbox.gossipQueue().clear();
@@ -151,7 +169,8 @@
     }
 
     /**
-     * Returns the probes, which the suspicion listener needs before the constructor has set them.
+     * Returns the probes. The suspicion listener calls this method because the field is not yet set
+     * when the constructor creates the listener.
      */
     private Probes probes() {
         return probes;
@@ -161,12 +180,12 @@
         return (long) (count * settings.probePeriodUs());
     }
 
-    /** When {@link #timer} must be called next, on the caller's clock. */
+    /** Returns the time at which {@link #timer} must be called next, on the caller's clock. */
     public long wakeAtUs() {
         return wakeAtUs - clockSetbackUs;
     }
 
-    /** Handles a datagram received from the address at this index of the address list. */
+    /** Handles a datagram that was received from the address at an index of the address list. */
     public void receive(long callerNowUs, int addressIndex, byte[] bytes) {
         advanceTime(callerNowUs);
         try {
@@ -177,7 +196,7 @@
         wakeAtUs = nextWakeUs();
     }
 
-    /** Counts a datagram that the caller dropped for this reason. */
+    /** Counts a datagram that the caller dropped. */
     public void countDropped(DropReason reason) {
         outbox.countDropped(reason);
     }
@@ -221,8 +240,9 @@
     }
 
     /**
-     * Returns the update that corrects a sender's view of itself, if it is not known as alive or a
-     * newer process has its name.
+     * Returns the update that this process has about a sender if it differs from what the sender
+     * says about itself, so that the sender can refute it. Returns an empty list if there is
+     * nothing to correct.
      */
     private List<MemberUpdate> correctionFor(MemberUpdate sender) {
         Member member = view.get(sender.name());
@@ -235,7 +255,10 @@
                 : List.of(known);
     }
 
-    /** Does what is due; to be called at {@link #wakeAtUs}. */
+    /**
+     * Runs all actions that are due, such as probes and gossip. Must be called at {@link
+     * #wakeAtUs}.
+     */
     public void timer(long callerNowUs) {
         advanceTime(callerNowUs);
         memberStates.expireSuspicions(nowUs);
@@ -262,8 +285,8 @@
         }
         if (nowUs >= syncAtUs && !self.leaving()) {
             List<Member> peers = probes.pickRandom(1, "");
-            boolean again = peers.isEmpty() || antiEntropy.startComparison(peers.get(0));
-            syncAtUs = nowUs + periodsUs(again ? GOSSIP_INTERVAL_PERIODS : SYNC_INTERVAL_PERIODS);
+            boolean soon = peers.isEmpty() || antiEntropy.startComparison(peers.get(0));
+            syncAtUs = nowUs + periodsUs(soon ? GOSSIP_INTERVAL_PERIODS : SYNC_INTERVAL_PERIODS);
         }
         if (nowUs >= removeAtUs) {
             memberStates.removeAbsent(nowUs, settings.forgetAfterUs());
@@ -273,9 +296,9 @@
     }
 
     /**
-     * Advances the time. If the caller's clock has gone back, time continues from where it was. If
-     * this process was stalled, replies had no chance to be received in time, so running probes are
-     * abandoned and suspicions extended.
+     * Advances the time. If the caller's clock was set back, time continues from the latest value.
+     * If this process was stalled, it could not receive replies in time, so running probes are
+     * abandoned and suspicions are extended.
      */
     private void advanceTime(long callerNowUs) {
         clockSetbackUs = Math.max(clockSetbackUs, nowUs - callerNowUs);
@@ -303,8 +326,8 @@
     }
 
     /**
-     * Announces that this process leaves. The caller keeps it running for about a second so that
-     * the other members receive the announcement.
+     * Announces that this process leaves. The caller must keep the process running for about a
+     * second so that the other members receive the announcement.
      */
     public void leave(long callerNowUs) {
         advanceTime(callerNowUs);
@@ -320,7 +343,7 @@
     /**
      * Switches to a new address list.
      *
-     * @param newIndexes for each index of the old list the index in the new list, or -1 if the
+     * @param newIndexes the index in the new list for each index of the old list, or -1 if the
      *     address was removed
      * @param ownAddressIndex index of this process's own address in the new list, or -1
      * @param addressCount length of the new list
@@ -336,64 +359,72 @@
         wakeAtUs = nextWakeUs();
     }
 
-    /** The name of this process. */
+    /** Returns the name of this process. */
     public String name() {
         return self.name();
     }
 
-    /** The current incarnation of this process. */
+    /** Returns the current incarnation of this process. */
     public Incarnation incarnation() {
         return self.incarnation();
     }
 
     /**
-     * Whether another, newer process has this one's name; this process then does not participate.
+     * Returns whether a newer process uses this process's name. If so, this process does not
+     * participate.
      */
     public boolean superseded() {
         return self.superseded();
     }
 
-    /** The index of a member in the address list, or -1 if it is not known. */
+    /**
+     * Returns the index of a member in the address list, or -1 if the member or its address is not
+     * known.
+     */
     public int addressIndex(String member) {
         Member known = view.get(member);
         return known == null ? -1 : known.addressIndex();
     }
 
-    /** How long a member has had its status, in microseconds. */
+    /** Returns how long a member has had its status, in microseconds. */
     public long statusAgeUs(MemberInfo member) {
         return nowUs - member.statusSinceUs();
     }
 
-    /** All known members in the order of their names, including this process. */
+    /** Returns all known members, including this process, sorted by name. */
     public List<MemberInfo> members() {
         return view.all().map(Member::info).sorted(Comparator.comparing(MemberInfo::name)).toList();
     }
 
-    /** The number of members that are alive or suspect, including this process. */
+    /** Returns the number of members that are alive or suspect, including this process. */
     public int presentCount() {
         return view.presentCount();
     }
 
-    /** Whether exactly these members are alive or suspect. */
+    /** Returns whether the members that are alive or suspect are exactly those with these names. */
     public boolean hasExactlyPresent(Set<String> names) {
         return view.presentCount() == names.size()
                 && names.stream().map(view::get).allMatch(m -> m != null && m.status().present());
     }
 
-    /** A digest of the view without suspicions; processes with equal digests have equal views. */
+    /**
+     * Returns a digest of the view that ignores suspicions. Processes with equal digests have equal
+     * views, apart from suspicions.
+     */
     public int digest() {
         return view.digests().rootDigest();
     }
 
     /**
-     * Counters since the start.
+     * Counters of this process since its start, and its health score.
      *
-     * @param localHealth 0 (healthy) to 8; the higher, the less this process trusts its own probes
-     * @param stalls how often a timer ran so late that the pending probes were abandoned
-     * @param received datagrams accepted
-     * @param sent datagrams sent
-     * @param sentBytes bytes of the datagrams sent
-     * @param dropped datagrams dropped on receipt or not sent, by reason
+     * @param localHealth health score from 0 (healthy) to 8; with a higher score, this process
+     *     relies less on its own probes
+     * @param stalls how often this process was stalled, so that its running probes were abandoned
+     * @param received number of datagrams accepted
+     * @param sent number of datagrams sent
+     * @param sentBytes total size of the datagrams sent
+     * @param dropped number of datagrams dropped on receipt or not sent, by reason
      */
     public record Metrics(
             int localHealth,
@@ -403,7 +434,7 @@
             long sentBytes,
             Map<DropReason, Long> dropped) {}
 
-    /** Returns the current counters. */
+    /** Returns the current values of the counters and the health score. */
     public Metrics metrics() {
         return new Metrics(
                 health.score(),
--- a/src/main/java/passhatch/fleet/Message.java
+++ b/src/main/java/passhatch/fleet/Message.java
@@ -5,10 +5,12 @@
 /**
  * The content of one datagram.
  *
- * @param sequenceNumber repeated in the replies to a request; 0 if there is none
- * @param target name of the member that a request is about, or empty
- * @param node of the digest tree: {@link Digests#ROOT}, an inner node or a leaf, by message type
- * @param digests of the node's children; empty except for {@link Type#SYNC}
+ * @param sequenceNumber number of a request, which its replies repeat; 0 if no reply needs to be
+ *     matched
+ * @param target name of the member that a probe or its reply is about, or empty
+ * @param node node number in the digest tree; the message type determines whether it is {@link
+ *     Digests#ROOT} or an inner node, or a leaf
+ * @param digests digests of the node's children; empty unless the type is {@link Type#SYNC}
  * @param sender the sender's update about itself
  * @param updates updates about other members, the most useful first
  */
@@ -21,26 +23,29 @@
         MemberUpdate sender,
         List<MemberUpdate> updates) {
 
-    /** Message types; their order is part of the wire format. */
+    /** The type of a message. The order of the types is part of the wire format. */
     enum Type {
         /** Requests an {@link #ACK}. */
         PING,
-        /** The sender, or the member that it was asked to ping, is alive. */
+        /** Confirms that the sender, or the member that the sender was asked to ping, is alive. */
         ACK,
-        /** The member that the sender was asked to ping did not answer. */
+        /** Reports that the member that the sender was asked to ping did not answer. */
         NACK,
-        /** Requests that the receiver ping the target. */
+        /** Asks the receiver to ping the target. */
         PING_REQUEST,
         /** Carries only updates. */
         GOSSIP,
         /**
-         * Digests of a part of the sender's view; the receiver replies with the level below if they
-         * differ.
+         * Carries digests of a part of the sender's view. Where they differ, the receiver replies
+         * with the next lower level of the tree.
          */
         SYNC,
-        /** All updates that the sender has in a leaf; requests the receiver's. */
+        /**
+         * Carries the updates that the sender has in a leaf, and asks the receiver for those that
+         * the sender lacks.
+         */
         LEAF,
-        /** Updates that the sender has in a leaf. */
+        /** Carries updates of a leaf in reply to {@link #LEAF}. */
         LEAF_ANSWER
     }
 }
--- a/src/main/java/passhatch/fleet/Outbox.java
+++ b/src/main/java/passhatch/fleet/Outbox.java
@@ -10,13 +10,17 @@
 final class Outbox {
 
     /**
-     * How often an update is gossiped, as a multiple of the decimal logarithm of the fleet's size.
+     * How many times an update is gossiped, as a multiple of the decimal logarithm of the fleet's
+     * size.
      */
     private static final double RETRANSMIT_FACTOR = 3;
 
     private static final int[] NO_DIGESTS = {};
 
-    /** Most datagrams for one list of updates; the rest is left to later comparisons. */
+    /**
+     * Maximum number of datagrams for one list of updates; later comparisons send the remaining
+     * updates.
+     */
     private static final int MAX_DATAGRAMS_PER_LIST = 3;
 
     private final Codec codec;
@@ -71,19 +75,19 @@
     }
 
     /**
-     * Sends a datagram without which a member could be taken for failed; {@code first} goes before
-     * the gossip.
+     * Sends a datagram whose omission could make a member appear failed. It may use the reserved
+     * part of the rate limit. The updates in {@code priorityUpdates} are placed before gossip.
      */
     void sendEssential(
             int addressIndex,
             Message.Type type,
             int sequenceNumber,
             String target,
-            List<MemberUpdate> first) {
-        send(addressIndex, type, sequenceNumber, target, 0, NO_DIGESTS, first, true);
+            List<MemberUpdate> priorityUpdates) {
+        send(addressIndex, type, sequenceNumber, target, 0, NO_DIGESTS, priorityUpdates, true);
     }
 
-    /** Sends gossip only. */
+    /** Sends a datagram that carries only gossip. */
     void sendGossip(int addressIndex) {
         send(addressIndex, Message.Type.GOSSIP, 0, "", 0, NO_DIGESTS, List.of(), false);
     }
@@ -92,7 +96,10 @@
         send(addressIndex, Message.Type.SYNC, 0, "", node, digests, List.of(), false);
     }
 
-    /** Sends the updates of a leaf in as many datagrams as they need, up to a limit. */
+    /**
+     * Sends the updates of a leaf in as many datagrams as they need, up to {@link
+     * #MAX_DATAGRAMS_PER_LIST}.
+     */
     void sendLeaf(int addressIndex, Message.Type type, int node, List<MemberUpdate> updates) {
         int sentUpdates = 0;
         for (int i = 0;
@@ -111,7 +118,10 @@
         }
     }
 
-    /** Returns how many of the first updates were sent. */
+    /**
+     * Sends a datagram with the updates in {@code priorityUpdates}, as far as they fit, and fills
+     * it up with gossip. Returns how many updates of {@code priorityUpdates} were sent.
+     */
     private int send(
             int addressIndex,
             Message.Type type,
@@ -119,7 +129,7 @@
             String target,
             int node,
             int[] digests,
-            List<MemberUpdate> first,
+            List<MemberUpdate> priorityUpdates,
             boolean essential) {
         if (!rateLimiter.tryAcquire(nowUs, Frame.MAX_BYTES, essential)) {
             countDropped(DropReason.BUDGET);
@@ -129,15 +139,15 @@
         Message message =
                 new Message(type, sequenceNumber, target, node, digests, ownUpdate.get(), updates);
         int remainingBytes = Frame.MAX_BYTES - codec.sizeWithoutUpdates(message);
-        int takenOfFirst = 0;
-        for (MemberUpdate update : first) {
+        int takenCount = 0;
+        for (MemberUpdate update : priorityUpdates) {
             int size = Codec.encodedSize(update);
             if (size > remainingBytes) {
                 break;
             }
             remainingBytes -= size;
             updates.add(update);
-            takenOfFirst++;
+            takenCount++;
         }
         updates.addAll(
                 gossipQueue.take(
@@ -148,6 +158,6 @@
         sentDatagrams++;
         sentBytes += bytes.length;
         actions.send(addressIndex, bytes);
-        return takenOfFirst;
+        return takenCount;
     }
 }
--- a/src/main/java/passhatch/fleet/ProbeOrder.java
+++ b/src/main/java/passhatch/fleet/ProbeOrder.java
@@ -3,16 +3,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Returns all addresses once, in a random order that needs no memory for each address: a Feistel
- * network permutes the numbers below a power of four, and numbers that are no address are skipped
- * (Black and Rogaway, "Ciphers with Arbitrary Finite Domains", 2002).
+ * Returns each address index once, in a random order that is computed without storing it. A Feistel
+ * network permutes the numbers below a power of four; numbers that are not an address index are
+ * skipped (Black and Rogaway, "Ciphers with Arbitrary Finite Domains", 2002).
  */
 final class ProbeOrder {
 
     private static final int ROUNDS = 6;
 
     /**
-     * Fewest bits of half a number; with fewer, some orders would be much more likely than others.
+     * Minimum number of bits in each half of a permuted number. With fewer bits, some orders would
+     * be much more likely than others.
      */
     private static final int MIN_HALF_BITS = 4;
 
@@ -30,7 +31,7 @@
         this.key = random.nextLong();
     }
 
-    /** The next address, or -1 after the last one. */
+    /** Returns the next address index, or -1 after the last one. */
     int next() {
         int end = 1 << 2 * halfBits;
         while (addressCount > 0 && position < end) {
@@ -55,7 +56,7 @@
         return left << halfBits | right;
     }
 
-    /** The finalizer of SplitMix64 (Steele, Lea, Flood, 2014). */
+    /** Mixes bits with the finalizer of SplitMix64 (Steele, Lea, Flood, 2014). */
     private int mix(int half, int round) {
         long x = key + GOLDEN_GAMMA * ((long) round << Integer.SIZE | half + 1L);
         x = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
--- a/src/main/java/passhatch/fleet/Probes.java
+++ b/src/main/java/passhatch/fleet/Probes.java
@@ -8,27 +8,28 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Probes one member after the other, in a new random order each round (SWIM 4.3): directly, several
- * times because datagrams get lost, and then indirectly through other members. Several probes may
- * run at a time. Only a reply with the probe's own sequence number counts, as other datagrams may
- * be minutes old.
+ * Probes one member after the other, in a new random order each round (SWIM 4.3). A probe pings its
+ * member directly, several times because datagrams get lost, and then indirectly through other
+ * members. Several probes may run at a time. Only a reply with the probe's own sequence number
+ * counts, because other datagrams may be minutes old.
  */
 final class Probes {
 
-    /**
-     * Intervals in probe periods: between two pings of a probe, until the indirect probe, and until
-     * the probe times out.
-     */
+    /** Interval between two pings of a probe, in probe periods. */
     private static final double RETRY_DELAY_PERIODS = 0.3;
 
+    /** Time from the start of a probe until it becomes indirect, in probe periods. */
     private static final double INDIRECT_DELAY_PERIODS = 0.9;
+
+    /** Time from the start of a probe until it times out, in probe periods, at full health. */
     private static final double PROBE_TIMEOUT_PERIODS = 2.4;
 
-    /** Members that are asked to ping the target of an indirect probe. */
+    /** Maximum number of members that are asked to ping the target of an indirect probe. */
     private static final int MAX_HELPERS = 4;
 
     /**
-     * How many of the members that receive a suspicion probe the suspect themselves, on average.
+     * Average number of members that probe a suspect themselves after they have received the
+     * suspicion.
      */
     private static final double EXPECTED_CONFIRMING_PROBES = 4;
 
@@ -110,7 +111,7 @@
         this.probeOrder = new ProbeOrder(view.addressCount(), random);
     }
 
-    /** Starts a new round over a changed address list and abandons all probes. */
+    /** Abandons all probes and starts a new round over a changed address list. */
     void onAddressesChanged(int newOwnAddressIndex) {
         ownAddressIndex = newOwnAddressIndex;
         probeOrder = new ProbeOrder(view.addressCount(), random);
@@ -118,7 +119,10 @@
         relayedProbes.clear();
     }
 
-    /** Starts the next probe, and pings at most one address at which no present member is known. */
+    /**
+     * Starts the next probe. Addresses without a present member are skipped on the way; at most one
+     * of them is pinged.
+     */
     void startNextProbe(long nowUs) {
         boolean absentPinged = false;
         for (int skipped = 0; skipped < MAX_SKIPPED_ADDRESSES; skipped++) {
@@ -133,8 +137,8 @@
             }
             if (!absentPinged) {
                 absentPinged = true;
-                // Tells the process at this address, if there is one, which status it has, so that
-                // it can refute that.
+                // Tells the process at this address, if there is one, which status it has here, so
+                // that the process can refute that status.
                 outbox.sendEssential(addressIndex, Message.Type.PING, 0, "", correctionFor(member));
             }
         }
@@ -144,8 +148,8 @@
     }
 
     /**
-     * The next address other than this process's own, in a new order after the last one; -1 if
-     * there is none.
+     * Returns the index of the next address other than this process's own, or -1 if there is none.
+     * A new round starts after the last address.
      */
     private int nextAddress() {
         int addressIndex = nextAddressOfRound();
@@ -163,7 +167,10 @@
                 : addressIndex;
     }
 
-    /** Probes a member whose address is not known, which only other members can ping. */
+    /**
+     * Probes one present member whose address is not known here, so that only other members can
+     * ping it.
+     */
     private void probeOneWithoutAddress(long nowUs) {
         List<Member> without =
                 view.all()
@@ -193,15 +200,18 @@
         }
     }
 
-    /** Returns the next sequence number; 0 is skipped, as it stands for none. */
+    /**
+     * Returns the next sequence number. It is never 0, which means that a message has no sequence
+     * number.
+     */
     private int nextSequenceNumber() {
         lastSequenceNumber = lastSequenceNumber + 1 == 0 ? 1 : lastSequenceNumber + 1;
         return lastSequenceNumber;
     }
 
     /**
-     * Called when others suspect a member. Some members probe it themselves, so that the suspicion
-     * does not depend on one process alone.
+     * Called when other members suspect a member. This process may then probe the suspect itself,
+     * so that the suspicion does not depend on one process alone.
      */
     void onSuspicion(long nowUs, Member suspect) {
         if (random.nextDouble() * Math.max(1, view.presentCount()) < EXPECTED_CONFIRMING_PROBES
@@ -279,7 +289,7 @@
 
     private void onTimeout(long nowUs, Probe probe) {
         if (probe.helperCount > 0 && probe.nackCount == 0) {
-            // No helper replied either, so this process probably does not receive datagrams
+            // No helper replied at all, so this process probably does not receive datagrams
             // reliably.
             health.degrade(1);
         }
@@ -290,8 +300,8 @@
     }
 
     /**
-     * Returns distinct present members with a known address, drawn at random; fewer than {@code
-     * count} if there are not enough.
+     * Returns up to {@code count} distinct present members with a known address, drawn at random,
+     * without this process and the member named {@code excluded}.
      */
     List<Member> pickRandom(int count, String excluded) {
         List<Member> picked = new ArrayList<>();
@@ -300,7 +310,7 @@
             addIfEligible(picked, view.memberAt(random.nextInt(addressCount)), excluded);
         }
         if (picked.isEmpty()) {
-            // Few of many addresses are in use.
+            // Only few of the many addresses are in use, so all of them are searched in order.
             for (int i = 0; i < addressCount && picked.size() < count; i++) {
                 addIfEligible(picked, view.memberAt(i), excluded);
             }
@@ -319,7 +329,7 @@
         }
     }
 
-    /** Handles a request to ping a member on behalf of the sender. */
+    /** Handles another process's request to ping a member on its behalf. */
     void onPingRequest(long nowUs, int requesterIndex, Message request) {
         Member target = view.get(request.target());
         if (target == null
@@ -356,18 +366,17 @@
     }
 
     /**
-     * Handles an acknowledgement.
+     * Handles an acknowledgement of a ping.
      *
-     * @param senderIndex index of the address from which it was received
-     * @param current whether its sender has the incarnation that this process knows, so that it is
-     *     not an earlier run
+     * @param senderIndex index of the address from which the acknowledgement was received
+     * @param current whether the sender is the run that this process knows, and not an earlier one
      */
     void onAck(int senderIndex, Message ack, boolean current) {
         Probe probe = runningProbes.get(ack.sequenceNumber());
         if (probe != null && (probe.addressIndex != senderIndex || current)) {
             runningProbes.remove(ack.sequenceNumber());
-            // Another process at that address proves nothing about the member, so it does not
-            // improve the health score.
+            // An answer of another process at the same address says nothing about the member, so it
+            // does not improve the health score.
             if (probe.addressIndex != senderIndex || ack.sender().name().equals(probe.name)) {
                 health.recover();
             }
@@ -384,7 +393,7 @@
         }
     }
 
-    /** Counts a helper that did not reach the member either. */
+    /** Handles a helper's report that the target did not answer the helper either. */
     void onNack(Message nack) {
         Probe probe = runningProbes.get(nack.sequenceNumber());
         if (probe != null) {
@@ -392,13 +401,16 @@
         }
     }
 
-    /** Abandons all probes, as replies may have been missed while this process was stalled. */
+    /** Abandons all probes, because this process may have missed replies while it was stalled. */
     void onStall() {
         runningProbes.clear();
         relayedProbes.clear();
     }
 
-    /** When the next action is due, or {@link Long#MAX_VALUE} if there is none. */
+    /**
+     * Returns the time at which the next ping or timeout is due, or {@link Long#MAX_VALUE} if no
+     * probe runs.
+     */
     long nextActionAtUs() {
         long actionUs = Long.MAX_VALUE;
         for (Probe probe : runningProbes.values()) {
--- a/src/main/java/passhatch/fleet/RateLimiter.java
+++ b/src/main/java/passhatch/fleet/RateLimiter.java
@@ -1,9 +1,12 @@
 package passhatch.fleet;
 
-/** A token bucket for the bytes sent: it holds at most one second's worth and refills steadily. */
+/**
+ * A token bucket that limits the bytes sent. It holds at most the bytes of one second and refills
+ * steadily.
+ */
 final class RateLimiter {
 
-    /** Fraction of one second's worth that is reserved for essential datagrams. */
+    /** Fraction of the bucket's capacity that is reserved for essential datagrams. */
     private static final double RESERVED_FRACTION = 0.25;
 
     private final long bytesPerSecond;
@@ -15,7 +18,10 @@
         this.availableBytes = bytesPerSecond;
     }
 
-    /** Takes the bytes of a datagram from the bucket; returns false if there are too few. */
+    /**
+     * Takes the bytes of a datagram from the bucket. Returns false and takes nothing if the bucket
+     * holds too few.
+     */
     boolean tryAcquire(long nowUs, int bytes, boolean essential) {
         availableBytes =
                 Math.min(
@@ -29,7 +35,7 @@
         return true;
     }
 
-    /** Returns bytes that were taken and not sent. */
+    /** Puts bytes that were taken but not sent back into the bucket. */
     void refund(int bytes) {
         availableBytes += bytes;
     }
--- a/src/main/java/passhatch/fleet/View.java
+++ b/src/main/java/passhatch/fleet/View.java
@@ -7,18 +7,18 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/**
- * All members that this process knows, including itself, and the address of each as far as it is
- * known.
- */
+/** All members that this process knows, including itself, and their addresses as far as known. */
 final class View {
 
-    /** Most members; updates about further ones are ignored. */
+    /** Maximum number of members; updates about further ones are ignored. */
     static final int MAX_MEMBERS = Membership.MAX_MEMBERS;
 
     private final Set<String> suspects = new LinkedHashSet<>();
 
-    /** The last update of each removed member, so that an old update does not add it again. */
+    /**
+     * The last update about each removed member, kept so that an older update does not add the
+     * member again.
+     */
     private final Map<String, MemberUpdate> lastUpdatesOfRemoved =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1L;
@@ -34,14 +34,19 @@
     private Digests digests = new Digests();
     private int presentCount;
 
-    /** No member that failed or left did so before this time. */
+    /**
+     * Lower bound on the times at which the members that are now failed or left took that status.
+     */
     private long earliestAbsenceUs = Long.MAX_VALUE;
 
     View(int addressCount) {
         addressTable = new AddressTable(addressCount);
     }
 
-    /** Takes over the content of another view and shares its state until either changes. */
+    /**
+     * Replaces the content of this view with that of another one. The two views share their state
+     * until either of them changes.
+     */
     void adopt(View other) {
         members = new MemberTable(other.members);
         addressTable = new AddressTable(other.addressTable);
@@ -64,7 +69,7 @@
         return members.membersOfLeaf(leafIndex);
     }
 
-    /** The members that are suspect now; the view may change while the list is iterated. */
+    /** Returns the members that are suspect now. The view may change while the list is iterated. */
     List<Member> suspects() {
         return suspects.stream().map(members::get).toList();
     }
@@ -73,16 +78,16 @@
         return !suspects.isEmpty();
     }
 
-    /** Extends all suspicions by the time for which this process was stalled. */
-    void extendSuspicions(long byUs) {
-        suspects().forEach(m -> members.put(m.withStatusDelayed(byUs)));
+    /** Extends all suspicions by the length of a stall of this process. */
+    void extendSuspicions(long stallUs) {
+        suspects().forEach(m -> members.put(m.withStatusDelayed(stallUs)));
     }
 
     Digests digests() {
         return digests;
     }
 
-    /** The number of members that are alive or suspect, including this process. */
+    /** Returns the number of members that are alive or suspect, including this process. */
     int presentCount() {
         return presentCount;
     }
@@ -91,18 +96,21 @@
         return addressTable.length();
     }
 
-    /** The member at an address, or null. */
+    /** Returns the member at an index of the address list, or null if none is known. */
     Member memberAt(int addressIndex) {
         String name = addressTable.get(addressIndex);
         return name == null ? null : members.get(name);
     }
 
-    /** The last update of a removed member, or null. */
+    /** Returns the last update about a removed member, or null if no such member was removed. */
     MemberUpdate lastUpdateOfRemoved(String name) {
         return lastUpdatesOfRemoved.get(name);
     }
 
-    /** Adds a member and returns it, or returns null if there are too many. */
+    /**
+     * Adds a member and returns it, or returns null if the view already has the maximum number of
+     * members.
+     */
     Member add(MemberUpdate update, long nowUs) {
         if (members.size() >= MAX_MEMBERS) {
             return null;
@@ -114,7 +122,7 @@
         return placeByHint(member);
     }
 
-    /** Replaces the last update of a member and returns the changed member. */
+    /** Replaces the last update about a member and returns the changed member. */
     Member change(Member member, MemberUpdate update, long nowUs) {
         Member changed = member.withUpdate(update, nowUs);
         adjustCounts(member, -1);
@@ -140,8 +148,8 @@
     }
 
     /**
-     * Uses the index in the member's own address list for a member of which nothing was received
-     * directly.
+     * Places a member at the index that it announces for itself, if its address is not yet known
+     * and no other member is placed there.
      */
     private Member placeByHint(Member member) {
         int hintIndex = member.lastUpdate().addressIndex();
@@ -173,24 +181,26 @@
         return moved;
     }
 
-    /** Removes the members that failed or left before a time. */
-    void removeAbsentBefore(long us) {
-        if (earliestAbsenceUs >= us) {
+    /** Removes the members that failed or left before a given time. */
+    void removeAbsentBefore(long timeUs) {
+        if (earliestAbsenceUs >= timeUs) {
             return;
         }
         earliestAbsenceUs = Long.MAX_VALUE;
-        members.all().filter(m -> !m.status().present()).forEach(m -> removeIfAbsentBefore(m, us));
+        members.all()
+                .filter(m -> !m.status().present())
+                .forEach(m -> removeIfAbsentBefore(m, timeUs));
     }
 
-    private void removeIfAbsentBefore(Member absent, long us) {
-        if (absent.statusSinceUs() < us) {
+    private void removeIfAbsentBefore(Member absent, long timeUs) {
+        if (absent.statusSinceUs() < timeUs) {
             remove(absent);
         } else {
             earliestAbsenceUs = Math.min(earliestAbsenceUs, absent.statusSinceUs());
         }
     }
 
-    /** Removes a member and keeps its last update. */
+    /** Removes a member but keeps the last update about it. */
     private void remove(Member member) {
         digests.toggle(member.lastUpdate());
         members.remove(member);
@@ -202,7 +212,8 @@
     }
 
     /**
-     * Switches to a new address list; {@code newIndexes} has -1 for addresses that were removed.
+     * Switches to a new address list. {@code newIndexes} gives the new index for each old one, or
+     * -1 for an address that was removed.
      */
     void remap(int[] newIndexes, int addressCount) {
         AddressTable previous = addressTable;
--- a/src/main/java/passhatch/fleet/package-info.java
+++ b/src/main/java/passhatch/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Membership among the processes of the program, as a state machine without clock, threads, sockets
- * or files.
+ * Implements membership among the processes of the program, as a state machine that uses no clock,
+ * threads, sockets or files.
  */
 package passhatch.fleet;
--- a/src/main/java/passhatch/lab/distribution/ConsistencyChecker.java
+++ b/src/main/java/passhatch/lab/distribution/ConsistencyChecker.java
@@ -14,13 +14,13 @@
 import passhatch.distribution.LogEntry;
 
 /**
- * Checks the invariants of docs/distribution.md at every event. It relies on the records forced to
- * disk and the versions that processes report as applied, not on the state machines' own
- * bookkeeping.
+ * Checks the invariants of docs/distribution.md at every event of a simulation. The checks use the
+ * records forced to disk and the versions that processes report as applied, and are independent of
+ * the internal state of the state machines.
  */
 public final class ConsistencyChecker implements Observer {
 
-    /** The epoch and versions that one process has reported since its start. */
+    /** The epoch, the version and the versions of the keys that one process last reported. */
     private static final class AppliedState {
         private long epoch;
         private long version;
@@ -37,19 +37,19 @@
     private final Map<Submitted, LogEntry> submittedEntries = new HashMap<>();
     private long reportedChanges;
 
-    /** Creates a checker for runs in which only these keys are changed. */
+    /** Creates a checker for runs in which only the given keys are changed. */
     public ConsistencyChecker(Set<String> keys) {
         this.keys = Set.copyOf(keys);
     }
 
-    /** Adds entries that are committed when the run begins. */
+    /** Adds entries that are already committed when the run begins. */
     public void preload(long epoch, List<LogEntry> entries) {
         entries.forEach(entry -> committedEntries(epoch).put(entry.version(), entry));
     }
 
     /**
-     * Records that the operator has raised the epoch. The log of the most complete remaining
-     * replica, up to and including {@code lastVersion}, continues in the new epoch.
+     * Records that the operator has raised the epoch. The new epoch begins with the log of the most
+     * complete remaining replica, up to and including {@code lastVersion}.
      */
     public void recordRaisedEpoch(long from, long to, long lastVersion) {
         committedEntries(to).putAll(committedEntries(from).headMap(lastVersion, true));
@@ -65,7 +65,7 @@
         submittedEntries.put(new Submitted(leader, version), new LogEntry(version, 0, key, value));
     }
 
-    /** Returns how many submitted changes were reported as committed. */
+    /** Returns how many submitted changes the leaders have reported as committed. */
     public long reportedChanges() {
         return reportedChanges;
     }
@@ -225,13 +225,19 @@
         require(same, node, "reports " + expected + " as made; committed is " + entry);
     }
 
-    /** The outcome of changes submitted to this leader in an earlier term is unknown. */
+    /**
+     * Forgets the changes submitted to this leader in an earlier term, because their outcome is
+     * unknown.
+     */
     @Override
     public void leaseGranted(Node leader) {
         submittedEntries.keySet().removeIf(change -> change.leader() == leader);
     }
 
-    /** Checks that a node holds the newest state of the keys that it subscribes to. */
+    /**
+     * Requires that a node runs and has the newest committed values of all keys that it should
+     * hold: those of its services for a subscriber, and otherwise all keys.
+     */
     public void requireConverged(Node node, long epoch) {
         require(node.isUp(), node, "does not run");
         Map<String, String> expected = committedValues(epoch);
--- a/src/main/java/passhatch/lab/distribution/DistributionCommand.java
+++ b/src/main/java/passhatch/lab/distribution/DistributionCommand.java
@@ -12,7 +12,10 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command {@code distribution}, which simulates changes with random faults, by seed. */
+/**
+ * The command {@code distribution}, which simulates the distribution of changes with random faults.
+ * The seed determines the faults.
+ */
 @Command(
         name = "distribution",
         mixinStandardHelpOptions = true,
--- a/src/main/java/passhatch/lab/distribution/Fleet.java
+++ b/src/main/java/passhatch/lab/distribution/Fleet.java
@@ -20,7 +20,7 @@
     /** The epoch in which a simulation starts. */
     public static final long INITIAL_EPOCH = 1;
 
-    /** The term of the entries that are on disks at the start. */
+    /** The term of the entries that are on the disks at the start. */
     public static final long INITIAL_TERM = 1;
 
     private static final List<String> SETTING_NAMES =
@@ -30,7 +30,8 @@
      * The size and structure of a fleet.
      *
      * @param replicas number of replicas
-     * @param regions number of regions; replicas are in different ones as far as there are enough
+     * @param regions number of regions; the replicas are in different regions if there are enough
+     *     regions
      * @param zones number of zones over all regions; each has one relay
      * @param subscribers number of subscribers over all zones
      * @param services number of services
@@ -51,7 +52,10 @@
     private final List<String> replicaNames;
     private final List<LogEntry> initialEntries = new ArrayList<>();
 
-    /** Creates a fleet whose subscriptions are drawn by seed; each key has been set once. */
+    /**
+     * Creates a fleet in which each key has been set once. The subscriptions are drawn at random
+     * from a seed.
+     */
     public Fleet(Shape shape, long seed) {
         this.shape = shape;
         random = new Seeds(seed).stream("subscriptions");
@@ -61,12 +65,12 @@
         }
     }
 
-    /** Returns its shape. */
+    /** Returns the size and structure of this fleet. */
     public Shape shape() {
         return shape;
     }
 
-    /** Returns all keys. */
+    /** Returns the keys of all services and of the whole fleet. */
     public Set<String> keys() {
         Set<String> keys = new TreeSet<>();
         for (int service = 0; service < shape.services(); service++) {
@@ -83,7 +87,7 @@
         return initialEntries;
     }
 
-    /** Adds all nodes to a simulation; they do not run yet. */
+    /** Adds all nodes to a simulation. The nodes do not run yet. */
     public void addNodesTo(Simulation simulation) {
         for (int i = 0; i < shape.replicas(); i++) {
             // Zones are assigned to the regions in turn, so the first ones are in different
@@ -128,7 +132,10 @@
         simulation.add(location, settings);
     }
 
-    /** Returns all replicas in order, starting with one in the zone's region if there is one. */
+    /**
+     * Returns the names of all replicas in the order in which a relay of a zone prefers them: the
+     * first is in the zone's region if any replica is there.
+     */
     private List<String> replicasForRelay(int zone) {
         List<String> ordered = new ArrayList<>();
         for (int i = 0; i < replicaNames.size(); i++) {
@@ -141,7 +148,9 @@
         return "relay-" + zone;
     }
 
-    /** Returns another zone of the same region, or the zone itself if there is none. */
+    /**
+     * Returns another zone of the same region, or the zone itself if its region has no other zone.
+     */
     private int neighbourZone(int zone) {
         int next = zone + shape.regions();
         return next < shape.zones() ? next : zone % shape.regions();
@@ -159,7 +168,10 @@
         return "service-" + service;
     }
 
-    /** Returns the records of a disk that holds all initial entries the node subscribes to. */
+    /**
+     * Returns the initial records on a node's disk, with the initial entries of all keys that the
+     * node should hold.
+     */
     public List<DiskRecord> initialDisk(Node node) {
         List<DiskRecord> records = new ArrayList<>();
         if (node.role() == Role.REPLICA) {
--- a/src/main/java/passhatch/lab/distribution/Network.java
+++ b/src/main/java/passhatch/lab/distribution/Network.java
@@ -5,7 +5,7 @@
 import java.util.function.BiPredicate;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Decides for each datagram whether it arrives, how often and when. */
+/** A simulated network, which decides for each datagram whether, how often and when it arrives. */
 public final class Network {
 
     private static final long SAME_ZONE_LATENCY_US = 500;
@@ -29,7 +29,7 @@
     private final Set<BiPredicate<Node, Node>> blocked = new HashSet<>();
     private Quality quality;
 
-    /** Creates a network; the latency between each two regions is drawn once. */
+    /** Creates a network. The latency between each pair of regions is drawn once, at random. */
     public Network(UniformRandomProvider random, int regions, Quality quality) {
         this.random = random;
         this.quality = quality;
@@ -46,17 +46,20 @@
         }
     }
 
-    /** Sets loss, duplication and delay from now on. */
+    /** Sets the loss, duplication and delay of datagrams from now on. */
     public void setQuality(Quality quality) {
         this.quality = quality;
     }
 
-    /** Drops all datagrams whose sender and receiver match, until {@link #unblock}. */
+    /**
+     * Drops all datagrams whose sender and receiver satisfy the predicate, until {@link #unblock}
+     * is called with the same predicate.
+     */
     public void block(BiPredicate<Node, Node> fromTo) {
         blocked.add(fromTo);
     }
 
-    /** Ends a {@link #block}. */
+    /** Ends the {@link #block} with the given predicate. */
     public void unblock(BiPredicate<Node, Node> fromTo) {
         blocked.remove(fromTo);
     }
@@ -66,7 +69,10 @@
         blocked.clear();
     }
 
-    /** Returns whether no block applies to datagrams from one node to another. */
+    /**
+     * Returns whether datagrams can pass from one node to another, that is, no block applies to
+     * them.
+     */
     public boolean connects(Node from, Node to) {
         for (BiPredicate<Node, Node> block : blocked) {
             if (block.test(from, to)) {
--- a/src/main/java/passhatch/lab/distribution/Node.java
+++ b/src/main/java/passhatch/lab/distribution/Node.java
@@ -11,20 +11,20 @@
 import passhatch.distribution.Message;
 import passhatch.distribution.Participant;
 
-/** A simulated process with its disk. */
+/** A simulated process and its disk. */
 public final class Node implements DistributionActions {
 
-    /** How the disk handles records that are to be forced. */
+    /** How the disk handles records when the process forces them to disk. */
     public enum DiskMode {
         /** The records are stored. */
         WORKING,
-        /** The records are not stored, and the process gets an error. */
+        /** The records are not stored, and the process is told of the failure. */
         FAILING,
-        /** The records are not stored, but the process gets a success. */
+        /** The records are not stored, but the process is told that they are. */
         LYING,
-        /** The process is killed before the records are stored. */
+        /** The process is killed before it has stored the records. */
         CRASH_BEFORE,
-        /** The process is killed after the records are stored. */
+        /** The process is killed after it has stored the records. */
         CRASH_AFTER
     }
 
@@ -51,52 +51,52 @@
         this.random = random;
     }
 
-    /** Returns its address, which is unique. */
+    /** Returns this node's address, which is unique. */
     public String address() {
         return settings.self();
     }
 
-    /** Returns its settings. */
+    /** Returns this node's settings. */
     public DistributionSettings settings() {
         return settings;
     }
 
-    /** Sets the settings used at its next start. */
+    /** Sets the settings that the process uses from its next start on. */
     public void setSettings(DistributionSettings settings) {
         this.settings = settings;
     }
 
-    /** Returns its role. */
+    /** Returns this node's role. */
     public Role role() {
         return settings.role();
     }
 
-    /** Returns its location. */
+    /** Returns this node's location. */
     public Location location() {
         return location;
     }
 
-    /** Returns the records on its disk. */
+    /** Returns the records on this node's disk. */
     public List<DiskRecord> disk() {
         return disk;
     }
 
-    /** Replaces the records on its disk. */
+    /** Replaces the records on this node's disk. */
     public void setDisk(List<DiskRecord> records) {
         disk = new ArrayList<>(records);
     }
 
-    /** Sets how its disk handles records from now on. */
+    /** Sets how this node's disk handles records from now on. */
     public void setDiskMode(DiskMode mode) {
         diskMode = mode;
     }
 
-    /** Returns its state machine; null while the process does not run. */
+    /** Returns this node's state machine, or null while the process does not run. */
     public Participant participant() {
         return participant;
     }
 
-    /** Returns whether the process runs; it may be paused. */
+    /** Returns whether the process runs. A paused process counts as running. */
     public boolean isUp() {
         return participant != null;
     }
@@ -105,7 +105,7 @@
         return simulation.nowUs() < pausedUntilUs;
     }
 
-    /** Returns the time spent in calls to the state machine, in nanoseconds. */
+    /** Returns the real time spent in calls to the state machine, in nanoseconds. */
     public long busyNanos() {
         return busyNanos;
     }
@@ -139,15 +139,16 @@
     }
 
     /**
-     * Pauses the process for this time, in microseconds. Datagrams and timers wait until it ends.
+     * Pauses the process for a time in microseconds. Datagrams and timers are delayed until the
+     * pause ends.
      */
     public void pause(long durationUs) {
         pausedUntilUs = simulation.nowUs() + durationUs;
     }
 
     /**
-     * Replaces the records on its disk by those of a snapshot, if the process runs and the disk
-     * works.
+     * Replaces the records on this node's disk with those of a snapshot, if the process runs and
+     * the disk works.
      */
     public void compact() {
         if (participant != null && diskMode == DiskMode.WORKING && !participant.diskFailed()) {
@@ -155,7 +156,7 @@
         }
     }
 
-    /** Invokes an action on the state machine, if the process runs. */
+    /** Runs an action on the state machine, if the process runs. */
     public void invoke(Consumer<Participant> action) {
         if (participant == null) {
             return;
--- a/src/main/java/passhatch/lab/distribution/Observer.java
+++ b/src/main/java/passhatch/lab/distribution/Observer.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import passhatch.distribution.DiskRecord;
 
-/** Observes the events of a simulation, in order. */
+/** Listener for the events of a simulation, which are reported in order. */
 public interface Observer {
 
-    /** Called when a process has started or restarted from its disk. */
+    /** Called when a process has started or restarted from the records on its disk. */
     default void started(Node node) {}
 
     /** Called before a replica is granted the lease in a new term. */
@@ -15,10 +15,10 @@
     /** Called when records have been forced to a node's disk. */
     default void recordsForced(Node node, List<DiskRecord> records) {}
 
-    /** Called when the state applied at a node has reached a version. */
+    /** Called when a node has applied all changes up to a version. */
     default void versionApplied(Node node, long epoch, long version) {}
 
-    /** Called when a leader reports a change submitted to it as committed. */
+    /** Called when a leader reports that a change submitted to it is committed. */
     default void commitReported(Node node, long version) {}
 
     /** Called when a datagram is sent. */
--- a/src/main/java/passhatch/lab/distribution/RandomFaults.java
+++ b/src/main/java/passhatch/lab/distribution/RandomFaults.java
@@ -7,7 +7,7 @@
 import passhatch.distribution.DistributionSettings.Role;
 import passhatch.lab.distribution.Node.DiskMode;
 
-/** Injects random faults until a given time, then repairs all of them. */
+/** Injects random faults until a given time, and then repairs all of them. */
 final class RandomFaults {
 
     private static final long SECOND_US = 1_000_000;
--- a/src/main/java/passhatch/lab/distribution/RandomRun.java
+++ b/src/main/java/passhatch/lab/distribution/RandomRun.java
@@ -8,8 +8,8 @@
 import passhatch.lab.Seeds;
 
 /**
- * A run of a small fleet with changes and random faults, all by seed, after which it has to
- * converge.
+ * A simulated run of a small fleet with changes and random faults, which the seed determines. At
+ * the end, all nodes must converge.
  */
 public final class RandomRun {
 
@@ -18,22 +18,29 @@
     private static final long CHANGE_PERIOD_US = FAULT_PERIOD_US + 10 * SECOND_US;
 
     /**
-     * Time from the last change until all nodes have the same state; much longer than the lease.
+     * Maximum time from the last change until all nodes have the same state; much longer than the
+     * lease.
      */
     private static final long CONVERGENCE_TIMEOUT_US = 15 * SECOND_US;
 
-    /** Several times the number of datagrams that a run sends. */
+    /** Maximum number of datagrams in a run; several times as many as a run normally sends. */
     private static final long MAX_DATAGRAMS = 400_000;
 
     private static final long MEAN_CHANGE_INTERVAL_US = 150_000;
+
+    /** Exclusive upper bound on the number of changes in a burst. */
     private static final int BURST_SIZE_BOUND = 60;
+
+    /** On average, one in this many submissions is a burst of several changes. */
     private static final int SUBMISSIONS_PER_BURST = 50;
+
+    /** On average, one in this many changes deletes its key. */
     private static final int CHANGES_PER_DELETION = 6;
 
     /**
      * The outcome of a run.
      *
-     * @param violation the invariant that did not hold, or null
+     * @param violation description of the invariant that did not hold, or null if all held
      * @param submitted number of changes that a leader accepted
      * @param reported number of changes that were reported as committed
      */
@@ -71,7 +78,7 @@
                         simulation, checker, lease, seeds.stream("faults"), FAULT_PERIOD_US);
     }
 
-    /** Runs one seed. */
+    /** Runs the simulation for one seed. */
     public static Outcome run(long seed) {
         RandomRun run = new RandomRun(seed);
         String violation = null;
@@ -130,7 +137,8 @@
                     try {
                         versions.add(p.submit(simulation.nowUs(), key, value, -1));
                     } catch (InvalidChangeException rejected) {
-                        // Allowed at any time: the node leads no longer, or too many changes wait.
+                        // A rejection is allowed at any time: the node may no longer be the leader,
+                        // or too many changes may be pending.
                     }
                 });
         for (long version : versions) {
--- a/src/main/java/passhatch/lab/distribution/ReplicaDiskView.java
+++ b/src/main/java/passhatch/lab/distribution/ReplicaDiskView.java
@@ -6,14 +6,15 @@
 import passhatch.distribution.LogEntry;
 
 /**
- * The log on a replica's disk, derived from the forced records independently of the product's code.
+ * The log on a replica's disk. It is derived from the forced records without the product's code, so
+ * that the product can be checked against it.
  */
 final class ReplicaDiskView {
 
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private long baseVersion;
 
-    /** Applies a record. Returns the entries that it removes from the log. */
+    /** Applies a record. Returns the entries that the record removes from the log. */
     NavigableMap<Long, LogEntry> apply(DiskRecord record) {
         NavigableMap<Long, LogEntry> removed = new TreeMap<>();
         if (record instanceof DiskRecord.Appended of) {
@@ -29,7 +30,10 @@
         return removed;
     }
 
-    /** Returns whether a version is part of the state at which the log begins. */
+    /**
+     * Returns whether a version is covered by the state with which the log begins, so that the log
+     * has no entry for it.
+     */
     boolean isInBase(long version) {
         return version <= baseVersion;
     }
--- a/src/main/java/passhatch/lab/distribution/SimulatedLease.java
+++ b/src/main/java/passhatch/lab/distribution/SimulatedLease.java
@@ -4,9 +4,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Simulates the lease of the duty {@code changes}: it makes one replica the leader, and another one
- * if the first is down or makes no progress. Terms strictly increase. {@link #grantWithoutRevoking}
- * simulates a faulty lease: the previous holder is not notified.
+ * Simulates the lease of the duty {@code changes}: it grants the lease to one replica, and to
+ * another one if the holder is down or makes no progress. Terms strictly increase. {@link
+ * #grantWithoutRevoking} simulates a faulty lease: the previous holder is not notified.
  */
 public final class SimulatedLease {
 
@@ -23,7 +23,10 @@
     private long term;
     private long stalledSinceUs = Long.MAX_VALUE;
 
-    /** Creates a lease for these replicas; the terms that it grants start after {@code term}. */
+    /**
+     * Creates a lease that one of the given replicas can hold. The terms that it grants are greater
+     * than {@code term}.
+     */
     public SimulatedLease(
             Simulation simulation, List<Node> replicas, UniformRandomProvider random, long term) {
         this.simulation = simulation;
@@ -33,7 +36,7 @@
         simulation.setStepDownListener(this::steppedDown);
     }
 
-    /** Grants the first lease and starts checking its holder. */
+    /** Grants the first lease and starts checking its holder at intervals. */
     public void start() {
         checkHolder();
     }
@@ -48,7 +51,9 @@
         return holder;
     }
 
-    /** Grants the next term to a replica, although another one may hold the lease. */
+    /**
+     * Grants the lease to a replica in the next term, although another replica may still hold it.
+     */
     public void grantWithoutRevoking(Node replica) {
         long newTerm = ++term;
         simulation.observer().leaseGranted(replica);
--- a/src/main/java/passhatch/lab/distribution/Simulation.java
+++ b/src/main/java/passhatch/lab/distribution/Simulation.java
@@ -16,26 +16,28 @@
 import passhatch.lab.sim.EventQueue;
 
 /**
- * Simulates the processes of the distribution in virtual time. All random draws depend on the seed
- * only, so a run can be repeated.
+ * Simulates the processes of the distribution of changes in virtual time. All random values depend
+ * only on the seed, so a run can be repeated.
  */
 public final class Simulation {
 
     private static final String FLEET_NAME = "simulated";
 
-    /** Replaces or drops messages in transit, to simulate a faulty process. */
+    /**
+     * Interceptor that replaces or drops messages when they are sent, to simulate a faulty process.
+     */
     public interface MessageInterceptor {
-        /** Returns the message to send in place of this one; null drops it. */
+        /** Returns the message to send instead of the given one, or null to drop it. */
         Message onSend(Node from, Node to, Message message);
     }
 
-    /** How closely datagrams and disks are simulated. */
+    /** How exactly datagrams and disks are simulated. */
     public enum Fidelity {
         /** Each datagram is encoded and decoded; disks keep their records. */
         FULL,
         /**
-         * Each datagram is encoded, but only one in {@code DECODE_ONE_IN} is decoded; disks do not
-         * keep forced records.
+         * Each datagram is encoded, but only one in {@link #DATAGRAMS_PER_DECODING} is decoded.
+         * Disks do not keep forced records.
          */
         SAMPLED
     }
@@ -73,19 +75,19 @@
         return nodes.values();
     }
 
-    /** Returns the node with an address, or null if there is none. */
+    /** Returns the node with the given address, or null if there is none. */
     public Node node(String address) {
         return nodes.get(address);
     }
 
-    /** Returns the nodes with a role. */
+    /** Returns all nodes with the given role. */
     public List<Node> nodes(Role role) {
         List<Node> matching = new ArrayList<>();
         nodes.values().stream().filter(node -> node.role() == role).forEach(matching::add);
         return matching;
     }
 
-    /** Returns the network between the nodes. */
+    /** Returns the network that connects the nodes. */
     public Network network() {
         return network;
     }
@@ -103,7 +105,7 @@
         this.interceptor = interceptor;
     }
 
-    /** Sets the listener that is called when a leader steps down, with its term. */
+    /** Sets the listener that is called with the node and its term when a leader steps down. */
     public void setStepDownListener(BiConsumer<Node, Long> listener) {
         stepDownListener = listener;
     }
@@ -117,17 +119,17 @@
         return queue.nowUs();
     }
 
-    /** Schedules an action at a time, in microseconds. */
+    /** Schedules an action at a simulated time in microseconds. */
     public void scheduleAt(long atUs, Runnable action) {
         queue.scheduleAt(atUs, action);
     }
 
-    /** Schedules an action after a delay, in microseconds. */
+    /** Schedules an action after a delay in microseconds. */
     public void scheduleAfter(long delayUs, Runnable action) {
         queue.scheduleAfter(delayUs, action);
     }
 
-    /** Runs all events up to this time, in microseconds. */
+    /** Runs all events up to a simulated time in microseconds. */
     public void runUntil(long endUs) {
         for (Runnable next = queue.pollUntil(endUs); next != null; next = queue.pollUntil(endUs)) {
             next.run();
@@ -160,7 +162,8 @@
     }
 
     /**
-     * Sets the most datagrams of a run; more count as a message storm and end it with an exception.
+     * Sets the maximum number of datagrams in a run. More datagrams count as a message storm and
+     * end the run with an exception.
      */
     public void setMaxDatagrams(long max) {
         maxDatagrams = max;
--- a/src/main/java/passhatch/lab/fleet/FleetCommand.java
+++ b/src/main/java/passhatch/lab/fleet/FleetCommand.java
@@ -34,7 +34,7 @@
 
     private FleetCommand() {}
 
-    /** Creates the command line with all subcommands. */
+    /** Creates the command line of {@code fleet} with all its subcommands. */
     public static CommandLine commandLine() {
         return new CommandLine(new FleetCommand())
                 .addSubcommand(new Steady())
@@ -102,8 +102,8 @@
         }
 
         /**
-         * Starts a fleet on a reliable network, waits until the views converge, then runs it for 20
-         * s under the given network conditions.
+         * Starts a fleet on a reliable network, waits until its views converge, and then runs it
+         * for 20 s under the network conditions that the options give.
          */
         FleetSim startConvergedFleet(long runSeed) {
             FleetSim sim = FleetSim.fleet(runSeed, members);
@@ -140,8 +140,8 @@
         }
 
         /**
-         * Measures a duration with each seed and prints the median and the worst. Returns exit
-         * status 1 if the experiment timed out for some seed.
+         * Measures a duration with each seed and prints the median and the longest duration.
+         * Returns exit status 1 if the experiment timed out with any seed, and otherwise 0.
          */
         int measureTimes(PrintWriter out, String description, LongUnaryOperator experiment) {
             List<Long> durationsUs = Collections.synchronizedList(new ArrayList<>());
@@ -312,8 +312,8 @@
             for (int size : SIZES) {
                 if (size <= members()) {
                     FleetSim sim = FleetSim.fleet(1, size);
-                    // A start without converged views would send n^2 member updates, which takes
-                    // minutes.
+                    // If the fleet started without converged views, it would send n^2 member
+                    // updates, which takes minutes.
                     sim.startAllConverged();
                     sim.setNetworkConditions(networkConditions());
                     sim.runFor(60 * SECOND_US);
--- a/src/main/java/passhatch/lab/fleet/FleetExplorer.java
+++ b/src/main/java/passhatch/lab/fleet/FleetExplorer.java
@@ -23,7 +23,8 @@
 public final class FleetExplorer {
 
     /**
-     * Time in which views must agree after the last fault; the target for a partition that heals.
+     * Maximum time from the last fault until all views agree; equal to the target for a partition
+     * that heals.
      */
     public static final long CONVERGENCE_TIMEOUT_US = 30_000_000;
 
@@ -35,20 +36,20 @@
     /**
      * The outcome of a run.
      *
-     * @param violation the first invariant that did not hold, or null
-     * @param convergenceUs time from the last fault until views agreed, in microseconds; -1 if they
-     *     did not
+     * @param violation description of the first invariant that did not hold, or null if all held
+     * @param convergenceUs time from the last fault until all views agreed, in microseconds; -1 if
+     *     they did not agree in time
      */
     public record Outcome(String violation, long convergenceUs) {}
 
     private final int memberCount;
 
-    /** Creates an explorer for fleets of this size. */
+    /** Creates an explorer for fleets with this number of members. */
     public FleetExplorer(int memberCount) {
         this.memberCount = memberCount;
     }
 
-    /** Returns the faults of a seed, ordered by time. */
+    /** Draws the faults for a seed and returns them ordered by time. */
     public List<FleetFault> drawFaults(long seed) {
         UniformRandomProvider random = new Seeds(seed).stream("faults");
         FleetFault.Kind[] kinds = FleetFault.Kind.values();
@@ -69,7 +70,10 @@
         return faults;
     }
 
-    /** Runs a fleet with these faults; the seed is that of the processes and the network. */
+    /**
+     * Runs a fleet with the given faults. The seed determines the random choices of the processes
+     * and the network.
+     */
     public Outcome run(long seed, List<FleetFault> faults) {
         FleetSim sim = FleetSim.fleet(seed, memberCount);
         InvariantChecker checker = new InvariantChecker(faults);
@@ -84,7 +88,8 @@
             endMs = Math.max(endMs, fault.endMs());
         }
         sim.runFor(endMs * 1000 + 1);
-        // The network becomes reliable last: with 30 % loss that lasts, updates stay in transit.
+        // The network becomes reliable before convergence is checked, because updates would stay in
+        // transit with a lasting loss of 30 %.
         sim.setNetworkConditions(FleetSim.NetworkConditions.RELIABLE);
         for (int i = 0; i < memberCount; i++) {
             sim.resume(i);
@@ -136,7 +141,10 @@
         }
     }
 
-    /** The partitions in effect. They may overlap: a datagram has to pass all of them. */
+    /**
+     * The partitions that are in effect. They may overlap; a datagram passes only if all of them
+     * let it pass.
+     */
     private static final class Partitions {
         private final Set<BiPredicate<Integer, Integer>> filters = new HashSet<>();
 
@@ -168,7 +176,8 @@
         }
 
         void statusChanged(long atUs, int observer, Status before, MemberInfo after) {
-            // A process that has just started has an empty view.
+            // The view of a process that has just started is empty, so nothing is compared with an
+            // earlier run's view.
             String key = observer + " of " + after.name();
             Incarnation known = before == null ? null : lastIncarnations.get(key);
             if (known != null) {
@@ -207,8 +216,8 @@
     }
 
     /**
-     * Removes each fault without which the run still violates an invariant. Returns the faults that
-     * are left.
+     * Removes each fault that is not needed for the run to violate an invariant. Returns the
+     * remaining faults.
      */
     public List<FleetFault> shrink(long seed, List<FleetFault> faults) {
         List<FleetFault> needed = new ArrayList<>(faults);
--- a/src/main/java/passhatch/lab/fleet/FleetFault.java
+++ b/src/main/java/passhatch/lab/fleet/FleetFault.java
@@ -7,17 +7,19 @@
  * process 3 at 12 s for 40 s.
  *
  * @param atMs time since the start of the fault period, in milliseconds
- * @param target index of the process; for faults that divide the network, the divisor that selects
- *     processes
- * @param value duration or clock offset in milliseconds, or lost datagrams in percent
+ * @param kind kind of the fault
+ * @param target index of the affected process; for faults that divide the network, the divisor that
+ *     selects processes by their index
+ * @param value duration or clock offset in milliseconds, or percentage of lost datagrams, depending
+ *     on the kind
  */
 public record FleetFault(long atMs, Kind kind, int target, long value) {
 
-    /** The kind of a fault. Its effect ends, or is undone, by the end of a run. */
+    /** The kind of a fault. The effect of each fault ends or is undone before the run ends. */
     public enum Kind {
-        /** The process is killed, and started again after the duration. */
+        /** The process is killed and is started again after the duration. */
         KILL,
-        /** The process leaves, and is started again after the duration, 1.5 s at least. */
+        /** The process leaves and is started again after the duration, but not before 1.5 s. */
         LEAVE,
         /** The process is stopped for the duration. */
         STOP,
@@ -29,23 +31,26 @@
          */
         SET_BACK,
         /**
-         * Processes exchange datagrams only with those whose index is the same modulo the target,
-         * for the duration.
+         * For the duration, two processes can exchange datagrams only if their indexes are equal
+         * modulo the target.
          */
         PARTITION,
         /**
-         * Datagrams from every k-th process, with k the target, to the others are lost for the
-         * duration.
+         * For the duration, datagrams from the processes whose index is divisible by the target to
+         * all other processes are lost.
          */
         ONE_WAY,
         /**
-         * From now on, the value's percent of all datagrams are lost, a tenth are duplicated and a
-         * tenth are late.
+         * From the time of the fault on, the network loses as many percent of all datagrams as the
+         * value says, duplicates a tenth and delays a tenth.
          */
         WEATHER
     }
 
-    /** Returns the time at which the fault ends. */
+    /**
+     * Returns the time at which the fault ends, in milliseconds since the start of the fault
+     * period.
+     */
     long endMs() {
         return atMs + (kind == Kind.WEATHER || kind == Kind.JUMP ? 0 : value);
     }
@@ -63,7 +68,7 @@
         return atMs + " " + kind.name().toLowerCase(Locale.ROOT) + " " + target + " " + value;
     }
 
-    /** Parses the form that {@link #toString} writes. */
+    /** Parses a fault in the text form that {@link #toString} writes. */
     public static FleetFault parse(String line) {
         String[] fields = line.strip().split(" ");
         if (fields.length != 4) {
--- a/src/main/java/passhatch/lab/fleet/FleetSim.java
+++ b/src/main/java/passhatch/lab/fleet/FleetSim.java
@@ -22,15 +22,19 @@
 import passhatch.lab.Seeds;
 
 /**
- * A single-threaded simulation of a fleet; the same seed and the same calls give the same run.
- * Process i has index i in every process's list of addresses; several processes may use one name.
+ * A single-threaded simulation of a fleet. The same seed and the same calls give the same run.
+ * Process i has index i in the address list of every process. Several processes may use the same
+ * name.
  */
 public final class FleetSim {
 
-    /** Datagrams that a socket buffers for a stopped process; further ones are lost. */
+    /**
+     * Maximum number of datagrams that a socket buffers for a stopped process; further ones are
+     * lost.
+     */
     private static final int SOCKET_BUFFER_DATAGRAMS = 256;
 
-    /** The send rate limit of a process that configures none. */
+    /** The send rate limit of a process for which no other limit is given. */
     public static final long DEFAULT_BYTES_PER_SECOND = 16_384;
 
     /**
@@ -39,23 +43,23 @@
      * @param loss fraction of datagrams that are lost
      * @param duplication fraction of datagrams that arrive twice
      * @param late fraction of datagrams that take a hundred times as long
-     * @param minDelayUs least delay, in microseconds
-     * @param jitterUs greatest random addition to the delay, in microseconds
+     * @param minDelayUs minimum delay, in microseconds
+     * @param jitterUs maximum random time that is added to the minimum delay, in microseconds
      */
     public record NetworkConditions(
             double loss, double duplication, double late, long minDelayUs, long jitterUs) {
         /** A local network without loss, duplicates or late datagrams. */
         public static final NetworkConditions RELIABLE = new NetworkConditions(0, 0, 0, 200, 800);
 
-        /** The same network with three in ten datagrams lost. */
+        /** A local network that loses three in ten datagrams. */
         public static final NetworkConditions LOSSY = new NetworkConditions(0.3, 0, 0, 200, 800);
     }
 
-    /** Listens for changes of a member's status in the view of a process. */
+    /** Listener for changes of members' statuses in the views of processes. */
     public interface StatusListener {
         /**
-         * Called when the view of process {@code observer} changes; {@code before} is null for a
-         * new member.
+         * Called when the status of a member changes in the view of process {@code observer};
+         * {@code before} is null for a new member.
          */
         void statusChanged(long atUs, int observer, Status before, MemberInfo after);
     }
@@ -156,7 +160,9 @@
     private long sentBytes;
     private long processedEvents;
 
-    /** Creates a fleet in which process i has the i-th of these settings; no process runs yet. */
+    /**
+     * Creates a fleet in which process i has the i-th of the given settings. No process runs yet.
+     */
     public FleetSim(long seed, List<FleetSettings> settings) {
         this.seeds = new Seeds(seed);
         this.random = seeds.stream("network");
@@ -165,12 +171,15 @@
         }
     }
 
-    /** Returns the default settings of a process in a fleet of this size. */
+    /**
+     * Returns the default settings of process {@code index} in a fleet with {@code members}
+     * processes.
+     */
     public static FleetSettings defaultSettings(int index, int members) {
         return defaultSettings("n" + index, index, members);
     }
 
-    /** Returns the default settings of a process with this name. */
+    /** Returns the default settings of process {@code index} with a given name. */
     public static FleetSettings defaultSettings(String name, int index, int members) {
         return defaultSettings(name, index, members, DEFAULT_BYTES_PER_SECOND);
     }
@@ -196,7 +205,7 @@
         return fleet(seed, members, DEFAULT_BYTES_PER_SECOND);
     }
 
-    /** Creates a fleet of processes with distinct names and this send rate limit each. */
+    /** Creates a fleet of processes with distinct names, each with the given send rate limit. */
     public static FleetSim fleet(long seed, int members, long bytesPerSecond) {
         List<FleetSettings> settings = new ArrayList<>();
         for (int i = 0; i < members; i++) {
@@ -209,7 +218,10 @@
         networkConditions = conditions;
     }
 
-    /** Sets which datagrams may pass from now on, by the indexes of the sender and the receiver. */
+    /**
+     * Sets the filter that decides, by the indexes of the sender and the receiver, which datagrams
+     * may pass from now on.
+     */
     public void setConnectivity(BiPredicate<Integer, Integer> fromTo) {
         connectivity = fromTo;
     }
@@ -227,7 +239,7 @@
         return nodes.size();
     }
 
-    /** Returns the warnings that processes have given for the operator, each with its time. */
+    /** Returns the warnings that processes have given to the operator, each with its time. */
     public List<String> warnings() {
         return warnings;
     }
@@ -247,7 +259,9 @@
         return processedEvents;
     }
 
-    /** Starts a process unless it runs, in the epoch after the one on its disk. */
+    /**
+     * Starts a process, unless it already runs, with the epoch that follows the one on its disk.
+     */
     public void start(int index) {
         Node node = nodes.get(index);
         if (node.membership == null) {
@@ -285,7 +299,8 @@
     }
 
     /**
-     * Returns how many members a running process sees as present, including itself and suspects.
+     * Returns how many members are alive or suspect in the view of a running process, including
+     * itself.
      */
     public int presentCount(int index) {
         return nodes.get(index).membership.presentCount();
@@ -297,7 +312,7 @@
         nodes.get(index).receiveBuffer.clear();
     }
 
-    /** Makes a process announce that it leaves, and ends it one second later. */
+    /** Makes a process announce that it leaves, and ends the process one second later. */
     public void leave(int index) {
         Node node = nodes.get(index);
         if (node.membership != null) {
@@ -319,12 +334,15 @@
         events.add(new Event(nowUs + delayUs, nextSequenceNumber++, -1, -1, null, action));
     }
 
-    /** Stops a process as SIGSTOP does; its socket buffers datagrams meanwhile. */
+    /** Stops a process as SIGSTOP does. While it is stopped, its socket buffers datagrams. */
     public void stop(int index) {
         nodes.get(index).stopped = true;
     }
 
-    /** Continues a stopped process as SIGCONT does; it first receives the buffered datagrams. */
+    /**
+     * Continues a stopped process as SIGCONT does. The process first receives the buffered
+     * datagrams.
+     */
     public void resume(int index) {
         Node node = nodes.get(index);
         if (node.stopped) {
@@ -339,7 +357,10 @@
         }
     }
 
-    /** Moves the clock of a process at once, backwards if the offset is negative. */
+    /**
+     * Changes the clock of a process by an offset in microseconds; a negative offset sets the clock
+     * back.
+     */
     public void jumpClock(int index, long offsetUs) {
         Node node = nodes.get(index);
         node.clockOffsetUs += offsetUs;
@@ -349,14 +370,17 @@
         }
     }
 
-    /** Restores a machine's disk to its state this many starts of its process ago. */
+    /**
+     * Restores the disk of a process to the state that it had {@code starts} starts of the process
+     * ago.
+     */
     public void rollBackDisk(int index, int starts) {
         nodes.get(index).persistedEpoch = Math.max(0, nodes.get(index).persistedEpoch - starts);
     }
 
     /**
-     * Makes a process alternate between running and being stopped for the rest of the simulation,
-     * each for a random time up to its maximum.
+     * Makes a process alternate between running and being stopped for the rest of the simulation.
+     * Each phase lasts a random time, up to the given maximum.
      */
     public void stopRepeatedly(int index, long maxStoppedUs, long maxRunningUs) {
         UniformRandomProvider stopRandom = seeds.stream("slow-" + index);
@@ -378,7 +402,7 @@
                 });
     }
 
-    /** Advances the simulation by this time, in microseconds. */
+    /** Advances the simulation by a duration in microseconds. */
     public void runFor(long durationUs) {
         long endUs = nowUs + durationUs;
         while (!events.isEmpty() && events.peek().atUs() <= endUs) {
@@ -418,7 +442,7 @@
         }
     }
 
-    /** Returns whether a process runs; it may be stopped. */
+    /** Returns whether a process runs. A stopped process counts as running. */
     public boolean isRunning(int index) {
         return nodes.get(index).membership != null;
     }
@@ -433,8 +457,8 @@
     }
 
     /**
-     * Returns the status of a member in the view of a running process; null if the view has no
-     * member of that name.
+     * Returns the status of a member in the view of a running process, or null if no member of the
+     * view has that name.
      */
     public Status statusInView(int index, String name) {
         return view(index).stream()
@@ -453,8 +477,8 @@
     }
 
     /**
-     * Returns whether all processes that run and are neither stopped nor superseded have the same
-     * view, apart from suspicions.
+     * Returns whether all participating processes have the same view, apart from suspicions. A
+     * process participates if it runs and is neither stopped nor superseded.
      */
     public boolean viewsAgree() {
         return nodes.stream()
@@ -466,8 +490,9 @@
     }
 
     /**
-     * Returns whether each process that runs and is neither stopped nor superseded sees exactly
-     * those processes as present, including itself.
+     * Returns whether exactly the participating processes are alive or suspect in the view of each
+     * participating process. A process participates if it runs and is neither stopped nor
+     * superseded.
      */
     public boolean viewsAreAccurate() {
         Set<String> running =
@@ -481,8 +506,9 @@
     }
 
     /**
-     * Runs until a condition holds, checking it at an interval. Returns the time it took in
-     * microseconds, or -1 if it did not hold within the timeout.
+     * Runs the simulation until a condition holds, which is checked at an interval. Returns the
+     * simulated time that passed, in microseconds, or -1 if the condition did not hold within the
+     * timeout.
      */
     public long runUntil(BooleanSupplier condition, long checkIntervalUs, long timeoutUs) {
         long startUs = nowUs;
@@ -495,15 +521,12 @@
         return nowUs - startUs;
     }
 
-    /**
-     * Returns the metrics of a running process: datagrams and bytes sent and datagrams dropped,
-     * among others.
-     */
+    /** Returns the metrics of a running process, such as the datagrams sent and dropped. */
     public Membership.Metrics metrics(int index) {
         return nodes.get(index).membership.metrics();
     }
 
-    /** Returns how many datagrams a running process has dropped for a reason. */
+    /** Returns how many datagrams a running process has dropped for the given reason. */
     public long droppedDatagrams(int index, DropReason reason) {
         return metrics(index).dropped().getOrDefault(reason, 0L);
     }
--- a/src/main/java/passhatch/lab/fleet/package-info.java
+++ b/src/main/java/passhatch/lab/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Simulates membership in virtual time: the product's own state machine, with a network and
- * processes that fail.
+ * Simulates membership in virtual time. The state machine is that of the product; the network and
+ * the processes are simulated and can fail.
  */
 package passhatch.lab.fleet;
