--- a/src/main/java/passhatch/cli/ChangesCall.java
+++ b/src/main/java/passhatch/cli/ChangesCall.java
@@ -31,15 +31,15 @@
     /** Returns the reply of the first agent that gives one. */
     String ask(String call) throws IOException {
         checkAddresses();
-        IOException last = null;
+        IOException lastFailure = null;
         for (String control : controls) {
             try (Socket socket = AgentCall.connect(AgentCall.parseAddress(control))) {
                 return requireSuccess(control, AgentCall.exchange(socket, call));
             } catch (IOException failed) {
-                last = failed;
+                lastFailure = failed;
             }
         }
-        throw last;
+        throw lastFailure;
     }
 
     /**
@@ -111,7 +111,7 @@
             throws IOException, InterruptedException {
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(COMMIT_TIMEOUT_MS);
         do {
-            String status = status(address, version, term);
+            String status = askStatus(address, version, term);
             if (status.equals("committed")) {
                 return Long.parseLong(version);
             }
@@ -123,7 +123,7 @@
         throw new OutcomeUnknownException("not committed in " + COMMIT_TIMEOUT_MS + " ms");
     }
 
-    private static String status(InetSocketAddress address, String version, String term)
+    private static String askStatus(InetSocketAddress address, String version, String term)
             throws OutcomeUnknownException {
         try (Socket socket = AgentCall.connect(address)) {
             return AgentCall.exchange(socket, "change-status " + version + " " + term).strip();
--- a/src/main/java/passhatch/cli/Commands.java
+++ b/src/main/java/passhatch/cli/Commands.java
@@ -30,8 +30,9 @@
 
     /** Creates the whole command line; tools outside the deployed jar add commands of their own. */
     public static CommandLine commandLine() {
-        CommandLine line = new CommandLine(new Root());
-        line.addSubcommand(new Serve())
+        CommandLine commandLine = new CommandLine(new Root());
+        commandLine
+                .addSubcommand(new Serve())
                 .addSubcommand(new RunAdapter())
                 .addSubcommand(new Rehearse())
                 .addSubcommand(StoreCommand.commandLine())
@@ -39,13 +40,13 @@
                 .addSubcommand(new MembersCommand())
                 .addSubcommand(new DutiesCommand())
                 .addSubcommand(ChangesCommand.commandLine());
-        return oneLineErrors(line);
+        return useOneLineErrors(commandLine);
     }
 
     /** Makes the command line report each error in one line, without the usage text. */
-    public static CommandLine oneLineErrors(CommandLine line) {
-        line.setParameterExceptionHandler(Commands::onUsageError);
-        line.setExecutionExceptionHandler(
+    public static CommandLine useOneLineErrors(CommandLine commandLine) {
+        commandLine.setParameterExceptionHandler(Commands::onUsageError);
+        commandLine.setExecutionExceptionHandler(
                 (failure, failed, parsed) -> {
                     failed.getErr()
                             .println(
@@ -55,7 +56,7 @@
                                                     : failure.getMessage()));
                     return failure instanceof InvalidInputException ? EXIT_USAGE : EXIT_FAILURE;
                 });
-        return line;
+        return commandLine;
     }
 
     static int run(String[] args) {
@@ -63,13 +64,13 @@
     }
 
     private static int onUsageError(ParameterException error, String[] args) {
-        CommandLine line = error.getCommandLine();
-        PrintWriter err = line.getErr();
+        CommandLine commandLine = error.getCommandLine();
+        PrintWriter err = commandLine.getErr();
         err.println(
                 "passhatch: "
                         + error.getMessage().lines().findFirst().orElse("usage error")
                         + "; see '"
-                        + line.getCommandSpec().qualifiedName()
+                        + commandLine.getCommandSpec().qualifiedName()
                         + " --help'");
         return EXIT_USAGE;
     }
--- a/src/main/java/passhatch/cli/DutiesCommand.java
+++ b/src/main/java/passhatch/cli/DutiesCommand.java
@@ -27,13 +27,13 @@
             names = "--give-up",
             paramLabel = "DUTY",
             description = "Makes the agent give up this duty if it holds it.")
-    private String giveUp;
+    private String dutyToGiveUp;
 
     @Option(
             names = "--to",
             paramLabel = "NAME",
             description = "The member that should hold the duty next.")
-    private String to;
+    private String nextHolder;
 
     @Option(
             names = "--found",
@@ -48,8 +48,10 @@
         if (initialize) {
             agent.ask("found", "done");
             out.println("it votes from now on");
-        } else if (giveUp != null) {
-            agent.ask("give-up " + giveUp + (to == null ? "" : " " + to), "done");
+        } else if (dutyToGiveUp != null) {
+            agent.ask(
+                    "give-up " + dutyToGiveUp + (nextHolder == null ? "" : " " + nextHolder),
+                    "done");
             out.println("given up");
         } else {
             agent.print("duties", out, DutiesCommand::printTable);
--- a/src/main/java/passhatch/cli/MembersCommand.java
+++ b/src/main/java/passhatch/cli/MembersCommand.java
@@ -18,7 +18,7 @@
         description = "Shows the members of the fleet as an agent sees them.")
 final class MembersCommand implements Callable<Integer> {
 
-    private static final String ROW = "%-24s %-8s %-20s %-10s %-16s %10s  %s%n";
+    private static final String ROW_FORMAT = "%-24s %-8s %-20s %-10s %-16s %10s  %s%n";
 
     @Spec private CommandSpec spec;
     @Mixin private AgentCall agent;
@@ -30,17 +30,25 @@
     }
 
     private static void printTable(Map<String, Object> reply, PrintWriter out) {
-        out.printf(ROW, "MEMBER", "STATUS", "INCARNATION", "VERSION", "ROLES", "SINCE", "ADDRESS");
+        out.printf(
+                ROW_FORMAT,
+                "MEMBER",
+                "STATUS",
+                "INCARNATION",
+                "VERSION",
+                "ROLES",
+                "SINCE",
+                "ADDRESS");
         for (Object each : (List<?>) reply.get("members")) {
             Map<?, ?> member = (Map<?, ?>) each;
             out.printf(
-                    ROW,
+                    ROW_FORMAT,
                     member.get("name"),
                     member.get("status"),
                     member.get("incarnation"),
                     member.get("version"),
                     member.get("roles"),
-                    formatAge((Number) member.get("for_ms")),
+                    formatDuration((Number) member.get("for_ms")),
                     member.get("address"));
         }
         boolean superseded = Boolean.TRUE.equals(reply.get("given_way"));
@@ -58,12 +66,12 @@
                 reply.get("dropped"));
     }
 
-    private static String formatAge(Number ageMs) {
-        Duration age = Duration.ofMillis(ageMs.longValue());
-        return age.toHours() > 0
-                ? age.toHours() + "h" + age.toMinutesPart() + "m"
-                : age.toMinutes() > 0
-                        ? age.toMinutes() + "m" + age.toSecondsPart() + "s"
-                        : age.toSeconds() + "s";
+    private static String formatDuration(Number durationMs) {
+        Duration duration = Duration.ofMillis(durationMs.longValue());
+        return duration.toHours() > 0
+                ? duration.toHours() + "h" + duration.toMinutesPart() + "m"
+                : duration.toMinutes() > 0
+                        ? duration.toMinutes() + "m" + duration.toSecondsPart() + "s"
+                        : duration.toSeconds() + "s";
     }
 }
--- a/src/main/java/passhatch/cli/StoreCommand.java
+++ b/src/main/java/passhatch/cli/StoreCommand.java
@@ -51,7 +51,7 @@
             }
         }
 
-        abstract int inspect(FolderDisk disk, CommandLine line) throws StoreException;
+        abstract int inspect(FolderDisk disk, CommandLine commandLine) throws StoreException;
     }
 
     private static FolderDisk openFolder(Path folder) throws IOException, StoreException {
@@ -82,8 +82,8 @@
                             + " damaged.")
     private static final class Verify extends ReadOnlySubcommand {
         @Override
-        int inspect(FolderDisk disk, CommandLine line) throws StoreException {
-            return printReport(Inspection.inspect(disk, entry -> {}), line.getOut());
+        int inspect(FolderDisk disk, CommandLine commandLine) throws StoreException {
+            return printReport(Inspection.inspect(disk, entry -> {}), commandLine.getOut());
         }
     }
 
@@ -93,19 +93,20 @@
             description = "Prints each readable record as a line of JSON, its bytes in Base64.")
     private static final class Dump extends ReadOnlySubcommand {
         @Override
-        int inspect(FolderDisk disk, CommandLine line) throws StoreException {
-            PrintWriter out = line.getOut();
-            Inspection.Report report = Inspection.inspect(disk, entry -> out.println(json(entry)));
+        int inspect(FolderDisk disk, CommandLine commandLine) throws StoreException {
+            PrintWriter out = commandLine.getOut();
+            Inspection.Report report =
+                    Inspection.inspect(disk, entry -> out.println(toJson(entry)));
             out.flush();
-            return printReport(report, line.getErr());
+            return printReport(report, commandLine.getErr());
         }
 
-        private static String json(Entry entry) {
-            Map<String, Object> line = new LinkedHashMap<>();
-            line.put("kind", entry.kind());
-            line.put("bytes", Base64.getEncoder().encodeToString(entry.bytes()));
+        private static String toJson(Entry entry) {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("kind", entry.kind());
+            fields.put("bytes", Base64.getEncoder().encodeToString(entry.bytes()));
             try {
-                return JSON.std.asString(line);
+                return JSON.std.asString(fields);
             } catch (IOException impossible) {
                 throw new IllegalStateException(impossible);
             }
@@ -127,20 +128,20 @@
                 index = "1",
                 paramLabel = "TO",
                 description = "The new folder, which must not exist yet.")
-        private Path to;
+        private Path newFolder;
 
         @Option(names = "--owner", required = true, description = "The owner of the new store.")
         private String owner;
 
         @Override
         public Integer call() throws IOException, StoreException {
-            if (Files.exists(to)) {
-                throw new InvalidInputException(to + ": already exists");
+            if (Files.exists(newFolder)) {
+                throw new InvalidInputException(newFolder + ": already exists");
             }
-            try (FolderDisk from = openFolder(folder);
-                    FolderDisk disk = FolderDisk.open(to)) {
+            try (FolderDisk source = openFolder(folder);
+                    FolderDisk target = FolderDisk.open(newFolder)) {
                 return printReport(
-                        Inspection.salvage(from, disk, owner), spec.commandLine().getOut());
+                        Inspection.salvage(source, target, owner), spec.commandLine().getOut());
             }
         }
     }
--- a/src/main/java/passhatch/lab/Main.java
+++ b/src/main/java/passhatch/lab/Main.java
@@ -21,14 +21,14 @@
     }
 
     static CommandLine commandLine() {
-        return Commands.oneLineErrors(
+        return Commands.useOneLineErrors(
                 Commands.commandLine()
                         .addSubcommand(DrillCommand.line())
                         .addSubcommand(FleetCommand.commandLine())
                         .addSubcommand(DutyCommand.line())
                         .addSubcommand(new DistributionCommand())
                         .addSubcommand(new WatchCommand())
-                        .addSubcommand(ScaleCommand.line())
+                        .addSubcommand(ScaleCommand.commandLine())
                         .addSubcommand(new StoreBench()));
     }
 }
--- a/src/main/java/passhatch/lab/scale/AgentCommand.java
+++ b/src/main/java/passhatch/lab/scale/AgentCommand.java
@@ -47,9 +47,9 @@
         ScaleOptions.requireWithin("--sizes", sizes, MIN_MEMBERS, MAX_MEMBERS);
         options.seconds();
         options.programJar();
-        Path folder = options.folder(NAME);
+        Path folder = options.createFolder(NAME);
         AgentResult result = measure(folder);
-        ScaleOptions.write(folder.resolve("result.json"), result);
+        ScaleOptions.writeJson(folder.resolve("result.json"), result);
         plot(result, folder.resolve("plot.png"));
         printResult(result, folder);
         return result.failures().isEmpty() ? 0 : 1;
@@ -60,7 +60,7 @@
         AgentMeasurement measurement = new AgentMeasurement(options, folder);
         List<AgentResult.Point> points = new ArrayList<>();
         List<String> failures = new ArrayList<>();
-        try (var progress = options.progress(NAME, 2 * sizes.size())) {
+        try (var progress = options.createProgress(NAME, 2 * sizes.size())) {
             for (boolean duties : new boolean[] {false, true}) {
                 for (int size : sizes) {
                     try {
@@ -77,25 +77,25 @@
                 options.seconds(),
                 Machine.since(loadBefore),
                 points,
-                fits(points),
+                fitLines(points),
                 failures);
     }
 
-    private static List<AgentResult.Fit> fits(List<AgentResult.Point> points) {
+    private static List<AgentResult.Fit> fitLines(List<AgentResult.Point> points) {
         List<AgentResult.Fit> fits = new ArrayList<>();
         for (boolean duties : new boolean[] {false, true}) {
             List<AgentResult.Point> matching =
                     points.stream().filter(p -> p.duties() == duties).toList();
             if (matching.stream().mapToInt(AgentResult.Point::members).distinct().count() >= 2) {
-                fits.add(fit("memory MB", duties, matching, p -> megabytes(p)));
+                fits.add(fitLine("memory MB", duties, matching, p -> residentMb(p)));
                 fits.add(
-                        fit(
+                        fitLine(
                                 "processor share",
                                 duties,
                                 matching,
                                 AgentResult.Point::processorShare));
                 fits.add(
-                        fit(
+                        fitLine(
                                 "sent bytes/s",
                                 duties,
                                 matching,
@@ -105,7 +105,7 @@
         return fits;
     }
 
-    private static AgentResult.Fit fit(
+    private static AgentResult.Fit fitLine(
             String quantity,
             boolean duties,
             List<AgentResult.Point> points,
@@ -118,7 +118,7 @@
                         points.stream().mapToDouble(y).toArray()));
     }
 
-    private static double megabytes(AgentResult.Point point) {
+    private static double residentMb(AgentResult.Point point) {
         return point.usage().residentKb() / KB_PER_MB;
     }
 
@@ -127,10 +127,10 @@
         for (boolean duties : new boolean[] {false, true}) {
             List<AgentResult.Point> matching =
                     result.points().stream().filter(p -> p.duties() == duties).toList();
-            plot.add(
+            plot.addLine(
                     duties ? "with duties" : "without duties",
                     matching.stream().map(AgentResult.Point::members).toList(),
-                    matching.stream().map(AgentCommand::megabytes).toList());
+                    matching.stream().map(AgentCommand::residentMb).toList());
         }
         plot.write(file);
     }
@@ -144,7 +144,7 @@
                             + " bytes/s in %.1f datagrams/s, receives %.1f datagrams/s%n",
                     p.members(),
                     p.duties() ? ", duties" : "",
-                    megabytes(p),
+                    residentMb(p),
                     p.usage().threads(),
                     100 * p.processorShare(),
                     p.sentBytesPerSecond(),
--- a/src/main/java/passhatch/lab/scale/AgentMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/AgentMeasurement.java
@@ -38,7 +38,7 @@
 
     /** Metrics that the agent itself reports. */
     private record TrafficCounters(long sentBytes, long sentDatagrams, long receivedDatagrams) {
-        static TrafficCounters of(AgentProcess agent) throws IOException {
+        static TrafficCounters read(AgentProcess agent) throws IOException {
             String vars = agent.ask("vars");
             return new TrafficCounters(
                     readMetric(vars, "fleet_sent_bytes "),
@@ -80,7 +80,7 @@
             agents.forEach(agent -> addresses.add(agent.listen()));
             addresses.addAll(otherMembers.addresses());
             for (AgentProcess agent : agents) {
-                agent.configure(addresses, agent.listen(), duties ? dutySection() : "");
+                agent.configure(addresses, agent.listen(), duties ? createDutiesSection() : "");
                 agent.process().start();
             }
             otherMembers.start(FLEET, addresses, new Seeds(options.seed()));
@@ -94,7 +94,7 @@
         }
     }
 
-    private static String dutySection() {
+    private static String createDutiesSection() {
         String voters =
                 IntStream.range(0, VOTERS)
                         .mapToObj(i -> "\"agent-" + i + '"')
@@ -122,13 +122,13 @@
             AgentProcess agent, int members, int processes, boolean duties)
             throws IOException, InterruptedException {
         long pid = agent.process().pid();
-        TrafficCounters countersBefore = TrafficCounters.of(agent);
-        ProcessUsage usageBefore = ProcessUsage.of(pid);
+        TrafficCounters countersBefore = TrafficCounters.read(agent);
+        ProcessUsage usageBefore = ProcessUsage.read(pid);
         long startNs = System.nanoTime();
         TimeUnit.SECONDS.sleep(options.seconds());
-        ProcessUsage usageAfter = ProcessUsage.of(pid);
+        ProcessUsage usageAfter = ProcessUsage.read(pid);
         double seconds = (System.nanoTime() - startNs) / 1e9;
-        TrafficCounters counters = TrafficCounters.of(agent);
+        TrafficCounters counters = TrafficCounters.read(agent);
         return new AgentResult.Point(
                 members,
                 processes,
--- a/src/main/java/passhatch/lab/scale/DistributionEvent.java
+++ b/src/main/java/passhatch/lab/scale/DistributionEvent.java
@@ -36,10 +36,10 @@
             return Arrays.stream(values())
                     .filter(event -> event.label().equals(label))
                     .findFirst()
-                    .orElseThrow(() -> new TypeConversionException(expected(label)));
+                    .orElseThrow(() -> new TypeConversionException(errorMessage(label)));
         }
 
-        private static String expected(String label) {
+        private static String errorMessage(String label) {
             String labels =
                     String.join(
                             ", ", Arrays.stream(values()).map(DistributionEvent::label).toList());
--- a/src/main/java/passhatch/lab/scale/DistributionMeter.java
+++ b/src/main/java/passhatch/lab/scale/DistributionMeter.java
@@ -35,7 +35,7 @@
     private record ExpectedChange(String key, long createdUs) {}
 
     private final Map<Node, Traffic> traffic = new HashMap<>();
-    private final Map<Node, TreeMap<Long, ExpectedChange>> pending = new HashMap<>();
+    private final Map<Node, TreeMap<Long, ExpectedChange>> expectedChanges = new HashMap<>();
     private final List<Long> delaysUs = new ArrayList<>();
 
     /** Expected changes whose version another leader gave to a different change. */
@@ -62,7 +62,8 @@
         for (Node node : subscribers) {
             if (node.isUp() && node.participant().version() < version) {
                 ExpectedChange previous =
-                        pending.computeIfAbsent(node, any -> new TreeMap<>())
+                        expectedChanges
+                                .computeIfAbsent(node, any -> new TreeMap<>())
                                 .put(version, new ExpectedChange(key, createdUs));
                 supersededCount += previous == null ? 0 : 1;
             }
@@ -76,7 +77,7 @@
     @Override
     public void versionApplied(Node node, long epoch, long version) {
         TreeMap<Long, ExpectedChange> expectedByVersion =
-                node.role() == Role.SUBSCRIBER ? pending.get(node) : null;
+                node.role() == Role.SUBSCRIBER ? expectedChanges.get(node) : null;
         if (expectedByVersion == null) {
             return;
         }
@@ -115,17 +116,17 @@
     /** Clears all counts and expected changes for a new phase. */
     void reset() {
         traffic.clear();
-        pending.clear();
+        expectedChanges.clear();
         delaysUs.clear();
         supersededCount = 0;
     }
 
     /** Returns how many expected changes are not in force, summed over their subscribers. */
     long missingCount() {
-        return supersededCount + pending.values().stream().mapToLong(Map::size).sum();
+        return supersededCount + expectedChanges.values().stream().mapToLong(Map::size).sum();
     }
 
-    long sampleCount() {
+    long delayCount() {
         return delaysUs.size();
     }
 
@@ -133,7 +134,7 @@
      * Returns a quantile of the delay from the creation of a change until it is in force, in
      * seconds; 0 if there are no samples.
      */
-    double quantile(double fraction) {
+    double delayQuantileSeconds(double fraction) {
         if (delaysUs.isEmpty()) {
             return 0;
         }
--- a/src/main/java/passhatch/lab/scale/DistributionScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleCommand.java
@@ -76,11 +76,11 @@
         }
         Files.createDirectories(DIRECTORY);
         Path file = DIRECTORY.resolve("result.json");
-        Result result = new Result(seed, sizes, fits(sizes));
+        Result result = new Result(seed, sizes, fitLines(sizes));
         JSON json = JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT);
-        Files.writeString(file, json.asString(asMap(result)));
+        Files.writeString(file, json.asString(toMap(result)));
         DistributionScalePlot.write(DIRECTORY.resolve("relay.png"), sizes);
-        sizes.forEach((size, figures) -> print(size, figures));
+        sizes.forEach((size, figures) -> printFigures(size, figures));
         spec.commandLine().getOut().println("written: " + file);
         spec.commandLine().getOut().flush();
         return 0;
@@ -102,7 +102,7 @@
         }
     }
 
-    private static Map<String, LinearFit> fits(Map<Integer, Map<String, Double>> sizes) {
+    private static Map<String, LinearFit> fitLines(Map<Integer, Map<String, Double>> sizes) {
         Map<String, LinearFit> fits = new TreeMap<>();
         if (sizes.size() < 2) {
             return fits;
@@ -118,7 +118,7 @@
         return fits;
     }
 
-    private static Map<String, Object> asMap(Result result) {
+    private static Map<String, Object> toMap(Result result) {
         Map<String, Object> fits = new TreeMap<>();
         result.fits()
                 .forEach(
@@ -137,7 +137,7 @@
         return map;
     }
 
-    private void print(int size, Map<String, Double> figures) {
+    private void printFigures(int size, Map<String, Double> figures) {
         figures.forEach(
                 (name, value) ->
                         spec.commandLine().getOut().printf("%6d %-44s %.4f%n", size, name, value));
--- a/src/main/java/passhatch/lab/scale/DistributionScalePlot.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScalePlot.java
@@ -19,7 +19,7 @@
             List<Integer> measured =
                     sizes.keySet().stream().filter(n -> sizes.get(n).containsKey(figure)).toList();
             List<Double> values = measured.stream().map(n -> sizes.get(n).get(figure)).toList();
-            plot.add(event.label(), measured, values);
+            plot.addLine(event.label(), measured, values);
         }
         plot.write(file);
     }
--- a/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
@@ -193,10 +193,10 @@
     }
 
     private void recordDelays(String phase) {
-        figures.put(phase + ".in_force_s.median", meter.quantile(0.5));
-        figures.put(phase + ".in_force_s.p999", meter.quantile(0.999));
-        figures.put(phase + ".in_force_s.worst", meter.quantile(1));
-        figures.put(phase + ".samples", (double) meter.sampleCount());
+        figures.put(phase + ".in_force_s.median", meter.delayQuantileSeconds(0.5));
+        figures.put(phase + ".in_force_s.p999", meter.delayQuantileSeconds(0.999));
+        figures.put(phase + ".in_force_s.worst", meter.delayQuantileSeconds(1));
+        figures.put(phase + ".samples", (double) meter.delayCount());
         figures.put(phase + ".missing", (double) meter.missingCount());
     }
 
@@ -319,14 +319,14 @@
             advance(CHANGE_INTERVAL_US);
         }
         simulation.network().unblock(blocked);
-        awaitHead(phase, simulation.nodes(Role.SUBSCRIBER).stream().filter(inside).toList());
+        measureCatchUp(phase, simulation.nodes(Role.SUBSCRIBER).stream().filter(inside).toList());
         advance(SETTLE_TIME_US);
         recordDelays(phase + ".elsewhere");
     }
 
     /** Waits, for up to 60 s, until nodes have all that is committed now. */
-    private void awaitHead(String phase, List<Node> nodes) {
-        long head = headVersion();
+    private void measureCatchUp(String phase, List<Node> nodes) {
+        long head = highestReplicaVersion();
         long behindCount =
                 nodes.stream().filter(node -> node.participant().version() < head).count();
         figures.put(phase + ".behind", (double) behindCount);
@@ -339,7 +339,7 @@
         figures.put(phase + ".until_all_s", (simulation.nowUs() - startUs) * 1e-6);
     }
 
-    private long headVersion() {
+    private long highestReplicaVersion() {
         return simulation.nodes(Role.REPLICA).stream()
                 .filter(Node::isUp)
                 .mapToLong(node -> node.participant().version())
@@ -372,7 +372,7 @@
                     node.start();
                     node.setDisk(List.of());
                 });
-        awaitHead(phase, restarted);
+        measureCatchUp(phase, restarted);
         recordCosts(phase, simulation.nowUs() - startUs, busyBefore);
     }
 
--- a/src/main/java/passhatch/lab/scale/InProcessMembers.java
+++ b/src/main/java/passhatch/lab/scale/InProcessMembers.java
@@ -35,7 +35,7 @@
     private static final long BYTES_PER_SECOND = 16_384;
     private static final long FORGET_AFTER_US = TimeUnit.HOURS.toMicros(1);
     private static final int RECEIVE_BUFFER_BYTES = 512;
-    private static final long MAX_WAIT_MS = 10;
+    private static final long MAX_SELECT_WAIT_MS = 10;
 
     private final Selector selector = Selector.open();
     private final List<Member> members = new ArrayList<>();
@@ -80,7 +80,8 @@
         ByteBuffer buffer = ByteBuffer.allocate(RECEIVE_BUFFER_BYTES);
         try {
             while (selector.isOpen()) {
-                selector.select(key -> ((Member) key.attachment()).receive(buffer), MAX_WAIT_MS);
+                selector.select(
+                        key -> ((Member) key.attachment()).receive(buffer), MAX_SELECT_WAIT_MS);
                 for (Member member : members) {
                     member.runDueTimer();
                 }
--- a/src/main/java/passhatch/lab/scale/LatencyCommand.java
+++ b/src/main/java/passhatch/lab/scale/LatencyCommand.java
@@ -97,9 +97,9 @@
         }
         options.seconds();
         options.programJar();
-        Path folder = options.folder(NAME);
+        Path folder = options.createFolder(NAME);
         LatencyResult result = measure(folder);
-        ScaleOptions.write(folder.resolve("result.json"), result);
+        ScaleOptions.writeJson(folder.resolve("result.json"), result);
         plot(result, folder.resolve("plot.png"));
         printResult(result, folder);
         return result.tooBusy() ? 1 : 0;
@@ -116,7 +116,7 @@
                         options.seed(),
                         MEMORY_MB,
                         options.jvmOptions());
-        try (var progress = options.progress(NAME, plannedSteps);
+        try (var progress = options.createProgress(NAME, plannedSteps);
                 ProxyChain chain =
                         new ProxyChain(
                                 testbed,
@@ -127,7 +127,7 @@
                     new LatencyMeasurement(
                             chain, new Seeds(options.seed()), options.seconds(), behindUs, tries);
             for (int size : sizes) {
-                chain.setListedCount(size);
+                chain.setListedBackendCount(size);
                 measurement.warmUp(0, WARM_UP_RATE, WARM_UP_S);
                 measurement.warmUp(Collections.max(paths), WARM_UP_RATE, WARM_UP_S);
                 for (int rate : size == sizes.get(0) ? rates : rates.subList(0, 1)) {
@@ -135,7 +135,7 @@
                 }
             }
         }
-        List<LatencyResult.Added> added = added(steps);
+        List<LatencyResult.Added> added = computeAddedLatency(steps);
         return new LatencyResult(
                 options.seed(),
                 options.seconds(),
@@ -145,7 +145,7 @@
                 steps.stream().anyMatch(LatencyResult.Step::tooBusy),
                 steps,
                 added,
-                verdicts(added));
+                compareWithLimits(added));
     }
 
     /** Measures all paths at one rate, close together in time. */
@@ -166,7 +166,7 @@
      * Returns the latency of each path minus that of direct requests at the same load. Void and
      * saturated paths are left out.
      */
-    static List<LatencyResult.Added> added(List<LatencyResult.Step> steps) {
+    static List<LatencyResult.Added> computeAddedLatency(List<LatencyResult.Step> steps) {
         List<LatencyResult.Added> added = new ArrayList<>();
         for (LatencyResult.Step path : steps) {
             steps.stream()
@@ -180,7 +180,7 @@
         return added;
     }
 
-    private static List<Verdict> verdicts(List<LatencyResult.Added> added) {
+    private static List<Verdict> compareWithLimits(List<LatencyResult.Added> added) {
         return added.stream()
                 .filter(a -> a.proxies() == Limits.PATH_DEPTH)
                 .map(
@@ -205,7 +205,7 @@
                     result.added().stream()
                             .filter(a -> a.proxies() == proxyCount && a.entries() == sizes.get(0))
                             .toList();
-            plot.add(
+            plot.addLine(
                     proxyCount + " proxies",
                     points.stream().map(LatencyResult.Added::callsPerSecond).toList(),
                     points.stream().map(LatencyResult.Added::p99Us).toList());
@@ -216,7 +216,7 @@
     private void printResult(LatencyResult result, Path folder) {
         PrintWriter out = spec.commandLine().getOut();
         for (LatencyResult.Step s : result.steps()) {
-            out.println(stepText(s));
+            out.println(formatStep(s));
         }
         for (LatencyResult.Added a : result.added()) {
             out.printf(
@@ -236,7 +236,7 @@
         out.flush();
     }
 
-    private static String stepText(LatencyResult.Step s) {
+    private static String formatStep(LatencyResult.Step s) {
         String prefix =
                 String.format(
                         Locale.ROOT,
--- a/src/main/java/passhatch/lab/scale/LatencyMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/LatencyMeasurement.java
@@ -74,14 +74,14 @@
 
     private LatencyResult.Step measureOnce(int proxyCount, int entries, int requestsPerSecond)
             throws IOException, InterruptedException {
-        List<Double> processorSecondsBefore = processorSeconds(proxyCount);
+        List<Double> processorSecondsBefore = readProcessorSeconds(proxyCount);
         long startNs = System.nanoTime();
-        LoadStats tally = runLoad(proxyCount, requestsPerSecond, seconds + 1);
+        LoadStats stats = runLoad(proxyCount, requestsPerSecond, seconds + 1);
         double elapsedSeconds = (System.nanoTime() - startNs) / 1e9;
-        List<Double> processorSecondsAfter = processorSeconds(proxyCount);
-        long requests = tally.offered();
-        double behindP99Us = tally.sendDelayUs().getValueAtPercentile(99);
-        double servedRatio = requests == 0 ? 0 : (double) tally.count(Outcome.SERVED) / requests;
+        List<Double> processorSecondsAfter = readProcessorSeconds(proxyCount);
+        long requests = stats.offered();
+        double behindP99Us = stats.sendDelayUs().getValueAtPercentile(99);
+        double servedRatio = requests == 0 ? 0 : (double) stats.count(Outcome.SERVED) / requests;
         if (behindP99Us > maxBehindUs || requests == 0) {
             return new LatencyResult.Step(
                     proxyCount,
@@ -111,7 +111,7 @@
                 requests,
                 servedRatio,
                 behindP99Us,
-                LatencyResult.Quantiles.of(latencyAfterSkippedSteps(tally)),
+                LatencyResult.Quantiles.of(latencyAfterSkippedSteps(stats)),
                 proxyCount == 0 ? null : totalProcessorSeconds * 1e6 / proxyCount / requests,
                 proxyCount == 0 ? null : maxProcessorSeconds / elapsedSeconds,
                 servedRatio < SATURATION_SERVED_RATIO
@@ -120,8 +120,8 @@
 
     private LoadStats runLoad(int proxyCount, int requestsPerSecond, int durationSeconds)
             throws InterruptedException {
-        ProxyPool front = new ProxyPool(List.of(chain.entryAddress(proxyCount)));
-        front.setAdmitted(0, true);
+        ProxyPool entryProxy = new ProxyPool(List.of(chain.entryAddress(proxyCount)));
+        entryProxy.setAdmitted(0, true);
         LoadPlan plan =
                 new LoadPlan(
                         requestsPerSecond,
@@ -134,23 +134,23 @@
                         List.of(
                                 new LoadPlan.RequestClass(
                                         REQUEST_CLASS, LoadPlan.Effect.SAFE, 1, DEADLINE_US)));
-        try (LoadGenerator load = new LoadGenerator(plan, front, seeds)) {
+        try (LoadGenerator load = new LoadGenerator(plan, entryProxy, seeds)) {
             load.start(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_DELAY_MS));
             return load.await();
         }
     }
 
-    private List<Double> processorSeconds(int proxyCount) throws IOException {
+    private List<Double> readProcessorSeconds(int proxyCount) throws IOException {
         List<Double> processorSeconds = new ArrayList<>();
         for (ProxyProcess proxy : chain.proxiesOnPath(proxyCount)) {
-            processorSeconds.add(ProcessUsage.of(proxy.process().pid()).processorSeconds());
+            processorSeconds.add(ProcessUsage.read(proxy.process().pid()).processorSeconds());
         }
         return processorSeconds;
     }
 
-    private static Histogram latencyAfterSkippedSteps(LoadStats tally) {
+    private static Histogram latencyAfterSkippedSteps(LoadStats stats) {
         Histogram latencyUs = new Histogram(MAX_LATENCY_US, SIGNIFICANT_DIGITS);
-        tally.steps().stream().skip(SKIPPED_STEPS).forEach(s -> latencyUs.add(s.latencyUs()));
+        stats.steps().stream().skip(SKIPPED_STEPS).forEach(s -> latencyUs.add(s.latencyUs()));
         return latencyUs;
     }
 }
--- a/src/main/java/passhatch/lab/scale/MembershipMemory.java
+++ b/src/main/java/passhatch/lab/scale/MembershipMemory.java
@@ -23,24 +23,24 @@
     private MembershipMemory() {}
 
     /** Returns bytes per member, including the updates that are still queued for gossip. */
-    static double bytesPerMember(int members) {
+    static double measureBytesPerMember(int members) {
         // The warm-up run loads the classes, whose memory belongs to no member. It has few members
         // and another seed, as updates that the codec has already seen would not be counted.
-        heapGrowthBytes(WARM_UP_MEMBERS, WARM_UP_SEED);
-        return (double) heapGrowthBytes(members, 0) / members;
+        measureHeapGrowthBytes(WARM_UP_MEMBERS, WARM_UP_SEED);
+        return (double) measureHeapGrowthBytes(members, 0) / members;
     }
 
-    private static long heapGrowthBytes(int members, long seed) {
+    private static long measureHeapGrowthBytes(int members, long seed) {
         List<byte[]> datagrams = new ArrayList<>();
         for (int i = 1; i < members; i++) {
-            datagrams.add(firstDatagram(i, members, seed));
+            datagrams.add(createFirstDatagram(i, members, seed));
         }
-        Membership observer = membership(0, members, seed, new Recorder());
-        long usedBefore = usedBytes();
+        Membership observer = createMembership(0, members, seed, new Recorder());
+        long usedBefore = usedHeapBytes();
         for (int i = 1; i < members; i++) {
             observer.receive(START_US, i, datagrams.get(i - 1));
         }
-        long growth = usedBytes() - usedBefore;
+        long growth = usedHeapBytes() - usedBefore;
         if (observer.presentCount() != members) {
             throw new IllegalStateException(
                     "wrong number of members that the observer knows: " + observer.presentCount());
@@ -49,16 +49,17 @@
     }
 
     /** Returns the first datagram that a process sends. */
-    private static byte[] firstDatagram(int number, int members, long seed) {
+    private static byte[] createFirstDatagram(int number, int members, long seed) {
         Recorder recorder = new Recorder();
-        Membership sender = membership(number, members, seed, recorder);
+        Membership sender = createMembership(number, members, seed, recorder);
         while (recorder.last == null) {
             sender.timer(sender.wakeAtUs());
         }
         return recorder.last;
     }
 
-    private static Membership membership(int number, int members, long seed, FleetActions actions) {
+    private static Membership createMembership(
+            int number, int members, long seed, FleetActions actions) {
         return new Membership(
                 FleetSim.defaultSettings(number, members),
                 START_US,
@@ -67,7 +68,7 @@
                 actions);
     }
 
-    private static long usedBytes() {
+    private static long usedHeapBytes() {
         Runtime runtime = Runtime.getRuntime();
         for (int i = 0; i < GC_RUNS; i++) {
             System.gc();
--- a/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
@@ -115,13 +115,13 @@
             measured.add(size);
             // Writes after each size, so that an interrupted run keeps the results so far.
             MembershipScaleText.print(out, size);
-            write(result(measured));
+            write(createResult(measured));
         }
-        MembershipScaleText.printFits(out, result(measured).fits());
+        MembershipScaleText.printFits(out, createResult(measured).fits());
         return 0;
     }
 
-    private MembershipScaleResult result(List<Size> measured) {
+    private MembershipScaleResult createResult(List<Size> measured) {
         return new MembershipScaleResult(
                 seed,
                 bytesPerSecond,
--- a/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
@@ -70,12 +70,12 @@
                     new Figure(
                             "memory a member known",
                             "bytes",
-                            MembershipMemory.bytesPerMember(members)));
+                            MembershipMemory.measureBytesPerMember(members)));
         }
         MembershipTrial trial = new MembershipTrial(seed, members, bytesPerSecond, wallSeconds);
         return switch (scenario) {
             case MEMORY -> List.of();
-            case REST -> trafficFigures("at rest", trial.measureTraffic(simulatedSeconds));
+            case REST -> createTrafficFigures("at rest", trial.measureTraffic(simulatedSeconds));
             case CHURN -> measureChurn(trial);
             case LOSS -> measureLoss(trial);
             case DEATH -> measureKill(trial, 1, "death");
@@ -86,14 +86,14 @@
         };
     }
 
-    private static List<Figure> trafficFigures(String when, Traffic traffic) {
+    private static List<Figure> createTrafficFigures(String label, Traffic traffic) {
         return List.of(
-                new Figure("sent " + when, "bytes/s", traffic.bytesPerSecond()),
-                new Figure("datagrams " + when, "1/s", traffic.datagramsPerSecond()),
-                new Figure("processor " + when, "us/s", traffic.processorMicrosPerSecond()));
+                new Figure("sent " + label, "bytes/s", traffic.bytesPerSecond()),
+                new Figure("datagrams " + label, "1/s", traffic.datagramsPerSecond()),
+                new Figure("processor " + label, "us/s", traffic.processorMicrosPerSecond()));
     }
 
-    private static Figure bytesPerSecondFigure(String name, Traffic traffic) {
+    private static Figure createBytesPerSecondFigure(String name, Traffic traffic) {
         return new Figure(name, "bytes/s", traffic.bytesPerSecond());
     }
 
@@ -123,7 +123,7 @@
                         + (churnTraffic.bytesPerSecond() - idleTraffic.bytesPerSecond())
                                 / CHURN_FACTOR;
         return List.of(
-                bytesPerSecondFigure(
+                createBytesPerSecondFigure(
                         "sent with churn " + CHURN_FACTOR + " times as fast", churnTraffic),
                 new Figure("sent with the fleet's churn", "bytes/s", fleetBytesPerSecond),
                 new Figure(
@@ -148,7 +148,7 @@
         return List.of(
                 new Figure("false failures with loss", "in all views", falseAlarms.falseFailures),
                 new Figure("suspicions with loss", "in all views", falseAlarms.suspicions),
-                bytesPerSecondFigure("sent with loss", traffic),
+                createBytesPerSecondFigure("sent with loss", traffic),
                 new Figure("processor with loss", "us/s", traffic.processorMicrosPerSecond()));
     }
 
@@ -160,8 +160,8 @@
         for (int i = 0; i < count; i++) {
             sim.kill(i);
         }
-        double elapsedSeconds = trial.advanceUntil(() -> trial.allViewsHave(members - count));
-        return recoveryFigures(
+        double elapsedSeconds = trial.advanceUntil(() -> trial.allProcessesSee(members - count));
+        return createRecoveryFigures(
                 label + ", until all know",
                 elapsedSeconds,
                 falseAlarms,
@@ -192,8 +192,8 @@
         }
         trial.advance(RESTART_DOWNTIME_US + SECOND_US);
         double elapsedSeconds =
-                1 + trial.advanceUntil(() -> trial.allViewsHave(members) && sim.viewsAgree());
-        return recoveryFigures(
+                1 + trial.advanceUntil(() -> trial.allProcessesSee(members) && sim.viewsAgree());
+        return createRecoveryFigures(
                 "a tenth restarted, until views agree",
                 elapsedSeconds,
                 falseAlarms,
@@ -209,15 +209,15 @@
         sim.setConnectivity((a, b) -> true);
         long bytesBefore = sim.sentBytes();
         double elapsedSeconds =
-                trial.advanceUntil(() -> trial.allViewsHave(members) && sim.viewsAgree());
-        return recoveryFigures(
+                trial.advanceUntil(() -> trial.allProcessesSee(members) && sim.viewsAgree());
+        return createRecoveryFigures(
                 "region back, until views agree",
                 elapsedSeconds,
                 falseAlarms,
                 sim.sentBytes() - bytesBefore);
     }
 
-    private List<Figure> recoveryFigures(
+    private List<Figure> createRecoveryFigures(
             String label, double elapsedSeconds, FalseAlarms falseAlarms, long bytes) {
         double bytesPerMemberSecond = (double) bytes / members / Math.max(1, elapsedSeconds);
         return List.of(
--- a/src/main/java/passhatch/lab/scale/MembershipTrial.java
+++ b/src/main/java/passhatch/lab/scale/MembershipTrial.java
@@ -75,9 +75,9 @@
     }
 
     /** Returns whether each running process sees exactly this number of members as present. */
-    boolean allViewsHave(int present) {
+    boolean allProcessesSee(int presentCount) {
         for (int i = 0; i < members; i++) {
-            if (sim.isRunning(i) && sim.presentCount(i) != present) {
+            if (sim.isRunning(i) && sim.presentCount(i) != presentCount) {
                 return false;
             }
         }
--- a/src/main/java/passhatch/lab/scale/Plot.java
+++ b/src/main/java/passhatch/lab/scale/Plot.java
@@ -30,7 +30,7 @@
     }
 
     /** Adds a line, unless it has no points. */
-    void add(String name, List<? extends Number> x, List<? extends Number> y) {
+    void addLine(String name, List<? extends Number> x, List<? extends Number> y) {
         if (!x.isEmpty()) {
             chart.addSeries(name, x, y);
         }
--- a/src/main/java/passhatch/lab/scale/ProcessUsage.java
+++ b/src/main/java/passhatch/lab/scale/ProcessUsage.java
@@ -29,11 +29,11 @@
      *
      * @throws IOException if the process has ended
      */
-    static ProcessUsage of(long pid) throws IOException {
+    static ProcessUsage read(long pid) throws IOException {
         Path folder = Path.of("/proc", String.valueOf(pid));
         List<String> status = Files.readAllLines(folder.resolve("status"));
-        Long resident = numberAfter(status, "VmRSS:");
-        Long threads = numberAfter(status, "Threads:");
+        Long resident = findNumberAfter(status, "VmRSS:");
+        Long threads = findNumberAfter(status, "Threads:");
         if (resident == null || threads == null) {
             throw new IOException("process " + pid + " has ended");
         }
@@ -46,14 +46,14 @@
 
     private static Long readProportionalKb(Path folder) {
         try {
-            return numberAfter(Files.readAllLines(folder.resolve("smaps_rollup")), "Pss:");
+            return findNumberAfter(Files.readAllLines(folder.resolve("smaps_rollup")), "Pss:");
         } catch (IOException unavailable) {
             return null;
         }
     }
 
     /** Returns the number after a label at the start of a line; null if there is no such line. */
-    private static Long numberAfter(List<String> lines, String label) {
+    private static Long findNumberAfter(List<String> lines, String label) {
         return lines.stream()
                 .filter(line -> line.startsWith(label))
                 .map(line -> Long.valueOf(line.substring(label.length()).strip().split("\\s+")[0]))
--- a/src/main/java/passhatch/lab/scale/ProxyChain.java
+++ b/src/main/java/passhatch/lab/scale/ProxyChain.java
@@ -29,7 +29,7 @@
     private static final int STAND_IN_THREADS = 2;
 
     /** Backends respond immediately, because only the path to them is measured. */
-    private static final BackendServer.Capacity BACKEND_SHAPE =
+    private static final BackendServer.Capacity BACKEND_CAPACITY =
             new BackendServer.Capacity(
                     1 << 16,
                     1 << 16,
@@ -51,9 +51,9 @@
     /** In the order in which they are started, from the last proxy of the chain to the first. */
     private final List<ProxyProcess> proxies = new ArrayList<>();
 
-    private final DiscoveryServer lastDiscovery = new DiscoveryServer(discoveryLoop);
+    private final DiscoveryServer lastProxyDiscovery = new DiscoveryServer(discoveryLoop);
     private final ProxyTestbed testbed;
-    private int listedCount;
+    private int listedBackendCount;
 
     /** Starts the proxies and backends; the list of the last proxy has all backends. */
     ProxyChain(ProxyTestbed testbed, int depth, int backendCount, long seed)
@@ -61,8 +61,8 @@
         this.testbed = testbed;
         try {
             startBackends(backendCount, new Seeds(seed));
-            lastDiscovery.start();
-            setListedCount(backendCount);
+            lastProxyDiscovery.start();
+            setListedBackendCount(backendCount);
             startProxies(depth);
         } catch (IOException | InterruptedException | RuntimeException failed) {
             close();
@@ -75,14 +75,15 @@
         for (int i = 0; i < count; i++) {
             String name = "backend-" + i;
             BackendServer backend =
-                    new BackendServer(name, BACKEND_SHAPE, backendLoop, ledger, seeds.stream(name));
+                    new BackendServer(
+                            name, BACKEND_CAPACITY, backendLoop, ledger, seeds.stream(name));
             backend.start();
             backends.add(backend);
         }
     }
 
     private void startProxies(int depth) throws IOException, InterruptedException {
-        DiscoveryServer discovery = lastDiscovery;
+        DiscoveryServer discovery = lastProxyDiscovery;
         for (int i = 1; i <= depth; i++) {
             ProxyProcess proxy = testbed.start("before-end-" + i, discovery.address());
             proxies.add(proxy);
@@ -96,9 +97,11 @@
     }
 
     /** Sets how many of the backends are in the list of the last proxy. */
-    void setListedCount(int count) {
+    void setListedBackendCount(int count) {
         List<DiscoveryServer.Endpoint> changed = new ArrayList<>();
-        for (int i = Math.min(count, listedCount); i < Math.max(count, listedCount); i++) {
+        for (int i = Math.min(count, listedBackendCount);
+                i < Math.max(count, listedBackendCount);
+                i++) {
             BackendServer backend = backends.get(i);
             changed.add(
                     new DiscoveryServer.Endpoint(
@@ -107,9 +110,9 @@
                             i < count ? "SERVING" : "DELETED",
                             0));
         }
-        listedCount = count;
+        listedBackendCount = count;
         if (!changed.isEmpty()) {
-            lastDiscovery.update(changed);
+            lastProxyDiscovery.update(changed);
         }
     }
 
--- a/src/main/java/passhatch/lab/scale/ProxyCommand.java
+++ b/src/main/java/passhatch/lab/scale/ProxyCommand.java
@@ -28,7 +28,7 @@
 
     private static final String NAME = "proxy";
     private static final int MAX_ENTRIES = 50_000;
-    private static final int MAX_CHANGES = 1_000;
+    private static final int MAX_CHANGES_PER_SECOND = 1_000;
     private static final int MIN_MEMORY_MB = 64;
     private static final int MAX_MEMORY_MB = 4_096;
     private static final double SECONDS_PER_DAY = 86_400;
@@ -51,7 +51,7 @@
             paramLabel = "N",
             defaultValue = "0,1,10,100",
             description = "Changes of the list a second; default: ${DEFAULT-VALUE}.")
-    private List<Integer> changes;
+    private List<Integer> changeRates;
 
     @Option(
             names = "--memory-mb",
@@ -62,16 +62,16 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         ScaleOptions.requireWithin("--sizes", sizes, 1, MAX_ENTRIES);
-        ScaleOptions.requireWithin("--changes", changes, 0, MAX_CHANGES);
+        ScaleOptions.requireWithin("--changes", changeRates, 0, MAX_CHANGES_PER_SECOND);
         if (memoryMb < MIN_MEMORY_MB || memoryMb > MAX_MEMORY_MB) {
             throw new InvalidInputException(
                     "--memory-mb: expected " + MIN_MEMORY_MB + " to " + MAX_MEMORY_MB);
         }
         options.seconds();
         options.programJar();
-        Path folder = options.folder(NAME);
+        Path folder = options.createFolder(NAME);
         ProxyResult result = measure(folder);
-        ScaleOptions.write(folder.resolve("result.json"), result);
+        ScaleOptions.writeJson(folder.resolve("result.json"), result);
         plot(result, folder.resolve("plot.png"));
         printResult(result, folder);
         return result.failures().isEmpty() ? 0 : 1;
@@ -81,12 +81,12 @@
         double loadBefore = Machine.loadAverage();
         ProxyMeasurement measurement = new ProxyMeasurement(options, folder, memoryMb);
         List<ProxyResult.Point> points = new ArrayList<>();
-        try (var progress = options.progress(NAME, sizes.size() * changes.size())) {
+        try (var progress = options.createProgress(NAME, sizes.size() * changeRates.size())) {
             for (int size : sizes) {
-                points.addAll(measurement.measure(size, changes, progress));
+                points.addAll(measurement.measure(size, changeRates, progress));
             }
         }
-        List<ProxyResult.Fit> fits = fits(points);
+        List<ProxyResult.Fit> fits = fitLines(points);
         return new ProxyResult(
                 options.seed(),
                 memoryMb,
@@ -95,12 +95,12 @@
                 points,
                 fits,
                 measurement.failures(),
-                verdicts(fits));
+                compareWithLimits(fits));
     }
 
-    private List<ProxyResult.Fit> fits(List<ProxyResult.Point> points) {
+    private List<ProxyResult.Fit> fitLines(List<ProxyResult.Point> points) {
         List<ProxyResult.Fit> fits = new ArrayList<>();
-        for (int rate : changes) {
+        for (int rate : changeRates) {
             List<ProxyResult.Point> matching =
                     points.stream().filter(p -> p.changesPerSecond() == rate).toList();
             addFits(fits, "entries", rate, matching, ProxyResult.Point::entries);
@@ -123,10 +123,24 @@
         if (java.util.Arrays.stream(xs).distinct().count() < 2) {
             return;
         }
-        fits.add(fit("memory MB", over, at, xs, points, p -> p.usage().residentKb() / KB_PER_MB));
-        fits.add(fit("processor share", over, at, xs, points, ProxyResult.Point::processorShare));
         fits.add(
-                fit(
+                fitLine(
+                        "memory MB",
+                        over,
+                        at,
+                        xs,
+                        points,
+                        p -> p.usage().residentKb() / KB_PER_MB));
+        fits.add(
+                fitLine(
+                        "processor share",
+                        over,
+                        at,
+                        xs,
+                        points,
+                        ProxyResult.Point::processorShare));
+        fits.add(
+                fitLine(
                         "discovery bytes/s",
                         over,
                         at,
@@ -135,7 +149,7 @@
                         ProxyResult.Point::discoveryBytesPerSecond));
     }
 
-    private static ProxyResult.Fit fit(
+    private static ProxyResult.Fit fitLine(
             String quantity,
             String over,
             int at,
@@ -150,21 +164,21 @@
      * Compares the fitted lines with the limits: for a list of the whole fleet without changes, and
      * for each measured length at the fleet's daily rate of changes.
      */
-    private static List<Verdict> verdicts(List<ProxyResult.Fit> fits) {
+    private static List<Verdict> compareWithLimits(List<ProxyResult.Fit> fits) {
         List<Verdict> verdicts = new ArrayList<>();
         double changesPerSecond = Limits.CHANGES_PER_DAY / SECONDS_PER_DAY;
         for (ProxyResult.Fit fit : fits) {
             LinearFit line = fit.line();
             if (fit.over().equals("entries") && fit.at() == 0) {
                 verdicts.add(
-                        verdict(
+                        compareWithLimit(
                                 fit.quantity(),
                                 ", at rest, " + Limits.BACKENDS + " entries",
                                 line.at(Limits.BACKENDS),
                                 line.extrapolates(Limits.BACKENDS)));
             } else if (fit.over().equals("changes/s")) {
                 verdicts.add(
-                        verdict(
+                        compareWithLimit(
                                 fit.quantity(),
                                 ", " + fit.at() + " entries, a day's changes",
                                 line.at(changesPerSecond),
@@ -174,7 +188,7 @@
         return verdicts;
     }
 
-    private static Verdict verdict(
+    private static Verdict compareWithLimit(
             String quantity, String suffix, double value, boolean extrapolated) {
         double limit =
                 switch (quantity) {
@@ -187,10 +201,10 @@
 
     private void plot(ProxyResult result, Path file) throws IOException {
         Plot plot = new Plot("Resident memory of a proxy", "entries", "MB");
-        for (int rate : changes) {
+        for (int rate : changeRates) {
             List<ProxyResult.Point> pointsAtRate =
                     result.points().stream().filter(p -> p.changesPerSecond() == rate).toList();
-            plot.add(
+            plot.addLine(
                     rate + " changes/s",
                     pointsAtRate.stream().map(ProxyResult.Point::entries).toList(),
                     pointsAtRate.stream().map(p -> p.usage().residentKb() / KB_PER_MB).toList());
--- a/src/main/java/passhatch/lab/scale/ProxyMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/ProxyMeasurement.java
@@ -63,7 +63,7 @@
             EventLoop loop = group.next();
             DiscoveryServer discovery = new DiscoveryServer(loop);
             discovery.start();
-            discovery.update(servingEntries(entries));
+            discovery.update(createServingEntries(entries));
             ProxyProcess proxy = testbed.start("entries-" + entries, discovery.address());
             Thread.sleep(SETTLE_TIME_MS);
             long firstListBytes = discovery.sentBytes();
@@ -91,20 +91,20 @@
         boolean[] draining = new boolean[entries];
         int changes = rate * options.seconds();
         long pid = proxy.process().pid();
-        ProcessUsage before = ProcessUsage.of(pid);
+        ProcessUsage before = ProcessUsage.read(pid);
         long bytesBefore = discovery.sentBytes();
         long startNs = System.nanoTime();
         for (int i = 0; i < changes; i++) {
             sleepUntil(startNs + TimeUnit.SECONDS.toNanos(1) * i / rate);
             int entry = random.nextInt(entries);
             draining[entry] = !draining[entry];
-            discovery.update(List.of(entry(entry, draining[entry] ? "DRAINING" : "SERVING")));
+            discovery.update(List.of(createEntry(entry, draining[entry] ? "DRAINING" : "SERVING")));
         }
         sleepUntil(startNs + TimeUnit.SECONDS.toNanos(options.seconds()));
         if (!proxy.process().isAlive()) {
             throw new IOException("ended at " + rate + " changes/s:\n" + proxy.process().logTail());
         }
-        ProcessUsage after = ProcessUsage.of(pid);
+        ProcessUsage after = ProcessUsage.read(pid);
         double seconds = (System.nanoTime() - startNs) / 1e9;
         return new ProxyResult.Point(
                 entries,
@@ -123,15 +123,17 @@
         }
     }
 
-    private static List<DiscoveryServer.Endpoint> servingEntries(int count) throws IOException {
+    private static List<DiscoveryServer.Endpoint> createServingEntries(int count)
+            throws IOException {
         List<DiscoveryServer.Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            entries.add(entry(i, "SERVING"));
+            entries.add(createEntry(i, "SERVING"));
         }
         return entries;
     }
 
-    private static DiscoveryServer.Endpoint entry(int number, String status) throws IOException {
+    private static DiscoveryServer.Endpoint createEntry(int number, String status)
+            throws IOException {
         byte[] address = {
             127, 1, (byte) (number / HOSTS_PER_NETWORK), (byte) (number % HOSTS_PER_NETWORK + 1)
         };
--- a/src/main/java/passhatch/lab/scale/ScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/ScaleCommand.java
@@ -14,7 +14,7 @@
     private ScaleCommand() {}
 
     /** Returns the command with its subcommands. */
-    public static CommandLine line() {
+    public static CommandLine commandLine() {
         return new CommandLine(new ScaleCommand())
                 .addSubcommand(new LatencyCommand())
                 .addSubcommand(new ProxyCommand())
--- a/src/main/java/passhatch/lab/scale/ScaleOptions.java
+++ b/src/main/java/passhatch/lab/scale/ScaleOptions.java
@@ -73,7 +73,7 @@
     }
 
     /** Returns the folder for a command's files, and creates it if it does not exist. */
-    Path folder(String command) {
+    Path createFolder(String command) {
         Path folder = out != null ? out : Path.of("target", "scale", command);
         try {
             Files.createDirectories(folder);
@@ -99,11 +99,11 @@
     }
 
     /** Returns the progress bar on standard error; one that shows nothing with {@code --quiet}. */
-    Progress progress(String task, int steps) {
-        return quiet ? new Progress(null) : new Progress(progressBar(task, steps));
+    Progress createProgress(String task, int steps) {
+        return quiet ? new Progress(null) : new Progress(createProgressBar(task, steps));
     }
 
-    private static ProgressBar progressBar(String task, int steps) {
+    private static ProgressBar createProgressBar(String task, int steps) {
         return new ProgressBarBuilder()
                 .setTaskName("scale " + task)
                 .setInitialMax(steps)
@@ -112,7 +112,7 @@
     }
 
     /** Writes a result as JSON. */
-    static void write(Path file, Object result) throws IOException {
+    static void writeJson(Path file, Object result) throws IOException {
         JSON.writeValue(file.toFile(), result);
     }
 
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -260,7 +260,7 @@
     }
 
     private void updateBackends(EndpointList list) {
-        backends.update(list).forEach(pool::closeIdle);
+        backends.update(list).forEach(pool::closeIdleConnections);
     }
 
     @Override
@@ -658,7 +658,7 @@
     public void closeIdle(String server) {
         InetSocketAddress backend = backends.address(server);
         if (backend != null) {
-            pool.closeIdle(backend);
+            pool.closeIdleConnections(backend);
         }
     }
 
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -251,7 +251,7 @@
     }
 
     private void runMaintenance() {
-        backendPool.closeStale();
+        backendPool.closeStaleConnections();
         updateDescriptorLimit();
         ready();
         frontend.setHandover(newerProcessRuns());
@@ -309,7 +309,7 @@
                                                     (long) descriptorLimits.clients(),
                                                     "connections to backends in use",
                                                     (long) descriptorLimits.backends()
-                                                            - backendPool.idleCount()));
+                                                            - backendPool.idleConnectionCount()));
                             counts.values().removeIf(count -> count == 0);
                             text.append(counts.isEmpty() ? "" : counts);
                         })
@@ -369,7 +369,7 @@
      * until SIGKILL.
      */
     private void terminateOnceCompleted() {
-        frontend.closeIdle();
+        frontend.closeIdleConnections();
         if (proxyLoop.unanswered() == 0 && !frontend.receivingRequest() && !frontend.closing()) {
             terminate();
         } else {
--- a/src/main/java/passhatch/proxy/backend/BackendPool.java
+++ b/src/main/java/passhatch/proxy/backend/BackendPool.java
@@ -229,7 +229,7 @@
     /**
      * Closes idle connections that backends might soon close themselves; to be called periodically.
      */
-    public void closeStale() {
+    public void closeStaleConnections() {
         long staleBeforeUs = clock.nowUs() - idleTimeoutUs;
         for (Deque<Connection> connections : idleConnections.values()) {
             while (!connections.isEmpty() && connections.peekLast().idleSinceUs <= staleBeforeUs) {
@@ -240,7 +240,7 @@
     }
 
     /** Closes all idle connections to a backend. */
-    public void closeIdle(InetSocketAddress address) {
+    public void closeIdleConnections(InetSocketAddress address) {
         Deque<Connection> connections = idleConnections.remove(address);
         if (connections != null) {
             connections.forEach(connection -> connection.channel.close());
@@ -248,16 +248,16 @@
     }
 
     /** Returns the number of idle connections. */
-    public int idleCount() {
+    public int idleConnectionCount() {
         return idleConnections.values().stream().mapToInt(Deque::size).sum();
     }
 
     /** Sends a request to a backend, on an idle connection if there is one. */
     public Handle send(InetSocketAddress address, RequestSpec spec, Listener listener) {
         OutgoingRequest request = new OutgoingRequest(spec, listener);
-        Connection pooled = takeIdle(address);
+        Connection pooled = takeIdleConnection(address);
         if (pooled == null && descriptors.backendsFull()) {
-            closeLongestIdle();
+            closeLongestIdleConnection();
         }
         if (pooled == null && descriptors.backendsFull()) {
             log.line(
@@ -280,7 +280,7 @@
         return request;
     }
 
-    private Connection takeIdle(InetSocketAddress address) {
+    private Connection takeIdleConnection(InetSocketAddress address) {
         long nowUs = clock.nowUs();
         Deque<Connection> connections = idleConnections.get(address);
         if (connections == null) {
@@ -309,7 +309,7 @@
     /**
      * Closes the connection that has been idle longest, to make room for one to another backend.
      */
-    private void closeLongestIdle() {
+    private void closeLongestIdleConnection() {
         idleConnections.values().stream()
                 .filter(connections -> !connections.isEmpty())
                 .map(Deque::peekLast)
@@ -336,7 +336,7 @@
                                 })
                         .connect(address);
         if (!(connecting.channel() instanceof BackendChannel channel)) {
-            loop.execute(() -> completeNotSent(request, address, connecting.cause()));
+            loop.execute(() -> completeAsNotSent(request, address, connecting.cause()));
             return;
         }
         connection.channel = channel;
@@ -350,7 +350,7 @@
                                     if (connected.isSuccess()) {
                                         connection.write(request);
                                     } else if (LocalFailure.isLocal(connected.cause())) {
-                                        completeNotSent(request, address, connected.cause());
+                                        completeAsNotSent(request, address, connected.cause());
                                     } else {
                                         connection.onConnectionLost();
                                     }
@@ -359,7 +359,7 @@
     }
 
     /** Completes a request as not sent after a local failure, which is not the backend's fault. */
-    private void completeNotSent(
+    private void completeAsNotSent(
             OutgoingRequest request, InetSocketAddress address, Throwable cause) {
         if (!request.completed) {
             log.line("local failure while connecting to " + address + ": " + cause);
@@ -653,7 +653,7 @@
         private final Connection connection;
         private final OutgoingRequest request;
         private final HttpResponse head;
-        private final long length;
+        private final long declaredLength;
         private final BufferedBytes buffered = new BufferedBytes(budget);
         private final Future<?> bufferingTimer;
         private Future<?> idleTimer;
@@ -662,7 +662,7 @@
         private boolean receivedSinceCheck;
 
         private Relay relay;
-        private long size;
+        private long receivedBytes;
         private boolean streaming;
         private boolean fullyReceived;
         private boolean malformed;
@@ -672,12 +672,12 @@
             this.connection = connection;
             this.request = request;
             this.head = head;
-            this.length = HttpUtil.getContentLength(head, -1L);
+            this.declaredLength = HttpUtil.getContentLength(head, -1L);
             this.malformed =
                     head.decoderResult().isFailure()
                             || connection.decoder.malformed()
-                            || length > RequestBody.MAX_BYTES;
-            boolean mayBeLong = length < 0 || length > MAX_BUFFERED_BYTES;
+                            || declaredLength > RequestBody.MAX_BYTES;
+            boolean mayBeLong = declaredLength < 0 || declaredLength > MAX_BUFFERED_BYTES;
             this.bufferingTimer =
                     mayBeLong && head.status().equals(HttpResponseStatus.OK)
                             ? loop.schedule(
@@ -697,8 +697,9 @@
 
         void onContent(HttpContent content) {
             receivedSinceCheck = true;
-            size += content.content().readableBytes();
-            malformed |= content.decoderResult().isFailure() || size > RequestBody.MAX_BYTES;
+            receivedBytes += content.content().readableBytes();
+            malformed |=
+                    content.decoderResult().isFailure() || receivedBytes > RequestBody.MAX_BYTES;
             if (!onlyResponse || malformed) {
                 return;
             }
@@ -739,7 +740,7 @@
          * streamed.
          */
         boolean streamIfLong() {
-            if (length > MAX_BUFFERED_BYTES) {
+            if (declaredLength > MAX_BUFFERED_BYTES) {
                 startStreaming();
             }
             return streaming;
@@ -771,7 +772,7 @@
 
         @Override
         public long length() {
-            return length;
+            return declaredLength;
         }
 
         @Override
--- a/src/main/java/passhatch/proxy/backend/ResponseDecoder.java
+++ b/src/main/java/passhatch/proxy/backend/ResponseDecoder.java
@@ -29,7 +29,7 @@
 
     /** Called when a request is written: the next input is the head of its response. */
     void expectResponse() {
-        startHead();
+        beginHead();
         malformed = false;
     }
 
@@ -79,14 +79,14 @@
         super.channelRead(ctx, message);
     }
 
-    private void startHead() {
+    private void beginHead() {
         inHead = true;
         inStartLine = true;
         interim = false;
-        startLine();
+        beginLine();
     }
 
-    private void startLine() {
+    private void beginLine() {
         colonSeen = false;
         foldedLine = false;
         lineLength = 0;
@@ -107,12 +107,12 @@
         if (lineLength == 0 && !inStartLine) {
             inHead = false;
             if (interim) {
-                startHead();
+                beginHead();
             }
             return;
         }
         malformed |= !inStartLine && !colonSeen && !foldedLine;
         inStartLine &= lineLength == 0;
-        startLine();
+        beginLine();
     }
 }
--- a/src/main/java/passhatch/proxy/client/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/client/ClientConnection.java
@@ -70,14 +70,14 @@
     /**
      * Closes the connection unless a complete request arrives first; null while none is expected.
      */
-    private Future<?> readTimeout;
+    private Future<?> readTimeoutTimer;
 
     /** A request has been received in part, but not completely. */
     private boolean requestStarted;
 
     private long idleSinceUs;
-    private long awaitingSinceUs;
-    private long bodySinceUs;
+    private long awaitingRequestSinceUs;
+    private long readingBodySinceUs;
     private long bodyBytes;
 
     /**
@@ -151,7 +151,7 @@
         ResponseStream stream;
         Relay.Listener streamListener;
         boolean streaming;
-        boolean streamed;
+        boolean streamCompleted;
 
         PendingRequest(ClientConnection connection, HttpVersion version, boolean keepAlive) {
             this.connection = connection;
@@ -214,15 +214,15 @@
                 requestStarted = true;
                 startReadTimeout();
             }
-            frontend.bytesReceived(ClientConnection.this);
+            frontend.onBytesReceived(ClientConnection.this);
             ctx.fireChannelRead(bytes);
         }
     }
 
     private void startReadTimeout() {
-        if (readTimeout == null) {
-            awaitingSinceUs = frontend.nowUs();
-            readTimeout =
+        if (readTimeoutTimer == null) {
+            awaitingRequestSinceUs = frontend.nowUs();
+            readTimeoutTimer =
                     loop.schedule(this::onReadTimeout, HEAD_TIMEOUT_US, TimeUnit.MICROSECONDS);
         }
     }
@@ -232,30 +232,30 @@
         if (leftUs <= 0) {
             channel.close();
         } else {
-            readTimeout = loop.schedule(this::onReadTimeout, leftUs, TimeUnit.MICROSECONDS);
+            readTimeoutTimer = loop.schedule(this::onReadTimeout, leftUs, TimeUnit.MICROSECONDS);
         }
     }
 
     private long readDeadlineUs() {
-        long headUs = awaitingSinceUs + HEAD_TIMEOUT_US;
+        long headUs = awaitingRequestSinceUs + HEAD_TIMEOUT_US;
         if (incoming == null) {
             return headUs;
         }
-        long sinceUs = bodyPaused ? frontend.nowUs() : bodySinceUs;
+        long sinceUs = bodyPaused ? frontend.nowUs() : readingBodySinceUs;
         return Math.max(
                 headUs, sinceUs + MAX_BODY_PAUSE_US + (long) (bodyBytes / MIN_BODY_BYTES_PER_US));
     }
 
     private void cancelReadTimeout() {
-        if (readTimeout != null) {
-            readTimeout.cancel(false);
-            readTimeout = null;
+        if (readTimeoutTimer != null) {
+            readTimeoutTimer.cancel(false);
+            readTimeoutTimer = null;
         }
     }
 
     private void setBodyReading(boolean on) {
         if (on && bodyPaused) {
-            bodySinceUs = frontend.nowUs();
+            readingBodySinceUs = frontend.nowUs();
             bodyBytes = 0;
         }
         bodyPaused = !on;
@@ -263,7 +263,7 @@
     }
 
     private void updateReading() {
-        readAhead.setWanted(pendingRequests.size() < MAX_PIPELINED && !bodyPaused);
+        readAhead.setInputWanted(pendingRequests.size() < MAX_PIPELINED && !bodyPaused);
     }
 
     // ---- requests
@@ -271,7 +271,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         startReadTimeout();
-        frontend.connected(this);
+        frontend.onConnected(this);
         frontend.log().trace("accepted", "-", channel);
         ctx.fireChannelActive();
     }
@@ -299,7 +299,7 @@
         pendingRequests.add(pending);
         incoming = pending;
         requestStarted = true;
-        bodySinceUs = frontend.nowUs();
+        readingBodySinceUs = frontend.nowUs();
         bodyBytes = 0;
         startReadTimeout();
         updateReading();
@@ -427,7 +427,7 @@
                 writeResponse(pending.response, pending);
             } else if (!pending.streaming) {
                 begin(pending);
-            } else if (pending.streamed) {
+            } else if (pending.streamCompleted) {
                 pendingRequests.poll();
             } else {
                 break;
@@ -462,7 +462,7 @@
      * requests on it are pending, since these were accepted; the response to the last of them then
      * announces the close.
      */
-    private boolean keepAliveAfter(PendingRequest pending) {
+    private boolean keepAliveAfterResponse(PendingRequest pending) {
         boolean allowed = frontend.keepAliveAfterResponse();
         boolean keepAlive =
                 pending.keepAlive
@@ -483,7 +483,7 @@
         if (response.retryAfter() != null) {
             message.headers().set(HttpHeaderNames.RETRY_AFTER, response.retryAfter());
         }
-        boolean keepAlive = keepAliveAfter(pending);
+        boolean keepAlive = keepAliveAfterResponse(pending);
         if (!keepAlive) {
             message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
@@ -492,7 +492,7 @@
                         written -> {
                             traceLastByte(pending, written.isSuccess());
                             if (!keepAlive) {
-                                closeAfter(pending);
+                                closeAfterResponse(pending);
                             }
                         });
     }
@@ -507,7 +507,7 @@
         }
     }
 
-    private void closeAfter(PendingRequest pending) {
+    private void closeAfterResponse(PendingRequest pending) {
         if (incoming == pending) {
             closeAfterBody = true;
         } else {
@@ -518,7 +518,7 @@
     /** Starts a streamed response. */
     private void begin(PendingRequest pending) {
         pending.streaming = true;
-        boolean keepAlive = keepAliveAfter(pending);
+        boolean keepAlive = keepAliveAfterResponse(pending);
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (pending.stream.length() >= 0) {
             head.headers().set(HttpHeaderNames.CONTENT_LENGTH, pending.stream.length());
@@ -534,13 +534,13 @@
                 new Relay.Listener() {
                     @Override
                     public void completed() {
-                        pending.streamed = true;
+                        pending.streamCompleted = true;
                         traceLastByte(pending, true);
                         pending.streamListener.completed();
                         if (keepAlive) {
                             writeResponses();
                         } else {
-                            closeAfter(pending);
+                            closeAfterResponse(pending);
                         }
                     }
 
@@ -597,7 +597,7 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         cancelReadTimeout();
         frontend.log().trace("closed", "-", channel.id());
-        frontend.disconnected(this);
+        frontend.onDisconnected(this);
         abandonAll();
     }
 
--- a/src/main/java/passhatch/proxy/client/HttpFrontend.java
+++ b/src/main/java/passhatch/proxy/client/HttpFrontend.java
@@ -46,7 +46,7 @@
      * Bytes to read ahead per connection, equal to the limit of a buffered body: enough for the
      * rest of most bodies that exceed it, or for some hundred requests.
      */
-    private static final int READ_AHEAD = RequestBody.MAX_REPLAYABLE_BYTES;
+    private static final int MAX_READ_AHEAD_BYTES = RequestBody.MAX_REPLAYABLE_BYTES;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -55,7 +55,7 @@
     private final RequestHandler requests;
     private final BufferBudget budget;
     private final DescriptorLimits descriptors;
-    private final StallDetector holdUps;
+    private final StallDetector stallDetector;
 
     /** Connections that were served and have no open request, the longest idle first. */
     private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
@@ -64,16 +64,16 @@
     private final Set<ClientConnection> newConnections = new LinkedHashSet<>();
 
     /** Connections that are being closed, whose clients may not have seen it yet. */
-    private final Set<ClientConnection> closing = new LinkedHashSet<>();
+    private final Set<ClientConnection> closingConnections = new LinkedHashSet<>();
 
-    private int evicted;
+    private int evictedCount;
     private long nextLogUs = Long.MIN_VALUE;
     private Channel listener;
     private boolean markedUnready;
-    private boolean stopped;
+    private boolean listeningStopped;
     private boolean closingAfterResponses;
     private boolean handingOver;
-    private long responses;
+    private long responseCount;
 
     /**
      * Creates a server that does not listen yet.
@@ -81,7 +81,7 @@
      * @param budget limits the buffered bytes of bodies
      * @param descriptors counts the open connections, together with those to backends; if there are
      *     too many, one is closed
-     * @param holdUps measures how long the event loop was stalled
+     * @param stallDetector measures how long the event loop was stalled
      */
     public HttpFrontend(
             EventLoop loop,
@@ -91,7 +91,7 @@
             RequestHandler requests,
             BufferBudget budget,
             DescriptorLimits descriptors,
-            StallDetector holdUps) {
+            StallDetector stallDetector) {
         this.loop = loop;
         this.clock = clock;
         this.log = log;
@@ -99,7 +99,7 @@
         this.requests = requests;
         this.budget = budget;
         this.descriptors = descriptors;
-        this.holdUps = holdUps;
+        this.stallDetector = stallDetector;
     }
 
     /** Starts to listen and returns once the socket is bound. */
@@ -147,7 +147,7 @@
     /** Closes the listener at once if {@link #stopListening} was called before. */
     private void onListening(Channel channel) {
         listener = channel;
-        if (stopped) {
+        if (listeningStopped) {
             listener.close();
         }
     }
@@ -180,10 +180,10 @@
      * down, if descriptors are scarce, or if it is this response's turn during a handover.
      */
     boolean keepAliveAfterResponse() {
-        responses++;
+        responseCount++;
         return !closingAfterResponses
                 && !descriptors.scarce()
-                && !(handingOver && responses % RESPONSES_PER_HANDOVER_CLOSE == 0);
+                && !(handingOver && responseCount % RESPONSES_PER_HANDOVER_CLOSE == 0);
     }
 
     /**
@@ -191,15 +191,15 @@
      * server listens.
      */
     public void stopListening() {
-        stopped = true;
+        listeningStopped = true;
         if (listener != null) {
             listener.close();
         }
     }
 
     /** Closes the connections without an open request, for which clients are prepared. */
-    public void closeIdle() {
-        withoutOpenRequest()
+    public void closeIdleConnections() {
+        connectionsWithoutOpenRequest()
                 .filter(connection -> !connection.requestStarted())
                 .toList()
                 .forEach(ClientConnection::closeGracefully);
@@ -210,15 +210,15 @@
      * not last long.
      */
     public boolean closing() {
-        return !closing.isEmpty();
+        return !closingConnections.isEmpty();
     }
 
     /** Returns whether a connection without an open request has received part of a new one. */
     public boolean receivingRequest() {
-        return withoutOpenRequest().anyMatch(ClientConnection::requestStarted);
+        return connectionsWithoutOpenRequest().anyMatch(ClientConnection::requestStarted);
     }
 
-    private Stream<ClientConnection> withoutOpenRequest() {
+    private Stream<ClientConnection> connectionsWithoutOpenRequest() {
         return Stream.concat(idleConnections.stream(), newConnections.stream());
     }
 
@@ -241,7 +241,7 @@
     }
 
     ReadAhead newReadAhead() {
-        return new ReadAhead(budget, READ_AHEAD);
+        return new ReadAhead(budget, MAX_READ_AHEAD_BYTES);
     }
 
     /** Creates the body that follows a request's head. */
@@ -251,7 +251,7 @@
         return new RequestBody(loop, budget, declared, source);
     }
 
-    void connected(ClientConnection connection) {
+    void onConnected(ClientConnection connection) {
         descriptors.addClients(1);
         newConnections.add(connection);
         if (descriptors.limitExceeded()) {
@@ -263,7 +263,7 @@
      * Called when bytes have arrived: of the connections that never sent a request, the one that is
      * silent for longest is closed first.
      */
-    void bytesReceived(ClientConnection connection) {
+    void onBytesReceived(ClientConnection connection) {
         if (newConnections.remove(connection)) {
             newConnections.add(connection);
         }
@@ -284,12 +284,12 @@
     /** Called when a connection is being closed. */
     void closing(ClientConnection connection) {
         markBusy(connection);
-        closing.add(connection);
+        closingConnections.add(connection);
     }
 
-    void disconnected(ClientConnection connection) {
+    void onDisconnected(ClientConnection connection) {
         markBusy(connection);
-        closing.remove(connection);
+        closingConnections.remove(connection);
         descriptors.addClients(-1);
     }
 
@@ -299,20 +299,20 @@
      * never send a request.
      */
     private void evictOne(ClientConnection newcomer) {
-        evicted++;
+        evictedCount++;
         if (clock.nowUs() >= nextLogUs) {
             nextLogUs = clock.nowUs() + LOG_INTERVAL_US;
             log.line(
                     descriptors.clients()
                             + " clients are connected, too many: "
-                            + evicted
+                            + evictedCount
                             + " let go so far");
         }
         ClientConnection longestIdle =
                 idleConnections.isEmpty() ? null : idleConnections.iterator().next();
         ClientConnection victim =
-                !closing.isEmpty()
-                        ? closing.iterator().next()
+                !closingConnections.isEmpty()
+                        ? closingConnections.iterator().next()
                         : longestIdle != null
                                         && (newConnections.size() <= 1
                                                 || longestIdle.idleSinceUs()
@@ -324,7 +324,7 @@
         // The connection is reported as closed in a later iteration of the event loop; until then
         // it must not be chosen again.
         markBusy(victim);
-        closing.remove(victim);
+        closingConnections.remove(victim);
         victim.close();
     }
 
@@ -332,6 +332,6 @@
      * Returns how long a request that is read now may have been waiting unread, in microseconds.
      */
     long unreadUs() {
-        return holdUps.unreadUs(clock.nowUs());
+        return stallDetector.unreadUs(clock.nowUs());
     }
 }
--- a/src/main/java/passhatch/proxy/client/ReadAhead.java
+++ b/src/main/java/passhatch/proxy/client/ReadAhead.java
@@ -19,7 +19,7 @@
     private final ArrayDeque<ByteBuf> buffered = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private long bufferedBytes;
-    private boolean wanted = true;
+    private boolean inputWanted = true;
     private boolean forwarding;
 
     /**
@@ -34,8 +34,8 @@
     }
 
     /** Sets whether the input is wanted now. */
-    void setWanted(boolean value) {
-        wanted = value;
+    void setInputWanted(boolean value) {
+        inputWanted = value;
         if (context != null) {
             forward();
             updateReading();
@@ -56,7 +56,7 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf buffer = (ByteBuf) message;
         buffered.add(buffer);
-        addBytes(buffer.readableBytes());
+        addBufferedBytes(buffer.readableBytes());
         forward();
         updateReading();
     }
@@ -71,9 +71,9 @@
         }
         forwarding = true;
         try {
-            while (wanted && !buffered.isEmpty()) {
+            while (inputWanted && !buffered.isEmpty()) {
                 ByteBuf next = buffered.poll();
-                addBytes(-next.readableBytes());
+                addBufferedBytes(-next.readableBytes());
                 context.fireChannelRead(next);
             }
         } finally {
@@ -81,7 +81,7 @@
         }
     }
 
-    private void addBytes(int difference) {
+    private void addBufferedBytes(int difference) {
         bufferedBytes += difference;
         budget.add(difference);
     }
@@ -90,14 +90,14 @@
         if (context.channel().isActive()) {
             context.channel()
                     .config()
-                    .setAutoRead(wanted || bufferedBytes < maxBytes && !budget.exceeded());
+                    .setAutoRead(inputWanted || bufferedBytes < maxBytes && !budget.exceeded());
         }
     }
 
     private void drop() {
         while (!buffered.isEmpty()) {
             ByteBuf next = buffered.poll();
-            addBytes(-next.readableBytes());
+            addBufferedBytes(-next.readableBytes());
             next.release();
         }
     }
--- a/src/main/java/passhatch/proxy/client/RequestParser.java
+++ b/src/main/java/passhatch/proxy/client/RequestParser.java
@@ -60,20 +60,20 @@
         if (!transferEncoding.isEmpty() && !transferEncoding.strip().equalsIgnoreCase("chunked")) {
             throw badRequest("Transfer-Encoding is not chunked");
         }
-        int requestClass = requestClass(http);
+        int requestClass = findRequestClass(http);
         HttpHeaders headers = http.headers();
         String id = headers.get("X-Request-Id", "");
         if (!ID_PATTERN.matcher(id).matches()) {
             throw badRequest("X-Request-Id is missing or malformed");
         }
         long timeoutUs =
-                timeoutUs(headers.get("X-Deadline"), classes.get(requestClass).deadlineUs());
+                parseTimeoutUs(headers.get("X-Deadline"), classes.get(requestClass).deadlineUs());
         return new ProxyRequest(
                 id,
                 requestClass,
-                tenant(headers.get("X-Tenant")),
+                findTenant(headers.get("X-Tenant")),
                 timeoutUs,
-                costHintUs(headers.get("X-Cost-Hint")),
+                parseCostHintUs(headers.get("X-Cost-Hint")),
                 "1".equals(headers.get("X-Retry")),
                 http.method(),
                 http.uri(),
@@ -85,12 +85,13 @@
      * Returns the index of the class that the first segment of the path names. The effect of the
      * class must be the one that the method promises to the client.
      */
-    private int requestClass(HttpRequest http) throws BadRequestException {
+    private int findRequestClass(HttpRequest http) throws BadRequestException {
         String path = new QueryStringDecoder(http.uri()).rawPath();
         int segmentEnd = path.indexOf('/', 1);
         int index =
                 path.startsWith("/")
-                        ? classIndex(path.substring(1, segmentEnd < 0 ? path.length() : segmentEnd))
+                        ? findClassIndex(
+                                path.substring(1, segmentEnd < 0 ? path.length() : segmentEnd))
                         : -1;
         if (index < 0) {
             throw new BadRequestException(HttpResponseStatus.NOT_FOUND, "the path names no class");
@@ -113,7 +114,7 @@
      * Returns the index of the class that a segment names, or -1 if there is none. Names with
      * characters that a path must not contain are percent-encoded (RFC 3986, section 2.1).
      */
-    private int classIndex(String segment) {
+    private int findClassIndex(String segment) {
         int unescaped = classNames.indexOf(segment);
         try {
             return unescaped >= 0
@@ -125,7 +126,7 @@
         }
     }
 
-    private int tenant(String name) throws BadRequestException {
+    private int findTenant(String name) throws BadRequestException {
         if (name == null || tenants.isEmpty()) {
             return 0;
         }
@@ -136,7 +137,7 @@
         return tenant;
     }
 
-    private static long timeoutUs(String text, long defaultUs) throws BadRequestException {
+    private static long parseTimeoutUs(String text, long defaultUs) throws BadRequestException {
         if (text == null) {
             return defaultUs;
         }
@@ -149,7 +150,7 @@
     }
 
     /** Returns the cost hint; 0 if there is none or it is malformed. */
-    private static long costHintUs(String text) {
+    private static long parseCostHintUs(String text) {
         try {
             return text == null ? 0 : Math.max(0, (long) Double.parseDouble(text));
         } catch (NumberFormatException malformed) {
--- a/src/test/java/passhatch/lab/distribution/ScaleInputTest.java
+++ b/src/test/java/passhatch/lab/distribution/ScaleInputTest.java
@@ -25,7 +25,7 @@
             })
     void invalidOptionsAreReportedInOneLine(String option) {
         StringWriter err = new StringWriter();
-        CommandLine line = Commands.oneLineErrors(ScaleCommand.line());
+        CommandLine line = Commands.useOneLineErrors(ScaleCommand.commandLine());
         line.setErr(new PrintWriter(err));
         assertEquals(Commands.EXIT_USAGE, line.execute("distribution", option));
         assertTrue(err.toString().strip().lines().count() == 1, err.toString());
--- a/src/test/java/passhatch/lab/drain/WatchCommandTest.java
+++ b/src/test/java/passhatch/lab/drain/WatchCommandTest.java
@@ -18,7 +18,7 @@
     @ValueSource(strings = {"9..3", "-1..4", "x", "1..", "..", "1...2", "99999999999999999999"})
     void anInvalidSeedRangeIsReportedOnOneLine(String range) {
         StringWriter text = new StringWriter();
-        CommandLine line = Commands.oneLineErrors(new CommandLine(new WatchCommand()));
+        CommandLine line = Commands.useOneLineErrors(new CommandLine(new WatchCommand()));
         line.setErr(new PrintWriter(text, true));
         assertEquals(USAGE, line.execute("--seeds=" + range));
         assertEquals(1, text.toString().lines().count(), text.toString());
--- a/src/test/java/passhatch/lab/scale/MembershipScaleCommandTest.java
+++ b/src/test/java/passhatch/lab/scale/MembershipScaleCommandTest.java
@@ -20,7 +20,7 @@
     private final StringWriter errors = new StringWriter();
 
     private int run(String... options) {
-        CommandLine line = Commands.oneLineErrors(ScaleCommand.line());
+        CommandLine line = Commands.useOneLineErrors(ScaleCommand.commandLine());
         line.setErr(new PrintWriter(errors));
         line.setOut(new PrintWriter(new StringWriter()));
         String[] arguments = new String[options.length + 1];
--- a/src/test/java/passhatch/lab/scale/ScaleCommandTest.java
+++ b/src/test/java/passhatch/lab/scale/ScaleCommandTest.java
@@ -22,7 +22,7 @@
 
     private static void assertUsageError(String... args) {
         StringWriter err = new StringWriter();
-        CommandLine line = Commands.oneLineErrors(ScaleCommand.line());
+        CommandLine line = Commands.useOneLineErrors(ScaleCommand.commandLine());
         line.setErr(new PrintWriter(err, true));
         assertEquals(Commands.EXIT_USAGE, line.execute(args), String.join(" ", args));
         assertEquals(1, err.toString().lines().count(), err.toString());
@@ -58,7 +58,7 @@
 
     @Test
     void readsTheUsageOfItsOwnProcess() throws Exception {
-        ProcessUsage usage = ProcessUsage.of(ProcessHandle.current().pid());
+        ProcessUsage usage = ProcessUsage.read(ProcessHandle.current().pid());
         assertTrue(usage.residentKb() > 0);
         assertTrue(usage.threads() > 0);
     }
@@ -78,7 +78,9 @@
     @Test
     void addedLatencyIsThatOfThePathMinusThatOfDirectRequests() {
         var added =
-                LatencyCommand.added(List.of(step(0, 200L, false), step(7, 900L, false))).get(0);
+                LatencyCommand.computeAddedLatency(
+                                List.of(step(0, 200L, false), step(7, 900L, false)))
+                        .get(0);
         assertEquals(700, added.p99Us());
         assertEquals(4.5, added.ratioP99());
     }
@@ -86,8 +88,10 @@
     @Test
     void voidAndSaturatedStepsGiveNoAddedLatency() {
         var steps = List.of(step(0, 200L, false), step(1, null, false), step(7, 900L, true));
-        assertEquals(List.of(), LatencyCommand.added(steps));
+        assertEquals(List.of(), LatencyCommand.computeAddedLatency(steps));
         assertEquals(
-                List.of(), LatencyCommand.added(List.of(step(0, null, false), step(1, 9L, false))));
+                List.of(),
+                LatencyCommand.computeAddedLatency(
+                        List.of(step(0, null, false), step(1, 9L, false))));
     }
 }
--- a/src/test/java/passhatch/lab/scale/ScaleIT.java
+++ b/src/test/java/passhatch/lab/scale/ScaleIT.java
@@ -34,7 +34,8 @@
                         "1",
                         "--seed",
                         "3"));
-        return Commands.oneLineErrors(ScaleCommand.line()).execute(all.toArray(String[]::new));
+        return Commands.useOneLineErrors(ScaleCommand.commandLine())
+                .execute(all.toArray(String[]::new));
     }
 
     private JsonNode result() throws Exception {
--- a/src/test/java/passhatch/proxy/backend/BackendPoolTest.java
+++ b/src/test/java/passhatch/proxy/backend/BackendPoolTest.java
@@ -545,7 +545,7 @@
         try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
             assertEquals(Outcome.OK, sendAndAwait(backend.address()));
             Thread.sleep(1);
-            loop.submit(pool::closeStale).get();
+            loop.submit(pool::closeStaleConnections).get();
             backend.awaitConnectionEnd();
         }
     }
@@ -554,7 +554,7 @@
     void closesIdleConnectionsOnDemand() throws Exception {
         try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
             assertEquals(Outcome.OK, sendAndAwait(backend.address()));
-            loop.submit(() -> pool.closeIdle(backend.address())).get();
+            loop.submit(() -> pool.closeIdleConnections(backend.address())).get();
             backend.awaitConnectionEnd();
         }
     }
