--- a/src/main/java/passhatch/cli/AgentCall.java
+++ b/src/main/java/passhatch/cli/AgentCall.java
@@ -12,7 +12,7 @@
 import passhatch.proxy.base.Addresses;
 import picocli.CommandLine.Option;
 
-/** The options and the connection that commands share which query a running agent. */
+/** The options and the connection that are shared by the commands that query a running agent. */
 final class AgentCall {
 
     private static final int TIMEOUT_MS = 5_000;
@@ -29,7 +29,9 @@
             description = "Prints the agent's reply as received, one line of JSON.")
     private boolean json;
 
-    /** Prints the reply to a call, either as received or as a table. */
+    /**
+     * Prints the agent's reply to a call: as received with {@code --json}, otherwise as a table.
+     */
     void print(String call, PrintWriter out, BiConsumer<Map<String, Object>, PrintWriter> table)
             throws IOException {
         String reply = ask(call, "{");
@@ -42,9 +44,9 @@
     }
 
     /**
-     * Returns the reply to a call.
+     * Sends a call to the agent and returns its reply.
      *
-     * @throws IOException if there is no reply, or it starts with something else
+     * @throws IOException if there is no reply, or if it does not start with {@code expectedPrefix}
      */
     String ask(String call, String expectedPrefix) throws IOException {
         InetSocketAddress address = parseAddress(control);
@@ -82,7 +84,9 @@
         }
     }
 
-    /** Sends the call and returns the reply, which ends with the connection. */
+    /**
+     * Sends the call and returns the reply, which is complete when the agent closes the connection.
+     */
     static String exchange(Socket socket, String call) throws IOException {
         socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.US_ASCII));
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
--- a/src/main/java/passhatch/cli/ChangesCall.java
+++ b/src/main/java/passhatch/cli/ChangesCall.java
@@ -8,8 +8,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * The option and the calls that the subcommands of {@code changes} share: agents are tried one
- * after the other.
+ * The option and the calls that the subcommands of {@code changes} share. A call tries the given
+ * agents one after the other.
  */
 final class ChangesCall {
 
@@ -28,7 +28,10 @@
                     "Control address of an agent, like 127.0.0.1:9911; several are tried in turn.")
     private List<String> controls;
 
-    /** Returns the reply of the first agent that gives one. */
+    /**
+     * Sends a call to the agents one after the other, and returns the first reply that is not an
+     * error.
+     */
     String ask(String call) throws IOException {
         checkAddresses();
         IOException lastFailure = null;
@@ -43,8 +46,8 @@
     }
 
     /**
-     * Checks all addresses first, so that a malformed one is reported whether or not it would be
-     * tried.
+     * Checks all addresses before the first call, so that a malformed address is reported even if
+     * it would not be tried.
      */
     private void checkAddresses() {
         controls.forEach(AgentCall::parseAddress);
@@ -61,7 +64,8 @@
      * Submits a change to the leader and waits until it is committed.
      *
      * @return the version of the change
-     * @throws IOException if the change is refused, no agent leads, or its outcome is not known
+     * @throws IOException if the change is refused, if none of the agents is the leader, or if the
+     *     outcome of the change is not known
      */
     long submit(String call) throws IOException, InterruptedException {
         checkAddresses();
@@ -91,7 +95,7 @@
 
     /**
      * Sends the change and returns the reply. A change that has been sent may have been made even
-     * if no reply arrives.
+     * if no reply arrives, so its outcome is then unknown.
      */
     private static String sendChange(Socket socket, String call) throws OutcomeUnknownException {
         try {
@@ -132,7 +136,7 @@
         }
     }
 
-    /** A change was submitted, and it is not known whether it was made. */
+    /** Thrown if a change was submitted and it is not known whether the change was made. */
     private static final class OutcomeUnknownException extends IOException {
         private static final long serialVersionUID = 1;
 
--- a/src/main/java/passhatch/cli/ChangesCommand.java
+++ b/src/main/java/passhatch/cli/ChangesCommand.java
@@ -31,7 +31,7 @@
                 .addSubcommand(new Initialize());
     }
 
-    /** The base of all subcommands: runs against the agents and prints one line. */
+    /** The base of all subcommands: calls the agents and prints one line. */
     private abstract static class Subcommand implements Callable<Integer> {
         @Spec private CommandSpec spec;
         @Mixin private ChangesCall agents;
--- a/src/main/java/passhatch/cli/CommandGroup.java
+++ b/src/main/java/passhatch/cli/CommandGroup.java
@@ -5,8 +5,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * A command that only groups subcommands; used without one, it reports a usage error that lists
- * them.
+ * A command that only groups subcommands. If it is run without a subcommand, it reports a usage
+ * error that lists the subcommands.
  */
 public abstract class CommandGroup implements Runnable {
 
--- a/src/main/java/passhatch/cli/Commands.java
+++ b/src/main/java/passhatch/cli/Commands.java
@@ -28,7 +28,10 @@
 
     private Commands() {}
 
-    /** Creates the whole command line; tools outside the deployed jar add commands of their own. */
+    /**
+     * Creates the command line with all commands of the deployed jar; other tools may add commands
+     * of their own.
+     */
     public static CommandLine commandLine() {
         CommandLine commandLine = new CommandLine(new Root());
         commandLine
@@ -43,7 +46,7 @@
         return useOneLineErrors(commandLine);
     }
 
-    /** Makes the command line report each error in one line, without the usage text. */
+    /** Makes a command line report each error as one line, without the usage text. */
     public static CommandLine useOneLineErrors(CommandLine commandLine) {
         commandLine.setParameterExceptionHandler(Commands::onUsageError);
         commandLine.setExecutionExceptionHandler(
@@ -129,7 +132,8 @@
     }
 
     /**
-     * Returns the program's version from the jar's manifest; empty if the program is not packaged.
+     * Returns the program's version from the jar's manifest; an empty string if the program does
+     * not run from a jar.
      */
     static String version() {
         String version = Commands.class.getPackage().getImplementationVersion();
--- a/src/main/java/passhatch/cli/Main.java
+++ b/src/main/java/passhatch/cli/Main.java
@@ -10,9 +10,9 @@
 import passhatch.proxy.Rehearsal;
 
 /**
- * The entry point of the program. The commands that the platform runs are recognized here without a
- * library: at half a core, startup leaves no time to load one for options that they do not have.
- * All other commands are parsed by {@link Commands}.
+ * The entry point of the program. The commands that the platform runs are recognized here without
+ * picocli, because they have no options, and at half a core there is no time to load a library at
+ * startup. All other commands are parsed by {@link Commands}.
  */
 public final class Main {
 
--- a/src/main/java/passhatch/cli/StoreCommand.java
+++ b/src/main/java/passhatch/cli/StoreCommand.java
@@ -22,7 +22,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command {@code store} with its subcommands. A folder in use by another process is not read.
+ * The command {@code store} with its subcommands, which do not read a folder that is in use by
+ * another process.
  */
 @Command(
         name = "store",
--- a/src/main/java/passhatch/lab/scale/AgentMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/AgentMeasurement.java
@@ -11,12 +11,12 @@
 import passhatch.lab.Seeds;
 import passhatch.lab.drill.AgentProcess;
 
-/** Measures the first agent of a fleet most of whose members run inside this process. */
+/** Measures one agent process in a fleet. Most of the other members run inside this process. */
 final class AgentMeasurement {
 
     /**
-     * Number of voters on a duty, each an agent process of its own; without duties one agent
-     * process is enough.
+     * Number of voters on a duty. Each voter is an agent process of its own; without duties, one
+     * agent process is enough.
      */
     static final int VOTERS = 3;
 
@@ -36,7 +36,7 @@
         this.folder = folder;
     }
 
-    /** Metrics that the agent itself reports. */
+    /** Traffic counters that an agent reports about itself. */
     private record TrafficCounters(long sentBytes, long sentDatagrams, long receivedDatagrams) {
         static TrafficCounters read(AgentProcess agent) throws IOException {
             String vars = agent.ask("vars");
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Measures a fleet of this size.
+     * Measures the first agent of a fleet that has this number of members.
      *
      * @throws IOException if an agent ended, or the first one did not see all members alive within
      *     60 s
--- a/src/main/java/passhatch/lab/scale/AgentResult.java
+++ b/src/main/java/passhatch/lab/scale/AgentResult.java
@@ -5,8 +5,8 @@
 /**
  * Resources that one agent uses in fleets of several sizes.
  *
- * @param failures the failures, each with its fleet size: an agent ended, or never saw all members
- *     alive
+ * @param failures descriptions of failed measurements, each with its fleet size; a measurement
+ *     fails if an agent ends early or never sees all members alive
  */
 record AgentResult(
         long seed,
@@ -17,11 +17,11 @@
         List<String> failures) {
 
     /**
-     * One fleet without failures or changes.
+     * The resources that one agent used in a fleet without failures or changes.
      *
      * @param processes number of members that are agent processes; the others run inside the tool
      * @param duties whether three agent processes are voters and candidates for a duty
-     * @param processorShare fraction of one core
+     * @param processorShare processor time of the agent, as a fraction of one core
      */
     record Point(
             int members,
@@ -33,6 +33,6 @@
             double sentPerSecond,
             double receivedPerSecond) {}
 
-    /** A line fitted over the number of members. */
+    /** A line that is fitted to a quantity as a function of the number of members. */
     record Fit(String quantity, boolean duties, LinearFit line) {}
 }
--- a/src/main/java/passhatch/lab/scale/DistributionEvent.java
+++ b/src/main/java/passhatch/lab/scale/DistributionEvent.java
@@ -19,17 +19,23 @@
     ZONE_CUT,
     /** A region is partitioned from the others during changes, and reconnects. */
     REGION_CUT,
-    /** A tenth of the subscribers miss changes, and start from disk at the same time. */
+    /**
+     * A tenth of the subscribers are stopped during changes, and then start from disk at the same
+     * time.
+     */
     TENTH_RESTARTED,
     /** All subscribers start with an empty disk at the same time. */
     COLD;
 
-    /** Returns the event's name as an option value and as the prefix of its figures' names. */
+    /**
+     * Returns the event's name in lower case, as it is used in options and as the prefix of figure
+     * names.
+     */
     String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Converts a {@link #label} to its event. */
+    /** Converts an option value, which is a {@link #label}, to the event with this label. */
     static final class Converter implements ITypeConverter<DistributionEvent> {
         @Override
         public DistributionEvent convert(String label) {
--- a/src/main/java/passhatch/lab/scale/DistributionMeter.java
+++ b/src/main/java/passhatch/lab/scale/DistributionMeter.java
@@ -13,12 +13,12 @@
 import passhatch.lab.distribution.Simulation;
 
 /**
- * Counts the traffic of each node, and measures the delay from the creation of a change until it is
- * in force at a subscriber.
+ * Counts the traffic of each node, and measures the delay from the creation of a change until the
+ * change is in force at a subscriber.
  */
 final class DistributionMeter implements Observer {
 
-    /** Datagrams and bytes that a node has sent and received. */
+    /** Total of the datagrams and bytes that a node has sent and received. */
     static final class Traffic {
         private long bytes;
         private long datagrams;
@@ -38,7 +38,7 @@
     private final Map<Node, TreeMap<Long, ExpectedChange>> expectedChanges = new HashMap<>();
     private final List<Long> delaysUs = new ArrayList<>();
 
-    /** Expected changes whose version another leader gave to a different change. */
+    /** Number of expected changes whose version a later leader assigned to a different change. */
     private long supersededCount;
 
     private Clock clock = () -> 0;
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Expects a change of a key to come into force at those of the subscribers that run and have
-     * not reached its version.
+     * Expects a change to come into force at each given subscriber that is running and has not
+     * reached the change's version.
      *
      * @param createdUs simulated time at which the delay starts
      */
@@ -71,8 +71,9 @@
     }
 
     /**
-     * Records the delay of each expected change whose key has that version or a newer one. The
-     * version of the node alone does not count.
+     * Records the delay of each expected change that is now in force at a node. A change is in
+     * force if the node has the change's version of its key, or a newer one; the version of the
+     * node's whole state is not sufficient.
      */
     @Override
     public void versionApplied(Node node, long epoch, long version) {
@@ -121,7 +122,10 @@
         supersededCount = 0;
     }
 
-    /** Returns how many expected changes are not in force, summed over their subscribers. */
+    /**
+     * Returns the number of expected changes that are not in force, counted once for each
+     * subscriber.
+     */
     long missingCount() {
         return supersededCount + expectedChanges.values().stream().mapToLong(Map::size).sum();
     }
@@ -130,10 +134,7 @@
         return delaysUs.size();
     }
 
-    /**
-     * Returns a quantile of the delay from the creation of a change until it is in force, in
-     * seconds; 0 if there are no samples.
-     */
+    /** Returns a quantile of the recorded delays in seconds; 0 if no delay has been recorded. */
     double delayQuantileSeconds(double fraction) {
         if (delaysUs.isEmpty()) {
             return 0;
--- a/src/main/java/passhatch/lab/scale/DistributionScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleCommand.java
@@ -28,7 +28,10 @@
     private static final int MAX_CHANGES = 10_000;
     private static final Path DIRECTORY = Path.of("target", "scale", "distribution");
 
-    /** The result that is written: figures by size, and lines fitted over the sizes. */
+    /**
+     * The result that is written to a file: the figures by number of subscribers, and a line fitted
+     * to each figure.
+     */
     record Result(
             long seed, Map<Integer, Map<String, Double>> sizes, Map<String, LinearFit> fits) {}
 
--- a/src/main/java/passhatch/lab/scale/DistributionScalePlot.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScalePlot.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Plots bytes a second at a relay over the number of subscribers, with a line for each event. */
+/**
+ * Plots the bytes a second at a relay against the number of subscribers, with a line for each
+ * event.
+ */
 final class DistributionScalePlot {
 
     private static final String FIGURE_SUFFIX = ".relay.bytes_per_s";
--- a/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
@@ -37,12 +37,15 @@
     private static final int SETTINGS_PER_SERVICE = 2;
     private static final int SERVICES_PER_SUBSCRIBER = 30;
 
-    /** Longer than the time for which a follower avoids its preferred source. */
+    /**
+     * Simulated time before the first event. It is longer than the time for which a follower avoids
+     * its preferred source.
+     */
     private static final long WARM_UP_US = 60 * SECOND_US;
 
     private static final long IDLE_DURATION_US = 10 * SECOND_US;
 
-    /** 1,000 changes a minute. */
+    /** Time between two changes; the rate is 1,000 changes a minute. */
     private static final long CHANGE_INTERVAL_US = 60_000;
 
     private static final long SETTLE_TIME_US = 5 * SECOND_US;
@@ -51,13 +54,15 @@
     private static final long FAILOVER_LEASE_US = 2 * SECOND_US;
     private static final long ZONE_PARTITION_US = 30 * SECOND_US;
     private static final long REGION_PARTITION_US = 120 * SECOND_US;
+
+    /** One subscriber in this many is restarted. */
     private static final int RESTARTED_DIVISOR = 10;
 
     /**
      * A change that no leader has accepted yet.
      *
-     * @param createdUs simulated time of its creation
-     * @param measured selects the subscribers at which its delay is measured
+     * @param createdUs simulated time of the change's creation
+     * @param measured selects the subscribers at which the change's delay is measured
      */
     private record PendingChange(
             String service, String value, long createdUs, Predicate<Node> measured) {}
@@ -107,7 +112,7 @@
         }
     }
 
-    /** Runs events in the order of the enum, and returns figures by name. */
+    /** Measures the given events in the order of the enum, and returns all figures by name. */
     Map<String, Double> run(Set<DistributionEvent> events) {
         for (Node node : simulation.nodes()) {
             node.setDisk(fleet.initialDisk(node));
@@ -201,8 +206,8 @@
     }
 
     /**
-     * Creates a change and tries to submit it. Its delay starts now, so it includes the time until
-     * a majority of the replicas has the change.
+     * Creates a change and tries to submit it. The change's delay is measured from now, so it
+     * includes the time until a majority of the replicas has the change.
      */
     private void createChange(Predicate<Node> measured) {
         String service = "service-" + random.nextInt(SERVICES);
@@ -212,8 +217,8 @@
     }
 
     /**
-     * Submits pending changes in their order until none is left or one is not accepted, because
-     * there is no leader or the leader rejects it.
+     * Submits the pending changes in order. Stops at the first change that is not accepted, because
+     * there is no leader or the leader rejects the change.
      */
     private void submitPendingChanges() {
         while (!pendingChanges.isEmpty() && trySubmit(pendingChanges.peekFirst())) {
@@ -248,7 +253,10 @@
         return true;
     }
 
-    /** Resubmits changes that no leader has accepted, as an operator would, for up to 60 s. */
+    /**
+     * Resubmits changes that no leader has accepted, as an operator would, for up to 60 simulated
+     * seconds.
+     */
     private void retryPendingChanges() {
         long deadlineUs = simulation.nowUs() + CATCH_UP_TIMEOUT_US;
         while (!pendingChanges.isEmpty() && simulation.nowUs() < deadlineUs) {
@@ -267,8 +275,8 @@
     }
 
     /**
-     * Kills the leader in the middle of changes. A change without a leader to accept it is
-     * submitted again; its delay starts with its creation.
+     * Kills the leader in the middle of changes. A change that no leader accepts is submitted again
+     * later; its delay is still measured from its creation.
      */
     private void measureLeaderKill(String phase) {
         maxLeaderWaitUs = 0;
@@ -293,7 +301,7 @@
         measurePartition(phase, node -> node.location().zone() == zone, ZONE_PARTITION_US);
     }
 
-    /** Partitions the region of a replica that is not the leader. */
+    /** Partitions a region that has a replica but not the leader. */
     private void measureRegionPartition(String phase) {
         int leaderRegion = lease.holder().location().region();
         int region =
@@ -306,8 +314,8 @@
     }
 
     /**
-     * Partitions the nodes inside from the others while changes continue. The delay of the changes
-     * is measured at the nodes outside.
+     * Partitions the nodes that {@code inside} selects from all others while changes continue. The
+     * delay of the changes is measured at the other subscribers.
      */
     private void measurePartition(String phase, Predicate<Node> inside, long durationUs) {
         meter.reset();
@@ -324,7 +332,10 @@
         recordDelays(phase + ".elsewhere");
     }
 
-    /** Waits, for up to 60 s, until nodes have all that is committed now. */
+    /**
+     * Records the simulated time until the nodes have all changes that are committed now; waits for
+     * up to 60 simulated seconds.
+     */
     private void measureCatchUp(String phase, List<Node> nodes) {
         long head = highestReplicaVersion();
         long behindCount =
@@ -348,8 +359,8 @@
     }
 
     /**
-     * Kills a tenth of the subscribers, makes changes, and then starts them all at the same time
-     * from the state on their disks.
+     * Kills a tenth of the subscribers, makes changes, and then starts the killed subscribers at
+     * the same time from the state on their disks.
      */
     private void measureRestart(String phase) {
         List<Node> subscribers = simulation.nodes(Role.SUBSCRIBER);
--- a/src/main/java/passhatch/lab/scale/InProcessMembers.java
+++ b/src/main/java/passhatch/lab/scale/InProcessMembers.java
@@ -24,12 +24,12 @@
 import passhatch.lab.Seeds;
 
 /**
- * Members of a fleet that run on one thread of this process. Each has its own socket and the
- * program's membership state machine, but no store, control address or duties.
+ * Members of a fleet that all run on one thread of this process. Each member has its own socket and
+ * a {@link Membership}, but no store, control address or duties.
  */
 final class InProcessMembers implements Closeable {
 
-    /** The default of the agent's configuration. */
+    /** Probe period of the members, equal to the default in the agent's configuration. */
     private static final long PROBE_PERIOD_US = 500_000;
 
     private static final long BYTES_PER_SECOND = 16_384;
@@ -87,7 +87,7 @@
                 }
             }
         } catch (IOException | ClosedSelectorException closed) {
-            // Closed by close().
+            // The selector was closed by close(), so the thread ends.
         }
     }
 
--- a/src/main/java/passhatch/lab/scale/LatencyCommand.java
+++ b/src/main/java/passhatch/lab/scale/LatencyCommand.java
@@ -148,7 +148,9 @@
                 compareWithLimits(added));
     }
 
-    /** Measures all paths at one rate, close together in time. */
+    /**
+     * Measures direct requests and all paths at the same request rate, directly after one another.
+     */
     private List<LatencyResult.Step> measureAtRate(
             LatencyMeasurement measurement, int size, int rate, ScaleOptions.Progress progress)
             throws IOException, InterruptedException {
@@ -163,8 +165,8 @@
     }
 
     /**
-     * Returns the latency of each path minus that of direct requests at the same load. Void and
-     * saturated paths are left out.
+     * Returns the latency of each path minus the latency of direct requests at the same load. Paths
+     * whose step is void or saturated are left out.
      */
     static List<LatencyResult.Added> computeAddedLatency(List<LatencyResult.Step> steps) {
         List<LatencyResult.Added> added = new ArrayList<>();
--- a/src/main/java/passhatch/lab/scale/LatencyMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/LatencyMeasurement.java
@@ -13,19 +13,27 @@
 import passhatch.lab.load.Outcome;
 import passhatch.lab.load.ProxyPool;
 
-/** Runs one load on one path at a time and measures its latency. */
+/**
+ * Runs loads on the paths of a chain, one at a time, and measures the latency of their requests.
+ */
 final class LatencyMeasurement {
 
     private static final int MAX_LATENCY_US = 120_000_000;
     private static final int SIGNIFICANT_DIGITS = 3;
     private static final long START_DELAY_MS = 50;
 
-    /** Requests of the first second open connections and are left out of the quantiles. */
+    /**
+     * Number of the load's first time steps, one second in all, that are left out of the quantiles
+     * because their requests open connections.
+     */
     private static final int SKIPPED_STEPS = 1_000 / LoadStats.STEP_MS;
 
     private static final int CONNECTIONS = 64;
 
-    /** Short, as the load tool must not add noticeably to latencies of a tenth of a millisecond. */
+    /**
+     * Interval at which the load generator checks for due requests, in microseconds. It is short,
+     * because the load generator must not add noticeably to latencies of a tenth of a millisecond.
+     */
     private static final long TICK_US = 50;
 
     private static final long DEADLINE_US = 1_000_000;
@@ -42,10 +50,10 @@
     /**
      * Creates a measurement on a chain of proxies.
      *
-     * @param seconds duration of each step, after the second that is left out
-     * @param maxBehindUs a step is void if its requests were sent later than this after they were
-     *     due, at the 99th percentile
-     * @param maxAttempts how often a step is run in all while it is void
+     * @param seconds duration of each step, not counting the first second, which is left out
+     * @param maxBehindUs maximum time from when a request is due until it is sent, at the 99th
+     *     percentile; a step with a longer time is void
+     * @param maxAttempts maximum number of runs of a step; it is run again only while it is void
      */
     LatencyMeasurement(
             ProxyChain chain, Seeds seeds, int seconds, int maxBehindUs, int maxAttempts) {
@@ -62,7 +70,9 @@
         runLoad(proxyCount, requestsPerSecond, durationSeconds);
     }
 
-    /** Measures one load on one path, and repeats it if the load tool fell behind. */
+    /**
+     * Measures one load on one path, and repeats the measurement if the load generator fell behind.
+     */
     LatencyResult.Step measureStep(int proxyCount, int entries, int requestsPerSecond)
             throws IOException, InterruptedException {
         LatencyResult.Step step = measureOnce(proxyCount, entries, requestsPerSecond);
--- a/src/main/java/passhatch/lab/scale/LatencyResult.java
+++ b/src/main/java/passhatch/lab/scale/LatencyResult.java
@@ -4,10 +4,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Latency of requests on paths of several lengths, and what the proxies added to it.
+ * Latency of requests on paths of several lengths, and the part of it that the proxies added.
  *
  * @param topology how the proxies were chained
- * @param targetUs limit of the latency that the longest path may add at the 99th percentile
+ * @param targetUs maximum latency that the longest path may add at the 99th percentile, in
+ *     microseconds
  * @param tooBusy whether the load tool fell behind in any step; such a step has no figures
  */
 record LatencyResult(
@@ -21,7 +22,9 @@
         List<Added> added,
         List<Verdict> verdicts) {
 
-    /** Quantiles of the latency in microseconds, measured from when requests were due. */
+    /**
+     * Quantiles of the latency in microseconds, measured from the time at which a request was due.
+     */
     record Quantiles(long p50, long p99, long p999) {
         static Quantiles of(Histogram latencyUs) {
             return new Quantiles(
@@ -32,17 +35,19 @@
     }
 
     /**
-     * One load on one path.
+     * The result of one load on one path.
      *
      * @param proxies number of proxies that a request passes; 0 for direct requests
      * @param entries length of the last proxy's list
-     * @param servedShare fraction of the requests that was served
-     * @param behindP99Us how long after they were due requests were sent, at the 99th percentile
-     * @param latencyUs null if the load tool fell behind
-     * @param processorUsPerCall processor time per request, as the mean over the proxies passed;
-     *     null for direct requests, and if the load tool fell behind
-     * @param busiestShare fraction of a core that the busiest proxy used; null in the same cases
-     * @param saturated whether requests failed or a proxy used nearly all of its core
+     * @param servedShare fraction of the requests that were served
+     * @param behindP99Us time from when a request was due until it was sent, at the 99th
+     *     percentile, in microseconds
+     * @param latencyUs quantiles of the latency; null if the load tool fell behind
+     * @param processorUsPerCall processor time per request in microseconds, as the mean over the
+     *     proxies on the path; null for direct requests, and if the load tool fell behind
+     * @param busiestShare fraction of a core that the busiest proxy used; null for direct requests,
+     *     and if the load tool fell behind
+     * @param saturated whether too few requests were served, or a proxy used nearly all of its core
      */
     record Step(
             int proxies,
@@ -61,9 +66,9 @@
     }
 
     /**
-     * Latency that a path added to that of direct requests under the same load.
+     * Latency of a path minus the latency of direct requests under the same load.
      *
-     * @param ratioP99 the path's 99th percentile divided by that of direct requests
+     * @param ratioP99 the path's 99th percentile divided by the 99th percentile of direct requests
      */
     record Added(
             int proxies,
--- a/src/main/java/passhatch/lab/scale/Machine.java
+++ b/src/main/java/passhatch/lab/scale/Machine.java
@@ -3,11 +3,12 @@
 import java.lang.management.ManagementFactory;
 
 /**
- * The load of the machine during a measurement, for judging its figures.
+ * The load of the machine during a measurement, which shows how far the measured figures can be
+ * trusted.
  *
  * @param processors number of processors that this tool may use
  * @param loadBefore one-minute load average of the system at the start of the measurement
- * @param loadAfter the same at its end
+ * @param loadAfter one-minute load average of the system at the end of the measurement
  */
 record Machine(int processors, double loadBefore, double loadAfter) {
 
@@ -16,7 +17,11 @@
         return ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
     }
 
-    /** Returns the machine's load for a measurement that ends now. */
+    /**
+     * Returns the machine's load for a measurement that ends now.
+     *
+     * @param loadBefore {@link #loadAverage} at the start of the measurement
+     */
     static Machine since(double loadBefore) {
         return new Machine(Runtime.getRuntime().availableProcessors(), loadBefore, loadAverage());
     }
--- a/src/main/java/passhatch/lab/scale/MembershipMemory.java
+++ b/src/main/java/passhatch/lab/scale/MembershipMemory.java
@@ -10,8 +10,8 @@
 import passhatch.lab.fleet.FleetSim;
 
 /**
- * Measures the memory of one membership as the growth of the used heap. The membership learns each
- * member from that member's own datagram, as an agent does.
+ * Measures the memory of one {@link Membership} as the growth of the used heap. The {@code
+ * Membership} learns of each member from a datagram that this member sent, as an agent does.
  */
 final class MembershipMemory {
 
@@ -22,7 +22,10 @@
 
     private MembershipMemory() {}
 
-    /** Returns bytes per member, including the updates that are still queued for gossip. */
+    /**
+     * Returns the bytes of heap per known member, including the updates that are still queued for
+     * gossip.
+     */
     static double measureBytesPerMember(int members) {
         // The warm-up run loads the classes, whose memory belongs to no member. It has few members
         // and another seed, as updates that the codec has already seen would not be counted.
@@ -48,7 +51,7 @@
         return growth;
     }
 
-    /** Returns the first datagram that a process sends. */
+    /** Returns the first datagram that the process with this number sends. */
     private static byte[] createFirstDatagram(int number, int members, long seed) {
         Recorder recorder = new Recorder();
         Membership sender = createMembership(number, members, seed, recorder);
@@ -76,7 +79,7 @@
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    /** Keeps the last datagram that the membership sends. */
+    /** Keeps the last datagram that a {@link Membership} sends. */
     private static final class Recorder implements FleetActions {
         private byte[] last;
 
--- a/src/main/java/passhatch/lab/scale/MembershipScaleFits.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleFits.java
@@ -10,12 +10,16 @@
 import passhatch.lab.scale.MembershipScaleResult.Outcome;
 import passhatch.lab.scale.MembershipScaleResult.Size;
 
-/** Fits lines to the figures of several fleet sizes. */
+/** Fits a line to each figure as a function of the fleet size. */
 final class MembershipScaleFits {
 
     private MembershipScaleFits() {}
 
-    /** Returns a line for each figure that was measured at two sizes or more. */
+    /**
+     * Returns a line for each figure that was measured at two fleet sizes or more.
+     *
+     * @param target fleet size at which the lines are evaluated
+     */
     static List<Fit> fitLines(List<Size> sizes, int target) {
         Map<String, String> units = new LinkedHashMap<>();
         Map<String, TreeMap<Integer, Double>> values = new LinkedHashMap<>();
--- a/src/main/java/passhatch/lab/scale/MembershipScalePlot.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScalePlot.java
@@ -14,7 +14,10 @@
 import passhatch.lab.scale.MembershipScaleResult.Outcome;
 import passhatch.lab.scale.MembershipScaleResult.Size;
 
-/** Plots bytes a second of one member over the size of the fleet, with a series for each figure. */
+/**
+ * Plots the bytes a second that one member sends against the size of the fleet, with a series for
+ * each figure.
+ */
 final class MembershipScalePlot {
 
     private static final int WIDTH_PX = 1000;
--- a/src/main/java/passhatch/lab/scale/MembershipScaleResult.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleResult.java
@@ -5,7 +5,7 @@
 /**
  * The result of {@code scale membership}.
  *
- * @param fits a line over the sizes for each figure that was measured at two sizes or more
+ * @param fits the line fitted to each figure that was measured at two fleet sizes or more
  */
 record MembershipScaleResult(
         long seed,
@@ -15,13 +15,16 @@
         List<Size> sizes,
         List<Fit> fits) {
 
-    /** The outcomes of the scenarios at one size; those that did not finish have no figures. */
+    /**
+     * The outcomes of the scenarios at one fleet size; the outcome of a scenario that did not
+     * finish has no figures.
+     */
     record Size(int members, List<Outcome> outcomes) {}
 
     /**
-     * The outcome of one scenario at one size.
+     * The outcome of one scenario at one fleet size.
      *
-     * @param problem why there are no figures, or null
+     * @param problem the reason why there are no figures; null if there are
      */
     record Outcome(
             MembershipScenario scenario,
@@ -33,7 +36,7 @@
     record Figure(String name, String unit, double value) {}
 
     /**
-     * A line for a figure over the number of members.
+     * The line fitted to a figure as a function of the number of members.
      *
      * @param atTarget the line's value at the target size
      * @param extrapolated whether the target size lies outside the range of measured sizes
--- a/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
@@ -11,7 +11,7 @@
 import passhatch.lab.scale.MembershipTrial.Traffic;
 
 /**
- * Runs scenarios at one fleet size.
+ * Runs scenarios of {@code scale membership} at one fleet size.
  *
  * @param bytesPerSecond send limit of each process
  * @param loss fraction of datagrams lost in the scenario {@code LOSS}
@@ -29,29 +29,38 @@
         int partitionSeconds,
         long wallSeconds) {
 
-    /** Machines that fail in the whole fleet. */
+    /** Number of machines of the whole fleet that fail in a day. */
     private static final int FAILURES_PER_DAY = 35;
 
-    /** Processes that restart in the whole fleet. */
+    /** Number of processes of the whole fleet that restart in a day. */
     private static final int RESTARTS_PER_DAY = 1_800;
 
     private static final double SECONDS_PER_DAY = 86_400;
 
-    /** How many times faster churn is than in the real fleet, to be visible in a short run. */
+    /**
+     * Factor by which failures and restarts are more frequent than in the real fleet, so that their
+     * cost is visible in a short run.
+     */
     private static final int CHURN_FACTOR = 20;
 
     private static final int ZONES = 25;
     private static final int REGIONS = 7;
+
+    /** One member in this many is restarted. */
     private static final int RESTARTED_DIVISOR = 10;
+
     private static final long RESTART_DOWNTIME_US = 2 * SECOND_US;
 
-    /** Unexpected suspicions and failures, counted separately for each observer. */
+    /** Number of unexpected suspicions and failures, added up over all observers. */
     private static final class FalseAlarms {
         private long suspicions;
         private long falseFailures;
     }
 
-    /** Runs a scenario; if it takes too long, the outcome has a problem instead of figures. */
+    /**
+     * Runs a scenario. If the scenario takes too long, its outcome has a problem instead of
+     * figures.
+     */
     Outcome run(MembershipScenario scenario) {
         long startNs = System.nanoTime();
         List<Figure> figures = List.of();
@@ -227,12 +236,13 @@
     }
 
     /**
-     * Counts from now on the members that an observer wrongly suspects or declares failed. Changes
-     * of members that are killed, and those seen across the partition, are expected and not
-     * counted.
+     * Starts to count how often an observer wrongly suspects a member or declares it failed. Status
+     * changes of killed members, and of members on the other side of the partition, are expected
+     * and not counted.
      *
-     * @param partitionedCount the first members, up to this number, are partitioned from the others
-     * @param killedCount the first members, up to this number, are killed
+     * @param partitionedCount number of members, from the first on, that are partitioned from the
+     *     others
+     * @param killedCount number of members, from the first on, that are killed
      */
     private static FalseAlarms countFalseAlarms(
             FleetSim sim, int partitionedCount, int killedCount) {
--- a/src/main/java/passhatch/lab/scale/MembershipScaleText.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleText.java
@@ -7,18 +7,18 @@
 import passhatch.lab.scale.MembershipScaleResult.Outcome;
 import passhatch.lab.scale.MembershipScaleResult.Size;
 
-/** Prints the result as lines of text. */
+/** Prints the result of {@code scale membership} as lines of text. */
 final class MembershipScaleText {
 
     private MembershipScaleText() {}
 
-    /** Prints the figures of one size. */
+    /** Prints the figures of one fleet size. */
     static void print(PrintWriter out, Size size) {
         size.outcomes().forEach(outcome -> print(out, size.members(), outcome));
         out.flush();
     }
 
-    /** Prints the lines fitted over all sizes. */
+    /** Prints the lines that were fitted to the figures of all fleet sizes. */
     static void printFits(PrintWriter out, List<Fit> fits) {
         for (Fit fit : fits) {
             out.printf(
--- a/src/main/java/passhatch/lab/scale/MembershipScenario.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScenario.java
@@ -2,11 +2,11 @@
 
 /** What happens in the simulated fleet while it is measured. */
 enum MembershipScenario {
-    /** Nothing happens; the memory of one membership is measured, as an agent holds it. */
+    /** Nothing happens; the memory of the membership state that one agent holds is measured. */
     MEMORY,
     /** No process fails or restarts, and no datagram is lost. */
     REST,
-    /** Processes restart and machines fail, by a fixed factor more often than in the real fleet. */
+    /** Processes restart and machines fail, more often than in the real fleet by a fixed factor. */
     CHURN,
     /** Datagrams are lost, and no process fails. */
     LOSS,
--- a/src/main/java/passhatch/lab/scale/MembershipTrial.java
+++ b/src/main/java/passhatch/lab/scale/MembershipTrial.java
@@ -6,8 +6,8 @@
 import passhatch.lab.fleet.FleetSim;
 
 /**
- * One simulated fleet whose members agree from the beginning. It runs in short steps, up to a limit
- * of real time.
+ * One simulated fleet whose members know each other from the start. It is simulated in short steps,
+ * up to a limit of real time.
  */
 final class MembershipTrial {
 
@@ -16,7 +16,10 @@
     private static final long STEP_US = SECOND_US / 4;
     private static final long WARM_UP_US = 5 * SECOND_US;
 
-    /** What an average member sent and the processor time that it used, per simulated second. */
+    /**
+     * Bytes and datagrams that an average member sends, and processor time that it uses, per
+     * simulated second.
+     */
     record Traffic(
             double bytesPerSecond, double datagramsPerSecond, double processorMicrosPerSecond) {}
 
@@ -51,7 +54,9 @@
         }
     }
 
-    /** Runs the fleet until a condition holds, and returns the simulated seconds that it took. */
+    /**
+     * Runs the fleet until a condition holds, and returns the simulated time until then in seconds.
+     */
     double advanceUntil(BooleanSupplier condition) throws TimeoutException {
         long startUs = sim.nowUs();
         while (!condition.getAsBoolean()) {
@@ -61,7 +66,10 @@
         return (double) (sim.nowUs() - startUs) / SECOND_US;
     }
 
-    /** Runs the fleet for simulated seconds, and measures the traffic of an average member. */
+    /**
+     * Runs the fleet for a number of simulated seconds, and returns the traffic of an average
+     * member.
+     */
     Traffic measureTraffic(int seconds) throws TimeoutException {
         long bytesBefore = sim.sentBytes();
         long datagramsBefore = sim.sentDatagrams();
@@ -74,7 +82,7 @@
                 (processorNs() - processorNsBefore) / 1e3 / memberSeconds);
     }
 
-    /** Returns whether each running process sees exactly this number of members as present. */
+    /** Returns whether every running process sees exactly this number of members as present. */
     boolean allProcessesSee(int presentCount) {
         for (int i = 0; i < members; i++) {
             if (sim.isRunning(i) && sim.presentCount(i) != presentCount) {
--- a/src/main/java/passhatch/lab/scale/Plot.java
+++ b/src/main/java/passhatch/lab/scale/Plot.java
@@ -29,14 +29,14 @@
         chart.getStyler().setXAxisLogarithmic(true);
     }
 
-    /** Adds a line, unless it has no points. */
+    /** Adds a line to the plot, unless the line has no points. */
     void addLine(String name, List<? extends Number> x, List<? extends Number> y) {
         if (!x.isEmpty()) {
             chart.addSeries(name, x, y);
         }
     }
 
-    /** Writes a PNG file, unless there are no lines. */
+    /** Writes the plot to a PNG file, unless the plot has no lines. */
     void write(Path file) throws IOException {
         if (!chart.getSeriesMap().isEmpty()) {
             BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
--- a/src/main/java/passhatch/lab/scale/ProcessUsage.java
+++ b/src/main/java/passhatch/lab/scale/ProcessUsage.java
@@ -6,26 +6,31 @@
 import java.util.List;
 
 /**
- * Resources that a process uses at one time, read from {@code /proc}.
+ * Resources that a process uses, as read from {@code /proc} at one moment.
  *
  * @param residentKb resident memory
- * @param proportionalKb proportional set size: resident memory with shared pages divided among
- *     their users; null if the kernel does not report it
+ * @param proportionalKb proportional set size: resident memory, with each shared page divided among
+ *     the processes that share it; null if the kernel does not report it
  * @param processorSeconds user and system time since the start of the process
  */
 record ProcessUsage(long residentKb, Long proportionalKb, int threads, double processorSeconds) {
 
-    /** Unit of the times in {@code stat}; the same on all current Linux systems. */
+    /**
+     * Clock ticks per second, in which {@code stat} gives times; the same on all current Linux
+     * systems.
+     */
     private static final double TICKS_PER_SECOND = 100;
 
-    /** Index of utime, counted from the field after the command's name. */
+    /** Index in {@code stat} of the user time, counted from the field after the command's name. */
     private static final int USER_TIME_INDEX = 11;
 
-    /** Index of stime, counted in the same way. */
+    /**
+     * Index in {@code stat} of the system time, counted from the field after the command's name.
+     */
     private static final int SYSTEM_TIME_INDEX = 12;
 
     /**
-     * Reads the usage of a process.
+     * Reads the resources that a process uses now.
      *
      * @throws IOException if the process has ended
      */
@@ -52,7 +57,10 @@
         }
     }
 
-    /** Returns the number after a label at the start of a line; null if there is no such line. */
+    /**
+     * Returns the number that follows a label at the start of a line; null if no line starts with
+     * the label.
+     */
     private static Long findNumberAfter(List<String> lines, String label) {
         return lines.stream()
                 .filter(line -> line.startsWith(label))
@@ -62,8 +70,8 @@
     }
 
     /**
-     * Parses user and system time from {@code stat}. The command's name is in parentheses there and
-     * may contain spaces.
+     * Returns the sum of user and system time in seconds, parsed from {@code stat}. The command's
+     * name is in parentheses in that text and may contain spaces.
      */
     static double processorSeconds(String stat) {
         String[] fields = stat.substring(stat.lastIndexOf(')') + 1).strip().split("\\s+");
--- a/src/main/java/passhatch/lab/scale/ProxyChain.java
+++ b/src/main/java/passhatch/lab/scale/ProxyChain.java
@@ -18,11 +18,11 @@
 import passhatch.lab.standin.ServiceTime;
 
 /**
- * A chain of proxies in front of stand-in backends. The list of each proxy has one entry, the next
- * proxy; that of the last one has the backends. A request may enter at any proxy.
+ * A chain of proxies in front of stand-in backends. Each proxy's list of servers has one entry, the
+ * next proxy; the last proxy's list has the backends. A request may enter the chain at any proxy.
  *
  * <p>There are no services between the proxies. The latency that a path adds is its latency minus
- * that of a direct request, so services would only add the same time to both.
+ * the latency of a direct request, and services would only add the same time to both.
  */
 final class ProxyChain implements Closeable {
 
@@ -48,14 +48,17 @@
     private final EventLoop discoveryLoop = group.next();
     private final List<BackendServer> backends = new ArrayList<>();
 
-    /** In the order in which they are started, from the last proxy of the chain to the first. */
+    /**
+     * The proxies in the order in which they are started, from the last proxy of the chain to the
+     * first.
+     */
     private final List<ProxyProcess> proxies = new ArrayList<>();
 
     private final DiscoveryServer lastProxyDiscovery = new DiscoveryServer(discoveryLoop);
     private final ProxyTestbed testbed;
     private int listedBackendCount;
 
-    /** Starts the proxies and backends; the list of the last proxy has all backends. */
+    /** Starts the proxies and backends; the list of the last proxy has all backends at first. */
     ProxyChain(ProxyTestbed testbed, int depth, int backendCount, long seed)
             throws IOException, InterruptedException {
         this.testbed = testbed;
@@ -116,12 +119,18 @@
         }
     }
 
-    /** Returns where a request enters that passes this number of proxies; a backend for 0. */
+    /**
+     * Returns the address to which a request must be sent to pass this number of proxies. For 0
+     * proxies it is the address of a backend.
+     */
     InetSocketAddress entryAddress(int proxyCount) {
         return proxyCount == 0 ? backends.get(0).address() : proxies.get(proxyCount - 1).listen();
     }
 
-    /** Returns the proxies that such a request passes. */
+    /**
+     * Returns the proxies that a request sent to {@link #entryAddress} passes for the same number
+     * of proxies.
+     */
     List<ProxyProcess> proxiesOnPath(int proxyCount) {
         return proxies.subList(0, proxyCount);
     }
--- a/src/main/java/passhatch/lab/scale/ProxyCommand.java
+++ b/src/main/java/passhatch/lab/scale/ProxyCommand.java
@@ -161,8 +161,9 @@
     }
 
     /**
-     * Compares the fitted lines with the limits: for a list of the whole fleet without changes, and
-     * for each measured length at the fleet's daily rate of changes.
+     * Compares the fitted lines with the limits in two cases: for a list of the whole fleet's
+     * backends without changes, and for each measured length of the list at the fleet's daily rate
+     * of changes.
      */
     private static List<Verdict> compareWithLimits(List<ProxyResult.Fit> fits) {
         List<Verdict> verdicts = new ArrayList<>();
--- a/src/main/java/passhatch/lab/scale/ProxyMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/ProxyMeasurement.java
@@ -17,8 +17,8 @@
 import passhatch.lab.standin.DiscoveryServer;
 
 /**
- * Measures proxies one after another, with a new process for each length of the list. No requests
- * are sent, so the addresses in the list need no listener.
+ * Measures proxies one after another, with a new proxy process for each length of the list of
+ * backends. No requests are sent, so nothing needs to listen on the addresses in the list.
  */
 final class ProxyMeasurement {
 
@@ -37,14 +37,14 @@
         this.memoryMb = memoryMb;
     }
 
-    /** Returns the failures so far. */
+    /** Returns descriptions of the failures so far. */
     List<String> failures() {
         return failures;
     }
 
     /**
-     * Measures one length of the list at all rates of changes. If the proxy fails, the remaining
-     * rates are skipped.
+     * Measures a proxy with a list of one length at all rates of changes. If the proxy fails, the
+     * remaining rates are skipped.
      */
     List<ProxyResult.Point> measure(
             int entries, List<Integer> rates, ScaleOptions.Progress progress)
--- a/src/main/java/passhatch/lab/scale/ProxyResult.java
+++ b/src/main/java/passhatch/lab/scale/ProxyResult.java
@@ -5,8 +5,8 @@
 /**
  * Resources that a proxy without requests uses, by the length of its list and the rate of changes.
  *
- * @param failures the failures, each with its length of the list: a proxy ended or did not become
- *     ready
+ * @param failures descriptions of failed measurements, each with the length of the list; a
+ *     measurement fails if the proxy ends early or does not become ready
  */
 record ProxyResult(
         long seed,
@@ -19,14 +19,15 @@
         List<Verdict> verdicts) {
 
     /**
-     * One step: a length of the list at a rate of changes.
+     * The measurement of a proxy at one length of its list and one rate of changes.
      *
      * @param entries length of the list
      * @param changesPerSecond requested rate of changes
      * @param changes number of changes that were made
-     * @param firstListBytes bytes that discovery sent until the proxy had settled after its start
-     * @param processorShare fraction of one core
-     * @param discoveryBytesPerSecond bytes a second that discovery sent to the proxy, over all
+     * @param firstListBytes bytes that discovery sent from the start of the proxy until the first
+     *     step
+     * @param processorShare processor time of the proxy, as a fraction of one core
+     * @param discoveryBytesPerSecond bytes a second that discovery sent to the proxy, including all
      *     responses and watches
      */
     record Point(
--- a/src/main/java/passhatch/lab/scale/ProxyTestbed.java
+++ b/src/main/java/passhatch/lab/scale/ProxyTestbed.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import passhatch.lab.drill.ProxyProcess;
 
-/** Starts proxies for a measurement, each as a process, and ends them all when it is closed. */
+/**
+ * Starts proxies for a measurement, each as a process of its own, and ends all of them when the
+ * testbed is closed.
+ */
 final class ProxyTestbed implements Closeable {
 
     private static final long READY_TIMEOUT_MS = 20_000;
@@ -38,8 +41,8 @@
     /**
      * Starts a proxy without peers and waits until it is ready.
      *
-     * @throws IOException if it does not become ready within 20 s; the message has the end of its
-     *     log
+     * @throws IOException if the proxy does not become ready within 20 s; the message has the end
+     *     of the proxy's log
      */
     ProxyProcess start(String name, InetSocketAddress discovery)
             throws IOException, InterruptedException {
--- a/src/main/java/passhatch/lab/scale/ScaleOptions.java
+++ b/src/main/java/passhatch/lab/scale/ScaleOptions.java
@@ -14,7 +14,10 @@
 import passhatch.lab.ProgramJar;
 import picocli.CommandLine.Option;
 
-/** Options that the measurements of processes share, and the folder for their files. */
+/**
+ * Options that are shared by the commands that measure processes, including the folder for their
+ * files.
+ */
 final class ScaleOptions {
 
     private static final ObjectMapper JSON =
@@ -22,7 +25,10 @@
     private static final int MAX_SECONDS = 120;
     private static final int MAX_VALUES = 20;
 
-    /** Class data archive that the build creates; deployed processes use it if it exists. */
+    /**
+     * File name of the class data archive that the build creates; measured processes use it if it
+     * exists, as deployed ones do.
+     */
     private static final String CLASS_ARCHIVE = "passhatch.jsa";
 
     @Option(names = "--seed", defaultValue = "1", description = "Default: ${DEFAULT-VALUE}.")
@@ -57,7 +63,9 @@
         return ProgramJar.find(jar);
     }
 
-    /** Returns options for the program's JVMs, besides those that limit their memory. */
+    /**
+     * Returns the JVM options for the measured processes, without the options that limit memory.
+     */
     List<String> jvmOptions() {
         Path archive = programJar().resolveSibling(CLASS_ARCHIVE);
         return Files.isRegularFile(archive)
@@ -98,7 +106,7 @@
         return new ArrayList<>(values);
     }
 
-    /** Returns the progress bar on standard error; one that shows nothing with {@code --quiet}. */
+    /** Returns a progress bar on standard error, which shows nothing with {@code --quiet}. */
     Progress createProgress(String task, int steps) {
         return quiet ? new Progress(null) : new Progress(createProgressBar(task, steps));
     }
@@ -111,15 +119,15 @@
                 .build();
     }
 
-    /** Writes a result as JSON. */
+    /** Writes a result to a file as JSON. */
     static void writeJson(Path file, Object result) throws IOException {
         JSON.writeValue(file.toFile(), result);
     }
 
     /**
-     * Counts completed steps.
+     * Counts the completed steps of a command.
      *
-     * @param bar shows them; null to show nothing
+     * @param bar the progress bar that shows the steps; null to show nothing
      */
     record Progress(ProgressBar bar) implements AutoCloseable {
         void step(String message) {
--- a/src/main/java/passhatch/lab/scale/Verdict.java
+++ b/src/main/java/passhatch/lab/scale/Verdict.java
@@ -3,8 +3,9 @@
 /**
  * A measured or extrapolated figure compared with its limit.
  *
- * @param extrapolated whether the figure lies outside the measured range
- * @param part the figure divided by the limit; 1 just meets it
+ * @param extrapolated whether the figure is extrapolated beyond the measured range
+ * @param met whether the figure is within the limit
+ * @param part the figure divided by the limit; a figure that equals the limit has 1
  */
 record Verdict(
         String quantity,
--- a/src/main/java/passhatch/proxy/backend/BackendChannel.java
+++ b/src/main/java/passhatch/proxy/backend/BackendChannel.java
@@ -11,9 +11,9 @@
 
     /**
      * Returns whether nothing has arrived since the last read, not even the peer's close. The event
-     * loop sees new input only in its next iteration: a request written in this one could meet a
+     * loop sees new input only in its next iteration, so a request that is written now could meet a
      * closed connection, or its response could follow bytes that do not belong to it. A connection
-     * with input must not be used again.
+     * with unread input must not be used again.
      */
     boolean hasNoInput() {
         try {
--- a/src/main/java/passhatch/proxy/backend/BackendPool.java
+++ b/src/main/java/passhatch/proxy/backend/BackendPool.java
@@ -52,8 +52,8 @@
 public final class BackendPool {
 
     /**
-     * Maximum number of idle connections per backend; more would only fill the backend's connection
-     * table.
+     * Maximum number of idle connections per backend; more idle connections would only fill the
+     * backend's connection table.
      */
     private static final int MAX_IDLE_PER_BACKEND = 8;
 
@@ -70,22 +70,22 @@
     private static final int MAX_BUFFERED_BYTES = 1 << 16;
 
     /**
-     * Time in milliseconds after which an incomplete response that may exceed the buffer is
-     * streamed. Until then a truncated response can still be retried on another backend; broken
-     * responses often declare a wrong length.
+     * Time in milliseconds after which an incomplete response is streamed if it may be longer than
+     * {@link #MAX_BUFFERED_BYTES}. Until it is streamed, the request of a truncated response can
+     * still be retried on another backend; broken responses often declare a wrong length.
      */
     private static final long MAX_BUFFERING_MS = 200;
 
     /**
-     * Time in milliseconds after which a streamed response is aborted if it was being read and
-     * nothing arrived, so that its client sees that it is incomplete. Slow peers pause for one or
-     * two seconds.
+     * Time in milliseconds after which a streamed response is aborted if nothing has arrived
+     * although the proxy was reading. The client then sees that the response is incomplete. Slow
+     * peers pause for one or two seconds.
      */
     private static final long RESPONSE_IDLE_TIMEOUT_MS = 5_000;
 
     /**
-     * How long, in microseconds, connections are reused only after a delay once a backend has sent
-     * unsolicited data.
+     * Time in microseconds for which connections are reused only after a delay, counted from the
+     * last time that a backend sent unsolicited data.
      */
     private static final long DISTRUST_PERIOD_US = 60_000_000;
 
@@ -93,6 +93,7 @@
      * The result of a request.
      *
      * @param body the body of a buffered 200 response, else null
+     * @param report the backend's load report; null if the response has none
      */
     public record Result(Outcome outcome, byte[] body, LoadReport report) {
         public static Result withoutResponse(Outcome outcome) {
@@ -105,7 +106,9 @@
         /** Called when the request has been written completely. */
         default void onRequestWritten() {}
 
-        /** Called when a streamed response starts; from then on the request has no timeout. */
+        /**
+         * Called when the response starts to be streamed; from then on the request has no timeout.
+         */
         default void onStreamStarted(ResponseStream response) {}
 
         /** Called exactly once, when the request has completed. */
@@ -120,19 +123,23 @@
          */
         void cancel();
 
-        /** Replaces the timeout by one that starts now, in microseconds. */
+        /**
+         * Replaces the request's timeout by one of {@code timeoutUs} microseconds that starts now.
+         */
         void setTimeout(long timeoutUs);
     }
 
     /**
      * A request to send.
      *
-     * @param message creates the message, or only its head if there is a body, when it can be
-     *     written
-     * @param body streamed after the head; null if the message is complete without it
-     * @param stillWanted evaluated just before the message is written; the request is not sent if
-     *     it returns false
-     * @param timeoutUs time for the whole request, with the connection setup, in microseconds
+     * @param message supplies the HTTP message when it can be written; supplies only the head if
+     *     there is a body
+     * @param body the body that is streamed after the head; null if the message is complete without
+     *     one
+     * @param stillWanted called just before the message is written; the request is not sent if it
+     *     returns false
+     * @param timeoutUs timeout of the whole request, including the connection setup, in
+     *     microseconds
      * @param timeoutOutcome the outcome if the timeout expires after the request was written
      */
     public record RequestSpec(
@@ -150,8 +157,8 @@
     private final long reuseDelayUs;
 
     /**
-     * Until this time a connection is reused only after a delay. Without unsolicited data from a
-     * backend the delay would only cost more connections.
+     * Time in microseconds until which a connection is reused only after {@link #reuseDelayUs}.
+     * While no backend sends unsolicited data, the delay would only cost more connections.
      */
     private long distrustUntilUs = Long.MIN_VALUE;
 
@@ -166,9 +173,9 @@
      * @param connectTimeoutUs timeout of the connection setup, in microseconds
      * @param keepaliveUs idle time after which backends close connections, in microseconds; 0 if no
      *     connection may be kept
-     * @param reuseDelayUs how long a connection is not reused after a response while backends send
-     *     unsolicited data, in microseconds: a second response to the same request may follow some
-     *     milliseconds later and would be taken for the response to the next one
+     * @param reuseDelayUs time after a response, in microseconds, for which its connection is not
+     *     reused while backends send unsolicited data. A second response to the same request may
+     *     follow some milliseconds later and would be taken for the response to the next request
      * @param descriptors counts the open connections, together with those of clients
      */
     public BackendPool(
@@ -227,7 +234,8 @@
     }
 
     /**
-     * Closes idle connections that backends might soon close themselves; to be called periodically.
+     * Closes the idle connections that backends might soon close themselves. Must be called
+     * periodically.
      */
     public void closeStaleConnections() {
         long staleBeforeUs = clock.nowUs() - idleTimeoutUs;
@@ -247,7 +255,7 @@
         }
     }
 
-    /** Returns the number of idle connections. */
+    /** Returns the number of idle connections to all backends. */
     public int idleConnectionCount() {
         return idleConnections.values().stream().mapToInt(Deque::size).sum();
     }
@@ -307,7 +315,8 @@
     }
 
     /**
-     * Closes the connection that has been idle longest, to make room for one to another backend.
+     * Closes the connection that has been idle longest, to make room for a connection to another
+     * backend.
      */
     private void closeLongestIdleConnection() {
         idleConnections.values().stream()
@@ -358,7 +367,9 @@
         connection.channel.closeFuture().addListener(closed -> descriptors.addBackends(-1));
     }
 
-    /** Completes a request as not sent after a local failure, which is not the backend's fault. */
+    /**
+     * Completes a request as not sent because of a local failure, which is not the backend's fault.
+     */
     private void completeAsNotSent(
             OutgoingRequest request, InetSocketAddress address, Throwable cause) {
         if (!request.completed) {
@@ -367,7 +378,7 @@
         }
     }
 
-    /** One request, from its start to its only result. */
+    /** One request that the pool sends, until its only result has been reported. */
     private final class OutgoingRequest implements Handle {
         final RequestSpec spec;
         private final Listener listener;
@@ -375,7 +386,8 @@
         Future<?> timeoutTimer;
 
         /**
-         * The message has been handed to the network completely: from now on the request may run.
+         * Whether the message has been handed to the network completely, so that the backend may
+         * run the request.
          */
         boolean written;
 
@@ -455,10 +467,13 @@
         long idleSinceUs;
         long reusableFromUs;
 
-        /** The response to the request, until all input that arrived with it has been read. */
+        /**
+         * The response to the current request; null before its head has arrived and after all input
+         * that arrived with it has been read.
+         */
         private IncomingResponse response;
 
-        /** The input now belongs to an interim (1xx) response. */
+        /** Whether the input belongs to an interim (1xx) response at present. */
         private boolean interim;
 
         Connection(InetSocketAddress address) {
@@ -494,8 +509,8 @@
         }
 
         /**
-         * Starts to stream the response if it is known to be long. Returns whether the response is
-         * streamed: if so, its start arrived in time.
+         * Starts to stream the response if its declared length exceeds the buffer. Returns whether
+         * the response is streamed; its start then arrived before the timeout.
          */
         boolean streamIfLong() {
             return response != null && response.streamIfLong();
@@ -517,8 +532,8 @@
         }
 
         /**
-         * Completes the request after the connection is lost: if it was not written completely it
-         * cannot have run.
+         * Completes the request after the connection is lost. A request that was not written
+         * completely cannot have run.
          */
         void onConnectionLost() {
             OutgoingRequest lost = request;
@@ -561,9 +576,9 @@
         }
 
         /**
-         * Completes the response, and reuses its connection, only when all received input has been
-         * read: bytes after the end of the response would be taken for the response to the next
-         * request.
+         * Completes the response and reuses its connection only when all received input has been
+         * read. Bytes after the end of the response would otherwise be taken for the response to
+         * the next request.
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -609,8 +624,8 @@
         }
 
         /**
-         * Closes the connection once the peer has closed its side: its response was read before
-         * this event, and nothing more can arrive.
+         * Closes the connection once the backend has closed its side. The backend's response was
+         * read before this event, and nothing more can arrive.
          */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
@@ -658,7 +673,7 @@
         private final Future<?> bufferingTimer;
         private Future<?> idleTimer;
 
-        /** Content has arrived since the last idle check. */
+        /** Whether content has arrived since the last idle check. */
         private boolean receivedSinceCheck;
 
         private Relay relay;
@@ -666,6 +681,8 @@
         private boolean streaming;
         private boolean fullyReceived;
         private boolean malformed;
+
+        /** Whether no second response to the same request has arrived. */
         private boolean onlyResponse = true;
 
         IncomingResponse(Connection connection, OutgoingRequest request, HttpResponse head) {
@@ -686,9 +703,9 @@
         }
 
         /**
-         * Records a second response to the same request: it is dropped, and the connection is not
-         * reused. If it is not valid HTTP, it may be the rest of a body that was longer than its
-         * head declared, so the first response counts as malformed.
+         * Records a second response to the same request. It is dropped, and the connection is not
+         * reused. A second response that is not valid HTTP may be the rest of a first body that was
+         * longer than declared, so the first response then counts as malformed.
          */
         void onExtraResponse(HttpResponse extra) {
             onlyResponse = false;
@@ -715,8 +732,8 @@
         }
 
         /**
-         * Starts to stream the response. If it is not a 200, its body is not needed: the request
-         * completes and the connection is closed.
+         * Starts to stream the response. The body of a response that is not a 200 is not needed, so
+         * then the request completes and the connection is closed.
          */
         private void startStreaming() {
             if (streaming || fullyReceived || malformed || connection.response != this) {
@@ -735,9 +752,9 @@
         }
 
         /**
-         * Starts to stream the response if its declared length exceeds the buffer: the timeout of
-         * such a response ends with its first bytes, not with its last. Returns whether it is
-         * streamed.
+         * Starts to stream the response if its declared length exceeds the buffer, because the
+         * timeout of such a response ends with its first bytes, not with its last. Returns whether
+         * the response is streamed.
          */
         boolean streamIfLong() {
             if (declaredLength > MAX_BUFFERED_BYTES) {
@@ -747,8 +764,9 @@
         }
 
         /**
-         * Schedules the next idle check. It passes while the response is not read because its
-         * client is slow, as then nothing can arrive.
+         * Schedules the next idle check, which aborts the response if no content has arrived since
+         * the last check. The check never aborts while reading is paused for a slow client, because
+         * nothing can arrive then.
          */
         private void scheduleIdleCheck() {
             idleTimer =
--- a/src/main/java/passhatch/proxy/backend/LoadReportParser.java
+++ b/src/main/java/passhatch/proxy/backend/LoadReportParser.java
@@ -4,14 +4,17 @@
 import java.util.regex.Pattern;
 import passhatch.Balancer.LoadReport;
 
-/** Parses load reports such as {@code TEXT inflight=7, queue=2, util=0.61}. */
+/** Parses a backend's load reports, such as {@code TEXT inflight=7, queue=2, util=0.61}. */
 public final class LoadReportParser {
 
     private static final Pattern FIELD = Pattern.compile("([a-z_0-9]+)=([0-9.eE+-]+)");
 
     private LoadReportParser() {}
 
-    /** Returns the report, or null if the text contains none or a malformed number. */
+    /**
+     * Returns the load report in a text; null if the text is null, contains no field of a report,
+     * or contains a malformed number.
+     */
     public static LoadReport parse(String text) {
         if (text == null) {
             return null;
--- a/src/main/java/passhatch/proxy/backend/ResponseDecoder.java
+++ b/src/main/java/passhatch/proxy/backend/ResponseDecoder.java
@@ -10,8 +10,8 @@
  * Decodes a backend's responses and detects malformed HTTP that Netty's decoder accepts. Netty
  * takes a header line without a colon for a header without a value, bytes after the end of a
  * response for the start of the next one, and any end of the connection, even a reset, for the end
- * of a response without a length. The channel must allow half-closure, since that distinguishes an
- * orderly close by the peer from all others.
+ * of a response without a length. The channel must allow half-closure, because only then can an
+ * orderly close by the peer be distinguished from any other end of the connection.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
@@ -27,18 +27,26 @@
     private boolean malformed;
     private boolean peerHalfClosed;
 
-    /** Called when a request is written: the next input is the head of its response. */
+    /**
+     * Prepares for the response to a request. Must be called when the request is written, so that
+     * the next input is the head of its response.
+     */
     void expectResponse() {
         beginHead();
         malformed = false;
     }
 
-    /** Returns whether the head of the response has a line that is not a header. */
+    /**
+     * Returns whether the head of the current response contains a line that is not a valid header.
+     */
     boolean malformed() {
         return malformed;
     }
 
-    /** Returns whether there are undecoded bytes, which belong to no response read so far. */
+    /**
+     * Returns whether undecoded bytes remain, which belong to none of the responses that have been
+     * read.
+     */
     boolean hasUnsolicitedBytes() {
         return actualReadableBytes() > 0;
     }
--- a/src/main/java/passhatch/proxy/client/AcceptRetry.java
+++ b/src/main/java/passhatch/proxy/client/AcceptRetry.java
@@ -7,13 +7,14 @@
 import passhatch.proxy.base.EventLog;
 
 /**
- * Keeps accepting connections after an accept has failed. By default Netty stops accepting for one
- * second, in which requests with short deadlines expire in the listener's queue.
+ * Resumes accepting connections soon after an accept has failed. By default Netty stops accepting
+ * for one second, and requests with short deadlines expire in the listener's queue meanwhile.
  */
 final class AcceptRetry extends ChannelInboundHandlerAdapter {
 
     /**
-     * Long enough not to spin while no descriptor is left, and short compared with every deadline.
+     * Delay in milliseconds before the next accept. It is long enough not to spin while no file
+     * descriptor is free, and short compared with every request's deadline.
      */
     static final long RETRY_DELAY_MS = 10;
 
--- a/src/main/java/passhatch/proxy/client/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/client/ClientConnection.java
@@ -34,25 +34,28 @@
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
     /**
-     * Maximum number of unanswered requests on one connection; no more are processed until one is
-     * answered.
+     * Maximum number of unanswered requests on one connection; further requests are not processed
+     * until one has been answered.
      */
     private static final int MAX_PIPELINED = 4;
 
     /**
-     * Time from the connect, or from the start of a request, until its head must be complete, in
-     * microseconds; the connection is closed otherwise. Slow clients take up to 2 s, and such a
-     * connection must be closed within 3 s.
+     * Time in microseconds within which the head of a request must be complete, counted from the
+     * connect or from the start of the request. The connection is closed otherwise. Slow clients
+     * take up to 2 s, and a connection without a complete head must be closed within 3 s.
      */
     private static final long HEAD_TIMEOUT_US = 2_500_000;
 
     /**
-     * Time that a request body may stall, in microseconds, in addition to the time that its bytes
-     * take at the minimum rate.
+     * Time in microseconds for which a client may pause while it sends a request body, in addition
+     * to the time that the received bytes take at {@link #MIN_BODY_BYTES_PER_US}.
      */
     private static final long MAX_BODY_PAUSE_US = 1_500_000;
 
-    /** Half of the 64 kB a second that the slowest clients send, since they send in bursts. */
+    /**
+     * Minimum rate of a request body, in bytes per microsecond. It is half of the 64 kB a second
+     * that the slowest clients send, because they send in bursts.
+     */
     private static final double MIN_BODY_BYTES_PER_US = 0.032;
 
     private final HttpFrontend frontend;
@@ -61,14 +64,18 @@
     private final ReadAhead readAhead;
     private final ArrayDeque<PendingRequest> pendingRequests = new ArrayDeque<>();
 
-    /** The request that is being received, from its head to its end; null in between. */
+    /**
+     * The request that is being received, from its head to the end of its body; null between two
+     * requests.
+     */
     private PendingRequest incoming;
 
-    /** The destination of the incoming body is full, so no more of it is read. */
+    /** Whether the incoming body is not read at present, because its destination is full. */
     private boolean bodyPaused;
 
     /**
-     * Closes the connection unless a complete request arrives first; null while none is expected.
+     * Timer that closes the connection unless a complete request arrives first; null while no
+     * request is expected.
      */
     private Future<?> readTimeoutTimer;
 
@@ -81,16 +88,20 @@
     private long bodyBytes;
 
     /**
-     * The connection is being closed, after an invalid request or by the proxy: further input is
-     * ignored.
+     * Whether the connection is being closed, after an invalid request or by the proxy. Further
+     * input is ignored.
      */
     private boolean closing;
 
-    /** A response has announced the close: requests after it are not processed. */
+    /**
+     * Whether a response has announced that the connection closes; later requests are not
+     * processed.
+     */
     private boolean closeAnnounced;
 
     /**
-     * The connection is closed once the current body, which is no longer needed, has been received.
+     * Whether the connection closes once the current request body has been received; the body
+     * itself is no longer needed.
      */
     private boolean closeAfterBody;
 
@@ -101,7 +112,7 @@
         this.readAhead = frontend.newReadAhead();
     }
 
-    /** Returns the handler that precedes the decoder in the channel's pipeline. */
+    /** Returns the handler that buffers input before the decoder in the channel's pipeline. */
     ChannelInboundHandlerAdapter readAhead() {
         return readAhead;
     }
@@ -126,8 +137,8 @@
     }
 
     /**
-     * Closes the connection in such a way that the last response arrives even if the client is
-     * still sending. Further input is ignored.
+     * Closes the connection so that the last response still reaches a client that is sending.
+     * Further input is ignored.
      */
     void closeGracefully() {
         closing = true;
@@ -136,13 +147,16 @@
         LingeringClose.begin(channel);
     }
 
-    /** A request on a connection until its response is written. */
+    /**
+     * A request on this connection, from the arrival of its head until its response has been
+     * written.
+     */
     private static final class PendingRequest implements RequestHandler.Responder {
         private final ClientConnection connection;
         private final HttpVersion version;
         boolean keepAlive;
 
-        /** Null if the request is not forwarded. */
+        /** The parsed request; null if it is not forwarded. */
         ProxyRequest request;
 
         boolean accepted;
@@ -182,7 +196,10 @@
             }
         }
 
-        /** Returns whether only the close of the connection marks the end of the response. */
+        /**
+         * Returns whether only the close of the connection shows the client where the response
+         * ends.
+         */
         boolean endsWithClose() {
             return stream != null && stream.length() < 0 && !version.equals(HttpVersion.HTTP_1_1);
         }
@@ -191,7 +208,7 @@
             return response != null || stream != null;
         }
 
-        /** Abandons the request, whether or not the handler has accepted it. */
+        /** Abandons the request, whether or not the {@link RequestHandler} has accepted it. */
         void abandon() {
             if (request != null) {
                 connection.frontend.log().trace("abandoned", request.id(), connection.channel.id());
@@ -444,7 +461,10 @@
         }
     }
 
-    /** Sends 100 Continue if the request expects it whose response is the next in order. */
+    /**
+     * Sends 100 Continue if the first pending request expects it; its response is the next to be
+     * written.
+     */
     private void sendContinue() {
         PendingRequest next = pendingRequests.peek();
         if (next != null && next.wantsContinue) {
@@ -458,9 +478,9 @@
     }
 
     /**
-     * Returns whether the connection stays open after this response. It also does while later
-     * requests on it are pending, since these were accepted; the response to the last of them then
-     * announces the close.
+     * Returns whether the connection stays open after the response to this request. While later
+     * requests are pending, the proxy does not close the connection, because it has accepted them;
+     * the response to the last of them then announces the close.
      */
     private boolean keepAliveAfterResponse(PendingRequest pending) {
         boolean allowed = frontend.keepAliveAfterResponse();
@@ -515,7 +535,7 @@
         }
     }
 
-    /** Starts a streamed response. */
+    /** Writes the head of a streamed response and starts to forward its body. */
     private void begin(PendingRequest pending) {
         pending.streaming = true;
         boolean keepAlive = keepAliveAfterResponse(pending);
@@ -552,8 +572,8 @@
     }
 
     /**
-     * Aborts a response so that the client sees that it is incomplete: by a reset where an orderly
-     * close would mark its end.
+     * Aborts a streamed response so that the client sees that it is incomplete. The connection is
+     * reset if an orderly close would mark the end of the response.
      */
     private void abortStream(PendingRequest pending) {
         if (pending.endsWithClose()) {
@@ -572,7 +592,10 @@
         abandoned.forEach(PendingRequest::abandon);
     }
 
-    /** Abandons all pending requests and sends a failure to a client that may still read. */
+    /**
+     * Abandons all pending requests. Sends a 502 response if the first of them has no response yet,
+     * because the client may still read; otherwise closes the connection.
+     */
     private void failAll() {
         boolean awaitsResponse = !pendingRequests.isEmpty() && !pendingRequests.peek().streaming;
         abandonAll();
@@ -585,7 +608,10 @@
         }
     }
 
-    /** Treats a half-close as a disconnect; a client that still reads gets a failure. */
+    /**
+     * Handles a half-close by the client as a disconnect; a client that still reads gets a 502
+     * response.
+     */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
@@ -601,7 +627,9 @@
         abandonAll();
     }
 
-    /** Limits an error to this connection: only its own requests are abandoned. */
+    /**
+     * Abandons the requests of this connection after an error; other connections are not affected.
+     */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         frontend.log().line("client connection: " + cause);
--- a/src/main/java/passhatch/proxy/client/HttpFrontend.java
+++ b/src/main/java/passhatch/proxy/client/HttpFrontend.java
@@ -25,26 +25,32 @@
 import passhatch.proxy.flow.Relay;
 import passhatch.proxy.flow.RequestBody;
 
-/** Accepts client connections, and gives each HTTP request its one response. */
+/** Accepts client connections, and sends exactly one response to each HTTP request. */
 public final class HttpFrontend {
 
     private static final int ACCEPT_BACKLOG = 1024;
 
-    /** While a newer process takes over, one in this many responses closes its connection. */
+    /**
+     * While a newer process takes over, the connection is closed after one in this many responses.
+     */
     private static final int RESPONSES_PER_HANDOVER_CLOSE = 8;
 
     /**
-     * Time between two log lines on evicted connections, in microseconds: there may be hundreds of
-     * evictions a second.
+     * Minimum time between two log lines about evicted connections, in microseconds, because there
+     * may be hundreds of evictions a second.
      */
     private static final long LOG_INTERVAL_US = 10_000_000;
 
-    /** A connection may be closed once it had no open request for this long, in microseconds. */
+    /**
+     * Time without an open request, in microseconds, after which clients expect that a connection
+     * may be closed.
+     */
     private static final long MIN_IDLE_US = 2_000_000;
 
     /**
-     * Bytes to read ahead per connection, equal to the limit of a buffered body: enough for the
-     * rest of most bodies that exceed it, or for some hundred requests.
+     * Maximum number of bytes to read ahead per connection. It equals the maximum size of a
+     * buffered body, which is enough for the rest of most larger bodies, or for some hundred
+     * requests.
      */
     private static final int MAX_READ_AHEAD_BYTES = RequestBody.MAX_REPLAYABLE_BYTES;
 
@@ -57,13 +63,19 @@
     private final DescriptorLimits descriptors;
     private final StallDetector stallDetector;
 
-    /** Connections that were served and have no open request, the longest idle first. */
+    /**
+     * Connections that have been served and have no open request, in order of idle time, longest
+     * first.
+     */
     private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
 
-    /** Connections that have never sent a complete request, the longest silent first. */
+    /**
+     * Connections that have never sent a complete request, in order of the time since their last
+     * input, longest first.
+     */
     private final Set<ClientConnection> newConnections = new LinkedHashSet<>();
 
-    /** Connections that are being closed, whose clients may not have seen it yet. */
+    /** Connections that are being closed and whose clients may not have seen the close yet. */
     private final Set<ClientConnection> closingConnections = new LinkedHashSet<>();
 
     private int evictedCount;
@@ -80,7 +92,7 @@
      *
      * @param budget limits the buffered bytes of bodies
      * @param descriptors counts the open connections, together with those to backends; if there are
-     *     too many, one is closed
+     *     too many, a client connection is closed
      * @param stallDetector measures how long the event loop was stalled
      */
     public HttpFrontend(
@@ -102,7 +114,7 @@
         this.stallDetector = stallDetector;
     }
 
-    /** Starts to listen and returns once the socket is bound. */
+    /** Starts to listen, and returns the bound address once the socket is bound. */
     public InetSocketAddress listen(InetSocketAddress address)
             throws IOException, InterruptedException {
         ChannelFuture bound =
@@ -144,7 +156,10 @@
         return boundAddress;
     }
 
-    /** Closes the listener at once if {@link #stopListening} was called before. */
+    /**
+     * Records the listener's channel, and closes it at once if {@link #stopListening} was called
+     * before.
+     */
     private void onListening(Channel channel) {
         listener = channel;
         if (listeningStopped) {
@@ -153,31 +168,38 @@
     }
 
     /**
-     * Returns whether clients should send requests here: the list of servers is known, and
-     * connections are accepted.
+     * Returns whether clients should send requests to this proxy, which they should while the list
+     * of servers is known and connections are accepted.
      */
     public boolean ready() {
         return listener != null && listener.isActive() && !markedUnready && requests.ready();
     }
 
-    /** Reports not ready from now on, so that clients do not start to use this proxy. */
+    /**
+     * Makes {@link #ready} return false from now on, so that clients do not start to use this
+     * proxy.
+     */
     public void markUnready() {
         markedUnready = true;
     }
 
-    /** Closes each connection with its next response. */
+    /** From now on, closes each connection after its next response. */
     public void closeAfterResponses() {
         closingAfterResponses = true;
     }
 
-    /** Sets whether clients should move to a newer process, a few at a time. */
+    /**
+     * Sets whether a newer process takes over. If so, some responses close their connections, so
+     * that the clients move to the newer process a few at a time.
+     */
     public void setHandover(boolean on) {
         handingOver = on;
     }
 
     /**
-     * Counts a response and returns whether its connection may stay open: not if this process shuts
-     * down, if descriptors are scarce, or if it is this response's turn during a handover.
+     * Counts a response and returns whether its connection may stay open. The connection must close
+     * if this process shuts down, if descriptors are scarce, or, during a handover, after one in
+     * {@link #RESPONSES_PER_HANDOVER_CLOSE} responses.
      */
     boolean keepAliveAfterResponse() {
         responseCount++;
@@ -187,8 +209,8 @@
     }
 
     /**
-     * Stops accepting connections; those that are open are still served. May be called before the
-     * server listens.
+     * Stops accepting connections; open connections are still served. May be called before {@link
+     * #listen}.
      */
     public void stopListening() {
         listeningStopped = true;
@@ -197,7 +219,10 @@
         }
     }
 
-    /** Closes the connections without an open request, for which clients are prepared. */
+    /**
+     * Closes the connections that have no open request and have received no part of a new one.
+     * Clients are prepared for this.
+     */
     public void closeIdleConnections() {
         connectionsWithoutOpenRequest()
                 .filter(connection -> !connection.requestStarted())
@@ -206,8 +231,8 @@
     }
 
     /**
-     * Returns whether a connection is being closed whose client may not have seen it yet; this does
-     * not last long.
+     * Returns whether any connection is still being closed, so that its client may not have seen
+     * the close yet. A close does not last long.
      */
     public boolean closing() {
         return !closingConnections.isEmpty();
@@ -260,8 +285,9 @@
     }
 
     /**
-     * Called when bytes have arrived: of the connections that never sent a request, the one that is
-     * silent for longest is closed first.
+     * Called when a connection has received bytes. If it has never sent a complete request, it
+     * moves to the end of {@link #newConnections}, because the connection that has been silent
+     * longest is closed first.
      */
     void onBytesReceived(ClientConnection connection) {
         if (newConnections.remove(connection)) {
@@ -269,13 +295,16 @@
         }
     }
 
-    /** Called when a connection has an open request. */
+    /**
+     * Called when a connection must no longer count as idle or new, such as when it has an open
+     * request.
+     */
     void markBusy(ClientConnection connection) {
         idleConnections.remove(connection);
         newConnections.remove(connection);
     }
 
-    /** Called when a connection has no open request any more. */
+    /** Called when a connection no longer has an open request; from now on it counts as idle. */
     void markIdle(ClientConnection connection) {
         connection.idleSinceUs(clock.nowUs());
         idleConnections.add(connection);
@@ -294,9 +323,9 @@
     }
 
     /**
-     * Closes a connection to make room. Clients know that a connection may be closed once it has
-     * been idle for a while. A client that was served recently is preferred to connections that may
-     * never send a request.
+     * Closes one connection to make room. Connections that are already being closed come first.
+     * Next come those that have been idle for {@link #MIN_IDLE_US}, which clients expect, then
+     * those that may never send a request, and last those of clients that were served recently.
      */
     private void evictOne(ClientConnection newcomer) {
         evictedCount++;
@@ -329,7 +358,8 @@
     }
 
     /**
-     * Returns how long a request that is read now may have been waiting unread, in microseconds.
+     * Returns the time in microseconds for which a request that is read now may have waited unread
+     * while the event loop was stalled.
      */
     long unreadUs() {
         return stallDetector.unreadUs(clock.nowUs());
--- a/src/main/java/passhatch/proxy/client/ListeningChannel.java
+++ b/src/main/java/passhatch/proxy/client/ListeningChannel.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * A listening socket that accepts all connections in its queue before it closes. Otherwise the
- * operating system would reset them, even if another process listens on the same address.
+ * A listening socket that accepts all connections in its queue before it closes. The operating
+ * system would otherwise reset these connections, even if another process listens on the same
+ * address.
  */
 public final class ListeningChannel extends NioServerSocketChannel {
 
--- a/src/main/java/passhatch/proxy/client/ProxyResponse.java
+++ b/src/main/java/passhatch/proxy/client/ProxyResponse.java
@@ -16,7 +16,12 @@
         return new ProxyResponse(HttpResponseStatus.OK, null, body);
     }
 
-    /** Returns a 503 response, which promises that a retry is harmless. */
+    /**
+     * Returns a 503 response, which tells the client that a retry is harmless.
+     *
+     * @param retryAfterUs value of the Retry-After header in microseconds; the header is omitted if
+     *     it is 0 or less
+     */
     public static ProxyResponse refused(long retryAfterUs) {
         String seconds =
                 retryAfterUs <= 0
@@ -25,7 +30,7 @@
         return new ProxyResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, seconds, NO_BODY);
     }
 
-    /** Returns a 502 response, which leaves open whether the request ran. */
+    /** Returns a 502 response, which does not tell the client whether the request ran. */
     public static ProxyResponse failed() {
         return new ProxyResponse(HttpResponseStatus.BAD_GATEWAY, null, NO_BODY);
     }
--- a/src/main/java/passhatch/proxy/client/ReadAhead.java
+++ b/src/main/java/passhatch/proxy/client/ReadAhead.java
@@ -7,10 +7,10 @@
 import passhatch.proxy.flow.BufferBudget;
 
 /**
- * Keeps reading from a client while the proxy wants no more requests, or no more of a body, from
- * it: a disconnect shows only after everything that was sent before it. The input is buffered up to
- * a limit. A client that sends more is not read from until its input is wanted again, and its
- * disconnect is not seen until then.
+ * Keeps reading from a client even while the proxy wants no more requests or body bytes from it,
+ * because a disconnect is seen only after everything that was sent before it has been read. The
+ * input is buffered up to a limit. Beyond the limit, reading stops until input is wanted again, and
+ * a disconnect is not seen until then.
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
 
@@ -26,14 +26,17 @@
      * Creates a handler that forwards all input at first.
      *
      * @param budget counts the buffered bytes
-     * @param maxBytes bytes to buffer before reading stops; a single read may exceed it
+     * @param maxBytes number of buffered bytes at which reading stops; a single read may exceed it
      */
     ReadAhead(BufferBudget budget, int maxBytes) {
         this.budget = budget;
         this.maxBytes = maxBytes;
     }
 
-    /** Sets whether the input is wanted now. */
+    /**
+     * Sets whether the proxy wants input from the client at present; if so, buffered input is
+     * forwarded.
+     */
     void setInputWanted(boolean value) {
         inputWanted = value;
         if (context != null) {
@@ -62,8 +65,9 @@
     }
 
     /**
-     * Forwards buffered input while it is wanted. Forwarding may itself change whether it is
-     * wanted; nested calls return at once, so that the order is kept.
+     * Forwards buffered input as long as input is wanted. Forwarding may itself change whether
+     * input is wanted and so call this method again; such nested calls return at once, so that the
+     * order is kept.
      */
     private void forward() {
         if (forwarding) {
--- a/src/main/java/passhatch/proxy/client/RequestDecoder.java
+++ b/src/main/java/passhatch/proxy/client/RequestDecoder.java
@@ -4,8 +4,8 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Decodes requests and rejects those whose head declares the length in two ways: peers differ on
- * which one counts.
+ * Decodes requests, and rejects a request whose head declares its length in two ways, because
+ * implementations differ on which of the two counts.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
--- a/src/main/java/passhatch/proxy/client/RequestHandler.java
+++ b/src/main/java/passhatch/proxy/client/RequestHandler.java
@@ -10,10 +10,16 @@
     interface Responder {
         void respond(ProxyResponse response);
 
-        /** Streams a response; the listener is notified once of how that ended. */
+        /**
+         * Streams a response, and notifies the listener once whether the stream completed or
+         * failed.
+         */
         void stream(ResponseStream response, Relay.Listener listener);
 
-        /** Aborts the streamed response, which will not be complete. */
+        /**
+         * Called when the response passed to {@link #stream} cannot be completed: aborts it if it
+         * has started, and sends a 502 response otherwise.
+         */
         void streamFailed();
     }
 
@@ -21,22 +27,24 @@
     boolean ready();
 
     /**
-     * Accepts a request whose body is complete, or too long to be buffered. Returns false if a
+     * Accepts a request whose body is complete or is too long to be buffered. Returns false if a
      * request with the same id is still being processed.
      *
-     * @param unreadUs how long its last bytes may have been waiting unread, in microseconds
+     * @param unreadUs how long the request's last bytes may have waited unread, in microseconds
      */
     boolean accept(ProxyRequest request, long unreadUs, Responder responder);
 
     /**
-     * Called when the body is complete of a request that was accepted before that: its time runs
-     * from now on.
+     * Called when the body of a request that was accepted earlier has become complete. The
+     * request's timeout starts now.
+     *
+     * @param unreadUs how long the body's last bytes may have waited unread, in microseconds
      */
     void bodyCompleted(String id, long unreadUs);
 
     /**
-     * Called when the client has closed its connection or sent an invalid body: no response is
-     * needed any more.
+     * Called when the client has closed its connection or sent an invalid body, so that its request
+     * no longer needs a response.
      */
     void clientGone(String id);
 }
--- a/src/main/java/passhatch/proxy/client/RequestParser.java
+++ b/src/main/java/passhatch/proxy/client/RequestParser.java
@@ -15,7 +15,10 @@
 import passhatch.Balancer.RequestClass;
 import passhatch.proxy.flow.RequestBody;
 
-/** Parses a client's HTTP request into a {@link ProxyRequest}, or explains why it is invalid. */
+/**
+ * Parses the head of a client's HTTP request into a {@link ProxyRequest}, or reports why it is
+ * invalid.
+ */
 public final class RequestParser {
 
     private static final Pattern DEADLINE_PATTERN =
@@ -23,7 +26,7 @@
     private static final Pattern ID_PATTERN = Pattern.compile("[\\x21-\\x7e]{1,128}");
     private static final String MALFORMED_DEADLINE = "X-Deadline is malformed";
 
-    /** An invalid request, with the status of its response. */
+    /** Thrown if a request is invalid; has the status of the response to send. */
     static final class BadRequestException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
@@ -49,7 +52,7 @@
         this.tenants = tenants;
     }
 
-    /** Parses the head of a request. */
+    /** Parses the head of a request, which {@code body} follows. */
     ProxyRequest parse(HttpRequest http, RequestBody body) throws BadRequestException {
         if (http.decoderResult().isFailure()) {
             throw badRequest(
@@ -82,8 +85,8 @@
     }
 
     /**
-     * Returns the index of the class that the first segment of the path names. The effect of the
-     * class must be the one that the method promises to the client.
+     * Returns the index of the request class that is named by the first segment of the path. The
+     * effect of this class must match the HTTP method and the presence of an Idempotency-Key.
      */
     private int findRequestClass(HttpRequest http) throws BadRequestException {
         String path = new QueryStringDecoder(http.uri()).rawPath();
@@ -111,8 +114,9 @@
     }
 
     /**
-     * Returns the index of the class that a segment names, or -1 if there is none. Names with
-     * characters that a path must not contain are percent-encoded (RFC 3986, section 2.1).
+     * Returns the index of the request class that a path segment names, or -1 if there is no such
+     * class. Characters of a class's name that a path must not contain are percent-encoded in the
+     * segment (RFC 3986, section 2.1).
      */
     private int findClassIndex(String segment) {
         int unescaped = classNames.indexOf(segment);
@@ -149,7 +153,7 @@
                 (Double.parseDouble(parts.group(1)) * (parts.group(2).equals("m") ? 1000 : 1));
     }
 
-    /** Returns the cost hint; 0 if there is none or it is malformed. */
+    /** Returns the cost hint in microseconds; 0 if the header is missing or malformed. */
     private static long parseCostHintUs(String text) {
         try {
             return text == null ? 0 : Math.max(0, (long) Double.parseDouble(text));
