--- a/src/main/java/passhatch/lab/Main.java
+++ b/src/main/java/passhatch/lab/Main.java
@@ -25,7 +25,7 @@
                 Commands.commandLine()
                         .addSubcommand(DrillCommand.line())
                         .addSubcommand(FleetCommand.commandLine())
-                        .addSubcommand(DutyCommand.line())
+                        .addSubcommand(DutyCommand.createCommandLine())
                         .addSubcommand(new DistributionCommand())
                         .addSubcommand(new WatchCommand())
                         .addSubcommand(ScaleCommand.commandLine())
--- a/src/main/java/passhatch/lab/drain/DiscoveryModel.java
+++ b/src/main/java/passhatch/lab/drain/DiscoveryModel.java
@@ -58,7 +58,7 @@
         private final long startedUs;
         private final ProxyModel caller;
         private long responseUs = DrainRecord.NEVER;
-        private long silentUs = DrainRecord.NEVER;
+        private long silentFromUs = DrainRecord.NEVER;
         private boolean open = true;
         private boolean failed;
         private long lastArrivalUs;
@@ -73,7 +73,7 @@
         }
 
         boolean canWrite() {
-            return open && silentUs == DrainRecord.NEVER;
+            return open && silentFromUs == DrainRecord.NEVER;
         }
 
         void write(String text) {
@@ -117,7 +117,7 @@
                                 caller.name(),
                                 startedUs,
                                 responseUs,
-                                silentUs,
+                                silentFromUs,
                                 queue.nowUs(),
                                 failed));
             }
@@ -238,7 +238,7 @@
     void silenceCalls() {
         timeline.accept("all calls fall silent");
         for (OpenCall call : calls.values()) {
-            call.silentUs = Math.min(call.silentUs, queue.nowUs());
+            call.silentFromUs = Math.min(call.silentFromUs, queue.nowUs());
         }
     }
 
@@ -259,10 +259,10 @@
 
     // ---- calls
 
-    void onCall(ProxyModel caller, long number, InetSocketAddress at, String path) {
+    void onCall(ProxyModel caller, long number, InetSocketAddress address, String path) {
         OpenCall call = new OpenCall(number, caller);
         calls.put(number, call);
-        if (at.getPort() != port || mode == Mode.DOWN && random.nextBoolean()) {
+        if (address.getPort() != port || mode == Mode.DOWN && random.nextBoolean()) {
             call.failed = true;
             call.close("refused");
             return;
@@ -277,7 +277,7 @@
                             random.nextLong(MAX_RESPONSE_DELAY_US), () -> respond(call, path));
             case DOWN -> scheduleAfter(MAX_QUEUE_DELAY_US, () -> reject(call));
             case CROWDED -> handleWhileOverloaded(call, path);
-            case DEAF -> call.silentUs = queue.nowUs();
+            case DEAF -> call.silentFromUs = queue.nowUs();
         }
     }
 
--- a/src/main/java/passhatch/lab/drain/DrainChecker.java
+++ b/src/main/java/passhatch/lab/drain/DrainChecker.java
@@ -36,7 +36,7 @@
     private static final long ADDRESS_CHANGE_NOTIFY_TIMEOUT_US = 4_000_000;
 
     /** After a failed call a proxy may use its list for this many ask intervals. */
-    private static final long FAILED_CALL_ASK_INTERVALS = 4;
+    private static final long MAX_ASK_INTERVALS_AFTER_FAILED_CALL = 4;
 
     /** A rule of the specification by which a proxy is deemed notified of a change. */
     public enum NotificationRule {
@@ -104,14 +104,14 @@
      * the proxy was deemed notified before they were written to it, or although they never were. A
      * run without any such change does not exercise the rule.
      */
-    public static int countNotifiedUnwritten(DrainRecord record) {
+    public static int countNotifiedBeforeWritten(DrainRecord record) {
         DrainChecker checker = new DrainChecker(record);
         List<String> proxies = record.calls.stream().map(Call::proxy).distinct().toList();
         int count = 0;
         for (Change change : record.changes) {
             for (String proxy : proxies) {
                 boolean written =
-                        checker.notificationOf(change, proxy).rule() == NotificationRule.WRITTEN;
+                        checker.findNotification(change, proxy).rule() == NotificationRule.WRITTEN;
                 count += change.up() || written ? 0 : 1;
             }
         }
@@ -121,11 +121,11 @@
     private List<LateSend> findLateSends() {
         List<LateSend> late = new ArrayList<>();
         for (Send send : record.sends) {
-            Change change = outOfUseSince(send);
+            Change change = findOutOfUseChange(send);
             if (change == null || send.atUs() < change.atUs() + record.rules.graceUs()) {
                 continue;
             }
-            Notification notification = notificationOf(change, send.proxy());
+            Notification notification = findNotification(change, send.proxy());
             if (send.atUs() >= notification.atUs() + record.rules.graceUs()) {
                 late.add(new LateSend(send, change, notification.atUs(), notification.rule()));
             }
@@ -134,7 +134,7 @@
     }
 
     /** Returns the change since which the server may not be used; null if it may be used. */
-    private Change outOfUseSince(Send send) {
+    private Change findOutOfUseChange(Send send) {
         Change since = null;
         for (Change change : changesByServer.getOrDefault(send.server(), List.of())) {
             if (change.atUs() > send.atUs()) {
@@ -150,7 +150,7 @@
     }
 
     /** Returns the earliest notification that any rule gives. */
-    private Notification notificationOf(Change change, String proxy) {
+    private Notification findNotification(Change change, String proxy) {
         long reachableUs = reachableFromUs(change.atUs());
         Notification earliest =
                 new Notification(reachableUs + NOTIFY_TIMEOUT_US, NotificationRule.REACHABLE);
@@ -202,14 +202,14 @@
         long notifiedUs = DrainRecord.NEVER;
         for (Call call : record.calls) {
             if (call.proxy().equals(proxy)
-                    && call.silentUs() <= change.atUs()
+                    && call.silentFromUs() <= change.atUs()
                     && change.atUs() < Math.min(call.endedUs(), laterResponseUs(call))) {
                 notifiedUs =
                         Math.min(
                                 notifiedUs,
                                 Math.max(
                                         change.atUs(),
-                                        call.silentUs() + SILENT_WATCH_NOTIFY_TIMEOUT_US));
+                                        call.silentFromUs() + SILENT_WATCH_NOTIFY_TIMEOUT_US));
             }
         }
         return notifiedUs;
@@ -237,7 +237,9 @@
         for (int i = 0; i < calls.size() && askIntervalUs > 0; i++) {
             Call last = calls.get(i);
             long validUs =
-                    last.failed() ? FAILED_CALL_ASK_INTERVALS * askIntervalUs : askIntervalUs;
+                    last.failed()
+                            ? MAX_ASK_INTERVALS_AFTER_FAILED_CALL * askIntervalUs
+                            : askIntervalUs;
             long notifiedUs = Math.max(last.startedUs(), change.atUs()) + validUs;
             long nextUs = i + 1 < calls.size() ? calls.get(i + 1).startedUs() : DrainRecord.NEVER;
             boolean watched = last.responseUs() <= notifiedUs && notifiedUs < last.endedUs();
--- a/src/main/java/passhatch/lab/drain/DrainRecord.java
+++ b/src/main/java/passhatch/lab/drain/DrainRecord.java
@@ -38,7 +38,7 @@
      *
      * @param startedUs when it was started
      * @param responseUs when its response began; {@link #NEVER} if it got none
-     * @param silentUs when its watch fell silent; {@link #NEVER} if it did not
+     * @param silentFromUs when its watch fell silent; {@link #NEVER} if it did not
      * @param endedUs when either side ended it; {@link #NEVER} while it is open
      * @param failed whether the connection was refused or the call rejected
      */
@@ -46,7 +46,7 @@
             String proxy,
             long startedUs,
             long responseUs,
-            long silentUs,
+            long silentFromUs,
             long endedUs,
             boolean failed) {}
 
--- a/src/main/java/passhatch/lab/drain/DrainSimulation.java
+++ b/src/main/java/passhatch/lab/drain/DrainSimulation.java
@@ -32,13 +32,17 @@
      * The result of a run.
      *
      * @param lateSends requests that were sent too late
-     * @param notifiedUnwritten number of changes that took a server out of use and of which the
+     * @param notifiedBeforeWritten number of changes that took a server out of use and of which the
      *     proxy was deemed notified before they were written to it, or although they never were
      * @param requests number of requests of clients
      * @param sent number of attempts that were sent to servers
      */
     record RunResult(
-            long seed, List<LateSend> lateSends, int notifiedUnwritten, int requests, int sent) {}
+            long seed,
+            List<LateSend> lateSends,
+            int notifiedBeforeWritten,
+            int requests,
+            int sent) {}
 
     /** What a draining server does with new requests. */
     enum DrainBehavior {
@@ -56,9 +60,9 @@
     private final DiscoveryModel discovery;
     private final Servers servers = new Servers();
     private final ProxyModel proxy;
-    private final UniformRandomProvider faults;
-    private final UniformRandomProvider changes;
-    private final UniformRandomProvider load;
+    private final UniformRandomProvider faultRandom;
+    private final UniformRandomProvider changeRandom;
+    private final UniformRandomProvider loadRandom;
     private final Consumer<String> timeline;
 
     private DrainSimulation(long seed, DrainBehavior draining, Consumer<String> output) {
@@ -87,9 +91,9 @@
                         discovery,
                         servers,
                         timeline);
-        this.faults = seeds.stream("faults");
-        this.changes = seeds.stream("changes");
-        this.load = seeds.stream("load");
+        this.faultRandom = seeds.stream("faults");
+        this.changeRandom = seeds.stream("changes");
+        this.loadRandom = seeds.stream("load");
     }
 
     /** Simulates the run of a seed. */
@@ -108,9 +112,9 @@
             startServer("s" + i);
         }
         proxy.start(scenario, parse(discovery.currentList()));
-        queue.scheduleAfter(scenario.quietUs(), this::nextChange);
-        queue.scheduleAfter(scenario.quietUs(), this::nextFault);
-        queue.scheduleAfter(0, this::nextRequest);
+        queue.scheduleAfter(scenario.quietUs(), this::makeNextChange);
+        queue.scheduleAfter(scenario.quietUs(), this::injectNextFault);
+        queue.scheduleAfter(0, this::sendNextRequest);
         long endUs = START_US + scenario.durationUs();
         for (Runnable event = queue.pollUntil(endUs);
                 event != null;
@@ -123,7 +127,7 @@
         return new RunResult(
                 seed,
                 late,
-                DrainChecker.countNotifiedUnwritten(record),
+                DrainChecker.countNotifiedBeforeWritten(record),
                 proxy.requestCount(),
                 proxy.sentCount());
     }
@@ -143,9 +147,10 @@
 
     // ---- load
 
-    private void nextRequest() {
+    private void sendNextRequest() {
         proxy.receiveRequest();
-        queue.scheduleAfter(drawWithMean(load, scenario.requestGapUs()), this::nextRequest);
+        queue.scheduleAfter(
+                drawWithMean(loadRandom, scenario.requestGapUs()), this::sendNextRequest);
     }
 
     // ---- servers
@@ -155,23 +160,24 @@
         discovery.changeStatus(server, "SERVING");
     }
 
-    private void nextChange() {
+    private void makeNextChange() {
         List<String> up = new ArrayList<>();
         List<String> down = new ArrayList<>();
         for (int i = 0; i < scenario.servers(); i++) {
             (discovery.isUp("s" + i) ? up : down).add("s" + i);
         }
-        if (up.size() > 1 && (down.isEmpty() || changes.nextInt(3) > 0)) {
-            takeOutOfUse(up.get(changes.nextInt(up.size())));
+        if (up.size() > 1 && (down.isEmpty() || changeRandom.nextInt(3) > 0)) {
+            takeOutOfUse(up.get(changeRandom.nextInt(up.size())));
         } else {
-            startServer(down.get(changes.nextInt(down.size())));
+            startServer(down.get(changeRandom.nextInt(down.size())));
         }
-        queue.scheduleAfter(drawWithMean(changes, scenario.faultGapUs()), this::nextChange);
+        queue.scheduleAfter(
+                drawWithMean(changeRandom, scenario.faultGapUs()), this::makeNextChange);
     }
 
     private void takeOutOfUse(String server) {
-        long acceptsUs = changes.nextBoolean() ? 0 : changes.nextLong(MAX_ACCEPT_US);
-        if (changes.nextInt(4) == 0) {
+        long acceptsUs = changeRandom.nextBoolean() ? 0 : changeRandom.nextLong(MAX_ACCEPT_US);
+        if (changeRandom.nextInt(4) == 0) {
             servers.stop(server);
             discovery.changeStatus(server, "DELETED");
         } else {
@@ -183,33 +189,34 @@
 
     // ---- faults
 
-    private void nextFault() {
-        switch (faults.nextInt(8)) {
+    private void injectNextFault() {
+        switch (faultRandom.nextInt(8)) {
             case 0 -> setTemporaryMode(DiscoveryModel.Mode.SLOW);
             case 1 -> setTemporaryMode(DiscoveryModel.Mode.CROWDED);
             case 2 -> setTemporaryMode(DiscoveryModel.Mode.DEAF);
             case 3 -> setTemporaryMode(DiscoveryModel.Mode.DOWN);
             case 4 -> discovery.silenceCalls();
             case 5 -> pauseProxy();
-            case 6 -> changeAddress(1 + faults.nextInt(MAX_CONSECUTIVE_ADDRESS_CHANGES));
+            case 6 -> changeAddress(1 + faultRandom.nextInt(MAX_CONSECUTIVE_ADDRESS_CHANGES));
             default -> discovery.resetCalls();
         }
-        if (faults.nextInt(3) == 0) {
+        if (faultRandom.nextInt(3) == 0) {
             discovery.resetCalls();
         }
-        proxy.setStalling(faults.nextBoolean());
+        proxy.setStalling(faultRandom.nextBoolean());
         discovery.setDelivery(
                 scenario.lateUs(),
-                faults.nextBoolean(),
-                faults.nextBoolean() ? 0 : faults.nextInt(1, 5),
-                faults.nextInt(4) == 0);
-        queue.scheduleAfter(drawWithMean(faults, scenario.faultGapUs()), this::nextFault);
+                faultRandom.nextBoolean(),
+                faultRandom.nextBoolean() ? 0 : faultRandom.nextInt(1, 5),
+                faultRandom.nextInt(4) == 0);
+        queue.scheduleAfter(
+                drawWithMean(faultRandom, scenario.faultGapUs()), this::injectNextFault);
     }
 
     private void setTemporaryMode(DiscoveryModel.Mode mode) {
         discovery.mode(mode);
         queue.scheduleAfter(
-                faults.nextLong(MAX_FAULT_US),
+                faultRandom.nextLong(MAX_FAULT_US),
                 () -> {
                     if (discovery.mode() == mode) {
                         discovery.mode(DiscoveryModel.Mode.WELL);
@@ -222,7 +229,7 @@
             return;
         }
         proxy.pause();
-        queue.scheduleAfter(faults.nextLong(MAX_PAUSE_US), proxy::resume);
+        queue.scheduleAfter(faultRandom.nextLong(MAX_PAUSE_US), proxy::resume);
     }
 
     private void changeAddress(int remaining) {
@@ -230,7 +237,8 @@
         proxy.signalAddressChange();
         if (remaining > 1) {
             queue.scheduleAfter(
-                    faults.nextLong(MAX_ADDRESS_CHANGE_GAP_US), () -> changeAddress(remaining - 1));
+                    faultRandom.nextLong(MAX_ADDRESS_CHANGE_GAP_US),
+                    () -> changeAddress(remaining - 1));
         }
     }
 }
--- a/src/main/java/passhatch/lab/drain/ProxyModel.java
+++ b/src/main/java/passhatch/lab/drain/ProxyModel.java
@@ -196,18 +196,18 @@
         InetSocketAddress newAddress = discovery.address();
         queue.scheduleAfter(
                 random.nextLong(MAX_SIGNAL_DELAY_US),
-                () -> processTimer(() -> watch.changeAddress(queue.nowUs(), newAddress)));
+                () -> runTimerEvent(() -> watch.changeAddress(queue.nowUs(), newAddress)));
     }
 
     /** Receives a request of a client. */
     void receiveRequest() {
         String id = "r" + requestCount++;
-        processRead(
+        runReadEvent(
                 () -> balancer.request(queue.nowUs(), new Request(id, 0, 0, deadlineUs, 0, false)));
     }
 
     /** Runs an event of a connection that is not to discovery, once the process is not paused. */
-    private void processRead(Runnable event) {
+    private void runReadEvent(Runnable event) {
         if (isPaused()) {
             unreadFromOthers.add(event);
         } else {
@@ -216,7 +216,7 @@
     }
 
     /** Runs an event of a connection to discovery, once the process is not paused. */
-    private void processDiscoveryRead(Runnable event) {
+    private void runDiscoveryReadEvent(Runnable event) {
         if (isPaused()) {
             unreadFromDiscovery.add(event);
         } else {
@@ -225,7 +225,7 @@
     }
 
     /** Runs an event of a timer, once the process is not paused. */
-    private void processTimer(Runnable event) {
+    private void runTimerEvent(Runnable event) {
         if (isPaused()) {
             pendingTimers.add(event);
         } else {
@@ -236,15 +236,15 @@
     // ---- events of the connections to discovery
 
     void onConnected(long call) {
-        processDiscoveryRead(() -> watch.onConnected(call));
+        runDiscoveryReadEvent(() -> watch.onConnected(call));
     }
 
     void onResponseHead(long call, int status) {
-        processDiscoveryRead(() -> watch.onResponseHead(queue.nowUs(), call, status));
+        runDiscoveryReadEvent(() -> watch.onResponseHead(queue.nowUs(), call, status));
     }
 
     void onBody(long call, String text) {
-        processDiscoveryRead(
+        runDiscoveryReadEvent(
                 () ->
                         watch.onBody(
                                 queue.nowUs(),
@@ -254,7 +254,7 @@
     }
 
     void onClosed(long call, String reason) {
-        processDiscoveryRead(
+        runDiscoveryReadEvent(
                 () -> {
                     watch.onFailed(call, reason);
                     watch.onClosed(queue.nowUs(), call);
@@ -283,7 +283,7 @@
 
     private void scheduleTimer(long atUs, Runnable event) {
         queue.scheduleAt(
-                Math.max(atUs, queue.nowUs() + MIN_TIMER_DELAY_US), () -> processTimer(event));
+                Math.max(atUs, queue.nowUs() + MIN_TIMER_DELAY_US), () -> runTimerEvent(event));
     }
 
     @Override
@@ -302,7 +302,7 @@
     }
 
     @Override
-    public void onPending(long sinceUs) {
+    public void onMessagePending(long sinceUs) {
         balancer.listPending(sinceUs);
     }
 
@@ -312,12 +312,12 @@
     }
 
     @Override
-    public void onRejected() {
+    public void onCallRejected() {
         balancer.discoveryTurnedAway();
     }
 
     @Override
-    public void onReached() {
+    public void onDiscoveryReached() {
         balancer.discoveryReached();
     }
 
@@ -334,7 +334,7 @@
         if (random.nextInt(DELAYED_CONNECTION_ONE_IN) == 0) {
             queue.scheduleAfter(
                     random.nextLong(MAX_CONNECTION_DELAY_US),
-                    () -> processTimer(() -> write(request, attempt, server)));
+                    () -> runTimerEvent(() -> write(request, attempt, server)));
         } else {
             write(request, attempt, server);
         }
@@ -350,7 +350,7 @@
             queue.scheduleAfter(
                     0,
                     () ->
-                            processTimer(
+                            runTimerEvent(
                                     () ->
                                             completeAttempt(
                                                     request, attempt, server, Outcome.NOT_SENT)));
@@ -366,7 +366,7 @@
                     queue.scheduleAfter(
                             1 + random.nextLong(MAX_SERVICE_TIME_US),
                             () ->
-                                    processRead(
+                                    runReadEvent(
                                             () ->
                                                     completeAttempt(
                                                             request, attempt, server, outcome)));
--- a/src/main/java/passhatch/lab/drain/WatchCommand.java
+++ b/src/main/java/passhatch/lab/drain/WatchCommand.java
@@ -67,7 +67,7 @@
         }
         seeds.seeds()
                 .parallel()
-                .forEach(seed -> count(DrainSimulation.simulate(seed, draining), out));
+                .forEach(seed -> countRun(DrainSimulation.simulate(seed, draining), out));
         out.printf(
                 "%d seeds, %d broken; %d had a drain that went unheard; %d requests, %.1f%% of them"
                         + " sent%n",
@@ -83,10 +83,10 @@
         return brokenRuns.sum() == 0 && effectiveRuns.sum() > 0 ? 0 : Commands.EXIT_FAILURE;
     }
 
-    private void count(RunResult result, PrintWriter out) {
+    private void countRun(RunResult result, PrintWriter out) {
         requests.add(result.requests());
         sent.add(result.sent());
-        if (result.notifiedUnwritten() > 0) {
+        if (result.notifiedBeforeWritten() > 0) {
             effectiveRuns.increment();
         }
         if (!result.lateSends().isEmpty()) {
--- a/src/main/java/passhatch/lab/duty/DutyCommand.java
+++ b/src/main/java/passhatch/lab/duty/DutyCommand.java
@@ -26,7 +26,7 @@
     private DutyCommand() {}
 
     /** Returns the command with its subcommands. */
-    public static CommandLine line() {
+    public static CommandLine createCommandLine() {
         return new CommandLine(new DutyCommand())
                 .addSubcommand(new Check())
                 .addSubcommand(new Random());
--- a/src/main/java/passhatch/lab/duty/DutyModel.java
+++ b/src/main/java/passhatch/lab/duty/DutyModel.java
@@ -253,7 +253,7 @@
                 }
             }
             messages.sort(null);
-            byVoter[voter] = text.append(messages).append(replies(voter, order)).toString();
+            byVoter[voter] = text.append(messages).append(formatReplies(voter, order)).toString();
         }
         Arrays.sort(byVoter);
         StringBuilder signature = new StringBuilder(String.join("|", byVoter));
@@ -286,7 +286,7 @@
     }
 
     /** Returns the replies of a voter to the last request of each candidate. */
-    private String replies(int voter, int[] order) {
+    private String formatReplies(int voter, int[] order) {
         StringBuilder text = new StringBuilder();
         for (int i : order) {
             text.append(candidates[i].replyOf(SENDER_NAMES.get(voter)));
--- a/src/main/java/passhatch/lab/duty/DutySim.java
+++ b/src/main/java/passhatch/lab/duty/DutySim.java
@@ -37,7 +37,7 @@
     private static final long ACT_INTERVAL_US = 100_000;
 
     /** Maximum time from sending an action to its arrival at the fence. */
-    private static final long MAX_DEVICE_DELAY_US = 50_000;
+    private static final long MAX_ACTION_DELAY_US = 50_000;
 
     /**
      * The configuration of a run.
@@ -243,7 +243,7 @@
         void act() {
             if (candidate != null && candidate.mayAct(host.localUs())) {
                 long token = candidate.term();
-                scheduleAfter(1 + random.nextLong(MAX_DEVICE_DELAY_US), () -> execute(token));
+                scheduleAfter(1 + random.nextLong(MAX_ACTION_DELAY_US), () -> execute(token));
             }
         }
     }
@@ -257,7 +257,7 @@
     private final Map<String, CandidateNode> candidates = new HashMap<>();
     private final EventQueue<Runnable> events = new EventQueue<>(SECOND_US);
     private final Set<String> partitioned = new HashSet<>();
-    private final Set<String> muted = new HashSet<>();
+    private final Set<String> mutedSenders = new HashSet<>();
     private final Fence fence = new Fence(Map.of(), (duty, token) -> true);
     private final List<Long> gapsUs = new ArrayList<>();
     private boolean unreliableNetwork;
@@ -380,7 +380,7 @@
     private void send(String from, String to, DutyMessage message) {
         boolean lost =
                 partitioned.contains(from) != partitioned.contains(to)
-                        || muted.contains(from)
+                        || mutedSenders.contains(from)
                         || unreliableNetwork && random.nextDouble() < 0.3;
         int copies = lost ? 0 : unreliableNetwork && random.nextInt(5) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
@@ -428,8 +428,8 @@
                 scheduleAfter(durationUs, () -> partitioned.remove(name));
             }
             case 4 -> {
-                muted.add(name);
-                scheduleAfter(durationUs, () -> muted.remove(name));
+                mutedSenders.add(name);
+                scheduleAfter(durationUs, () -> mutedSenders.remove(name));
             }
             case 5 -> {
                 unreliableNetwork = true;
--- a/src/main/java/passhatch/proxy/BackendRequests.java
+++ b/src/main/java/passhatch/proxy/BackendRequests.java
@@ -22,7 +22,7 @@
      *
      * @param timeLeftUs how long the proxy waits for the response, in microseconds
      */
-    static HttpRequest request(ProxyRequest request, long timeLeftUs) {
+    static HttpRequest buildRequest(ProxyRequest request, long timeLeftUs) {
         RequestBody body = request.body();
         HttpRequest message;
         if (body.isLong()) {
@@ -55,7 +55,7 @@
     }
 
     /** Returns the request that asks a backend for its load. */
-    static HttpRequest probe() {
+    static HttpRequest buildProbe() {
         HttpRequest message =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/status/load");
         message.headers().set(HttpHeaderNames.HOST, "backend");
--- a/src/main/java/passhatch/proxy/ProcessHandover.java
+++ b/src/main/java/passhatch/proxy/ProcessHandover.java
@@ -35,7 +35,7 @@
         } catch (IOException failure) {
             // This process serves anyway; the older one behaves at its shutdown as if it were
             // alone.
-            log.line(
+            log.write(
                     "cannot write the process id, other processes will not notice this one: "
                             + failure);
         }
@@ -60,21 +60,21 @@
 
     /** Whether a newer process is running, ready or not. */
     boolean newerProcessRuns() {
-        return processNamedIn(pidFile).isPresent();
+        return readProcess(pidFile).isPresent();
     }
 
     /** Whether the newer process is ready, so that this one may leave all requests to it. */
-    boolean newerProcessReady() {
-        Optional<ProcessHandle> newerProcess = processNamedIn(pidFile);
-        return newerProcess.isPresent() && newerProcess.equals(processNamedIn(readyFile));
+    boolean newerProcessIsReady() {
+        Optional<ProcessHandle> newerProcess = readProcess(pidFile);
+        return newerProcess.isPresent() && newerProcess.equals(readProcess(readyFile));
     }
 
     private void readOtherProcess() {
-        otherProcess = processNamedIn(pidFile);
+        otherProcess = readProcess(pidFile);
     }
 
     /** Returns the process that a file names, if it is running and is not this one. */
-    private Optional<ProcessHandle> processNamedIn(Path file) {
+    private Optional<ProcessHandle> readProcess(Path file) {
         try {
             long pid = Long.parseLong(Files.readString(file).strip());
             return pid == ownPid
--- a/src/main/java/passhatch/proxy/ProxyConfig.java
+++ b/src/main/java/passhatch/proxy/ProxyConfig.java
@@ -75,8 +75,8 @@
         } catch (InvalidSettingsException | IllegalArgumentException invalid) {
             throw new InvalidConfigException("config: settings: " + invalid.getMessage());
         }
-        List<String> zoneNames = strings(params, "dcs");
-        List<String> modelNames = strings(params, "machineTypes");
+        List<String> zoneNames = readStrings(params, "dcs");
+        List<String> modelNames = readStrings(params, "machineTypes");
         EndpointList initialList = EndpointList.EMPTY;
         if (file.get("known") != null) {
             try {
@@ -94,8 +94,8 @@
                 discoveryAddress,
                 seed(file.get("seed")),
                 settings,
-                names(params, "categories"),
-                names(params, "tenants"),
+                readNames(params, "categories"),
+                readNames(params, "tenants"),
                 zoneNames,
                 modelNames,
                 connectTimeoutUs instanceof Number n ? n.longValue() : DEFAULT_CONNECT_TIMEOUT_US,
@@ -183,13 +183,13 @@
         throw new InvalidConfigException("config: " + key + " is missing or not an object");
     }
 
-    private static List<String> strings(Map<String, Object> in, String key) {
+    private static List<String> readStrings(Map<String, Object> in, String key) {
         return in.get(key) instanceof List<?> list
                 ? list.stream().map(String::valueOf).toList()
                 : List.of();
     }
 
-    private static List<String> names(Map<String, Object> in, String key) {
+    private static List<String> readNames(Map<String, Object> in, String key) {
         return in.get(key) instanceof List<?> list
                 ? list.stream().map(item -> String.valueOf(((Map<?, ?>) item).get("name"))).toList()
                 : List.of();
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -103,10 +103,10 @@
     /** When requests are accepted although no list has been received. */
     private final long useInitialListAtUs;
 
-    private int unanswered;
+    private int unansweredCount;
 
     /** The number of unanswered requests whose bodies are still being received. */
-    private int uploading;
+    private int uploadingCount;
 
     /** Every request accepted from now on gets its response by this time. */
     private long latestDeadlineUs = Long.MAX_VALUE;
@@ -172,22 +172,24 @@
         latestDeadlineUs = clock.nowUs() + timeoutUs;
     }
 
-    int unanswered() {
-        return unanswered;
+    int unansweredCount() {
+        return unansweredCount;
     }
 
     /**
      * Returns the number of requests in memory, including those that only wait for an attempt to
      * end.
      */
-    int exchangesInMemory() {
+    int exchangeCount() {
         return exchanges.size();
     }
 
     /** Returns the metrics in text form, one per line. */
     String metricsText() {
         return metrics.text(
-                unanswered - uploading, backends.listedCount(), balancer.hostsDown(clock.nowUs()));
+                unansweredCount - uploadingCount,
+                backends.listedCount(),
+                balancer.hostsDown(clock.nowUs()));
     }
 
     /** Continues with discovery at another address. */
@@ -230,7 +232,7 @@
     }
 
     @Override
-    public void onPending(long sinceUs) {
+    public void onMessagePending(long sinceUs) {
         notifyBalancer(null, () -> balancer.listPending(sinceUs));
     }
 
@@ -240,12 +242,12 @@
     }
 
     @Override
-    public void onRejected() {
+    public void onCallRejected() {
         notifyBalancer(null, balancer::discoveryTurnedAway);
     }
 
     @Override
-    public void onReached() {
+    public void onDiscoveryReached() {
         notifyBalancer(null, balancer::discoveryReached);
     }
 
@@ -269,11 +271,11 @@
         if (exchanges.putIfAbsent(request.id(), exchange) != null) {
             return false;
         }
-        unanswered++;
+        unansweredCount++;
         log.trace("taken", request.id(), request.timeoutUs());
         exchange.uploading = !request.body().ended();
         if (exchange.uploading) {
-            uploading++;
+            uploadingCount++;
         } else {
             startDeadline(exchange, unreadUs);
         }
@@ -319,7 +321,7 @@
     private void finishUpload(Exchange exchange) {
         if (exchange.uploading) {
             exchange.uploading = false;
-            uploading--;
+            uploadingCount--;
         }
     }
 
@@ -369,7 +371,7 @@
     /** Responds just before the deadline if the decision module has given no response. */
     private void respondIfOverdue(Exchange exchange) {
         if (!exchange.responseChosen) {
-            log.line(
+            log.write(
                     "request "
                             + exchange.request.id()
                             + ": no response from the decision module in time");
@@ -434,7 +436,7 @@
         }
         boolean requestOver = exchange.responseChosen;
         if (result.outcome() != Outcome.OK && result.outcome() != Outcome.CANCELLED) {
-            log.line(
+            log.write(
                     "attempt "
                             + attempt.number
                             + " of "
@@ -503,7 +505,7 @@
         }
         catchingUp = true;
         balancer.listUnread(nowUs - unreadUs);
-        log.line("held up for " + TimeUnit.MICROSECONDS.toMillis(unreadUs) + " ms");
+        log.write("held up for " + TimeUnit.MICROSECONDS.toMillis(unreadUs) + " ms");
         loop.schedule(
                 () -> loop.schedule(this::onCaughtUp, CATCH_UP_DELAY_MS, TimeUnit.MILLISECONDS),
                 CATCH_UP_DELAY_MS,
@@ -527,7 +529,7 @@
         Exchange exchange = exchanges.get(id);
         InetSocketAddress backend = backends.address(server);
         if (exchange == null || backend == null) {
-            log.line("send of " + id + " to " + server + ": unknown request or backend");
+            log.write("send of " + id + " to " + server + ": unknown request or backend");
             return;
         }
         Exchange.Attempt attempt = new Exchange.Attempt(exchange.attempts.size(), server, nowUs);
@@ -623,7 +625,7 @@
             notifyBalancer(
                     exchange, () -> balancer.bodySpent(clock.nowUs(), exchange.request.id()));
         }
-        return BackendRequests.request(exchange.request, deadlineUs - clock.nowUs());
+        return BackendRequests.buildRequest(exchange.request, deadlineUs - clock.nowUs());
     }
 
     @Override
@@ -672,7 +674,7 @@
         pool.send(
                 backend,
                 new RequestSpec(
-                        BackendRequests::probe,
+                        BackendRequests::buildProbe,
                         null,
                         () -> isUpAt(backend, server),
                         PROBE_TIMEOUT_US,
@@ -712,7 +714,7 @@
 
     @Override
     public void log(String text) {
-        log.line(text);
+        log.write(text);
     }
 
     // ---- requests
@@ -749,7 +751,7 @@
         }
         finishUpload(exchange);
         exchange.request.body().drop();
-        unanswered--;
+        unansweredCount--;
     }
 
     /** Removes a request once its last attempt has ended, as the module is notified of that too. */
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -34,7 +34,7 @@
     private static final long MAINTENANCE_INTERVAL_MS = 250;
 
     /** Some backends send a second response to one request, some milliseconds after the first. */
-    private static final long CONNECTION_REST_US = 20_000;
+    private static final long CONNECTION_REUSE_DELAY_US = 20_000;
 
     /**
      * While an older process serves, a new one accepts a part of the new connections for this long
@@ -111,7 +111,7 @@
             // A signal may arrive while the first connection is accepted, so the handlers are set
             // before.
             if (!ReloadSignal.handle(() -> server.reload(env))) {
-                server.log.line(
+                server.log.write(
                         "SIGHUP is ignored since the start: the configuration cannot be reloaded");
             }
             Runtime.getRuntime().addShutdownHook(new Thread(server::shutDownAndExit));
@@ -176,7 +176,7 @@
             throws ProxyConfig.InvalidConfigException, InterruptedException {
         try {
             address = frontend.listen(config.listenAddress());
-            log.line("listening on " + address);
+            log.write("listening on " + address);
             if (config.controlAddress() != null) {
                 controlServer.listen(config.controlAddress());
             }
@@ -201,7 +201,7 @@
                         bufferBudget,
                         config.connectTimeoutUs(),
                         config.settings().limits().keepaliveUs(),
-                        CONNECTION_REST_US,
+                        CONNECTION_REUSE_DELAY_US,
                         descriptorLimits);
         StallDetector stallDetector = new StallDetector(clock.nowUs());
         scheduleTick(clock, stallDetector);
@@ -221,7 +221,7 @@
                         bufferBudget,
                         descriptorLimits,
                         stallDetector);
-        controlServer = new Control(loop, log, this::ready, proxyLoop::metricsText);
+        controlServer = new Control(loop, log, this::checkReady, proxyLoop::metricsText);
         updateDescriptorLimit();
         warmedUp = !otherProcessRuns();
         if (!warmedUp) {
@@ -253,7 +253,7 @@
     private void runMaintenance() {
         backendPool.closeStaleConnections();
         updateDescriptorLimit();
-        ready();
+        checkReady();
         frontend.setHandover(newerProcessRuns());
     }
 
@@ -261,7 +261,7 @@
      * Whether this process is ready to serve. An older process may shut down as soon as this
      * returns true for the first time.
      */
-    private boolean ready() {
+    private boolean checkReady() {
         boolean ready = frontend.ready() && warmedUp;
         if (ready && handover != null) {
             handover.recordReady();
@@ -300,15 +300,15 @@
                                     new TreeMap<>(
                                             Map.of(
                                                     "requests",
-                                                    (long) proxyLoop.exchangesInMemory(),
+                                                    (long) proxyLoop.exchangeCount(),
                                                     "requests unanswered",
-                                                    (long) proxyLoop.unanswered(),
+                                                    (long) proxyLoop.unansweredCount(),
                                                     "bytes",
                                                     bufferBudget.bufferedBytes(),
                                                     "connections from clients",
-                                                    (long) descriptorLimits.clients(),
+                                                    (long) descriptorLimits.clientConnections(),
                                                     "connections to backends in use",
-                                                    (long) descriptorLimits.backends()
+                                                    (long) descriptorLimits.backendConnections()
                                                             - backendPool.idleConnectionCount()));
                             counts.values().removeIf(count -> count == 0);
                             text.append(counts.isEmpty() ? "" : counts);
@@ -337,8 +337,8 @@
     void shutDown() {
         loop.execute(
                 () -> {
-                    boolean newerProcessReady = handover != null && handover.newerProcessReady();
-                    log.line(
+                    boolean newerProcessReady = handover != null && handover.newerProcessIsReady();
+                    log.write(
                             "shutting down"
                                     + (newerProcessReady ? ", a newer process serves" : ""));
                     ShutdownSchedule schedule = ShutdownSchedule.of(longestDeadlineMs);
@@ -370,7 +370,9 @@
      */
     private void terminateOnceCompleted() {
         frontend.closeIdleConnections();
-        if (proxyLoop.unanswered() == 0 && !frontend.receivingRequest() && !frontend.closing()) {
+        if (proxyLoop.unansweredCount() == 0
+                && !frontend.receivingRequest()
+                && !frontend.closing()) {
             terminate();
         } else {
             loop.schedule(
@@ -390,10 +392,10 @@
         try {
             discoveryAddress = ProxyConfig.readDiscoveryAddress(env);
         } catch (ProxyConfig.InvalidConfigException invalid) {
-            log.line("the configuration stays as it is: " + invalid.getMessage());
+            log.write("the configuration stays as it is: " + invalid.getMessage());
             return;
         }
-        log.line("discovery is at " + discoveryAddress + " from now on");
+        log.write("discovery is at " + discoveryAddress + " from now on");
         loop.execute(() -> proxyLoop.changeDiscoveryAddress(discoveryAddress));
     }
 
@@ -415,7 +417,7 @@
     }
 
     private void terminate() {
-        log.line("ending with " + proxyLoop.unanswered() + " requests unanswered");
+        log.write("ending with " + proxyLoop.unansweredCount() + " requests unanswered");
         proxyLoop.stop();
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .addListener(done -> terminated.countDown());
--- a/src/main/java/passhatch/proxy/Rehearsal.java
+++ b/src/main/java/passhatch/proxy/Rehearsal.java
@@ -47,9 +47,9 @@
 
     static void run(PrintStream err) throws Exception {
         Path config = Files.createTempFile("rehearsal", ".json");
-        try (ServerSocket backend = serve(Rehearsal::respondAsBackend);
+        try (ServerSocket backend = startServer(Rehearsal::respondAsBackend);
                 ServerSocket discovery =
-                        serve((in, out) -> respondAsDiscovery(in, out, address(backend)))) {
+                        startServer((in, out) -> respondAsDiscovery(in, out, address(backend)))) {
             Files.writeString(config, JSON.std.asString(config()));
             ProxyServer proxy =
                     ProxyServer.start(
@@ -139,7 +139,7 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    private static ServerSocket serve(Script script) throws IOException {
+    private static ServerSocket startServer(Script script) throws IOException {
         ServerSocket server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
         startDaemon(
                 () -> {
--- a/src/main/java/passhatch/proxy/backend/BackendPool.java
+++ b/src/main/java/passhatch/proxy/backend/BackendPool.java
@@ -268,11 +268,11 @@
             closeLongestIdleConnection();
         }
         if (pooled == null && descriptors.backendsFull()) {
-            log.line(
+            log.write(
                     "no connection available for "
                             + address
                             + ": "
-                            + descriptors.backends()
+                            + descriptors.backendConnections()
                             + " are open");
             loop.execute(() -> request.complete(Result.withoutResponse(Outcome.NOT_SENT)));
             return request;
@@ -311,7 +311,7 @@
 
     private void onUnsolicitedData(InetSocketAddress backend, String what) {
         distrustUntilUs = clock.nowUs() + DISTRUST_PERIOD_US;
-        log.line(what + " from " + backend + "; connections are reused with a delay for now");
+        log.write(what + " from " + backend + "; connections are reused with a delay for now");
     }
 
     /**
@@ -373,7 +373,7 @@
     private void completeAsNotSent(
             OutgoingRequest request, InetSocketAddress address, Throwable cause) {
         if (!request.completed) {
-            log.line("local failure while connecting to " + address + ": " + cause);
+            log.write("local failure while connecting to " + address + ": " + cause);
             request.complete(Result.withoutResponse(Outcome.NOT_SENT));
         }
     }
@@ -645,7 +645,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            log.line("connection to " + address + ": " + cause);
+            log.write("connection to " + address + ": " + cause);
             ctx.close();
         }
     }
@@ -777,7 +777,7 @@
                                     receivedSinceCheck = false;
                                     scheduleIdleCheck();
                                 } else {
-                                    log.line(
+                                    log.write(
                                             "response from "
                                                     + connection.address
                                                     + " aborted: no more data arrives");
--- a/src/main/java/passhatch/proxy/base/DescriptorLimits.java
+++ b/src/main/java/passhatch/proxy/base/DescriptorLimits.java
@@ -8,7 +8,7 @@
 public final class DescriptorLimits {
 
     /** For the JVM's own files, the selector, the listeners and discovery. */
-    private static final int RESERVED_FOR_PROCESS = 24;
+    private static final int RESERVED_DESCRIPTORS = 24;
 
     /**
      * The fraction for connections to backends: requests take a third at most, and some are idle.
@@ -19,9 +19,9 @@
     private static final double SCARCE_FRACTION = 0.75;
 
     private final int reserved;
-    private int limit;
-    private int clients;
-    private int backends;
+    private int maxDescriptors;
+    private int clientConnections;
+    private int backendConnections;
 
     /**
      * Creates counters at 0.
@@ -29,7 +29,7 @@
      * @param maxControlConnections maximum number of open control connections
      */
     public DescriptorLimits(int maxControlConnections) {
-        this.reserved = RESERVED_FOR_PROCESS + maxControlConnections;
+        this.reserved = RESERVED_DESCRIPTORS + maxControlConnections;
     }
 
     /**
@@ -37,37 +37,38 @@
      * arrive.
      */
     public void setLimit(int newLimit) {
-        limit = newLimit;
+        maxDescriptors = newLimit;
     }
 
     public void addClients(int delta) {
-        clients += delta;
+        clientConnections += delta;
     }
 
     public void addBackends(int delta) {
-        backends += delta;
+        backendConnections += delta;
     }
 
-    public int clients() {
-        return clients;
+    public int clientConnections() {
+        return clientConnections;
     }
 
-    public int backends() {
-        return backends;
+    public int backendConnections() {
+        return backendConnections;
     }
 
     /** Whether another connection must be closed before a new one to a backend is opened. */
     public boolean backendsFull() {
-        return backends >= (int) (limit * BACKEND_FRACTION);
+        return backendConnections >= (int) (maxDescriptors * BACKEND_FRACTION);
     }
 
     /** Whether more descriptors are held than allowed. */
     public boolean limitExceeded() {
-        return clients + backends > limit - reserved;
+        return clientConnections + backendConnections > maxDescriptors - reserved;
     }
 
     /** Whether descriptors are scarce, so that no unneeded connection should stay open. */
     public boolean scarce() {
-        return clients + backends > (limit - reserved) * SCARCE_FRACTION;
+        return clientConnections + backendConnections
+                > (maxDescriptors - reserved) * SCARCE_FRACTION;
     }
 }
--- a/src/main/java/passhatch/proxy/base/EventLog.java
+++ b/src/main/java/passhatch/proxy/base/EventLog.java
@@ -16,7 +16,7 @@
         this.out = out;
     }
 
-    public void line(String text) {
+    public void write(String text) {
         // Text and line end are written in one call: otherwise the stream passes them to the system
         // as two.
         out.print(Instant.now() + " " + text + "\n");
@@ -28,7 +28,7 @@
      */
     public void trace(String step, String id, Object detail) {
         if (tracing) {
-            line("trace " + step + " " + id + " " + detail);
+            write("trace " + step + " " + id + " " + detail);
         }
     }
 
--- a/src/main/java/passhatch/proxy/base/NettyLog.java
+++ b/src/main/java/passhatch/proxy/base/NettyLog.java
@@ -19,7 +19,7 @@
     private static final Logger NETTY = Logger.getLogger("io.netty");
 
     private final EventLog log;
-    private long nextLineNs = System.nanoTime();
+    private long nextWriteNs = System.nanoTime();
 
     private NettyLog(EventLog log) {
         this.log = log;
@@ -34,12 +34,12 @@
     @Override
     public synchronized void publish(LogRecord entry) {
         long nowNs = System.nanoTime();
-        if (entry.getLevel().intValue() < Level.WARNING.intValue() || nowNs - nextLineNs < 0) {
+        if (entry.getLevel().intValue() < Level.WARNING.intValue() || nowNs - nextWriteNs < 0) {
             return;
         }
-        nextLineNs = nowNs + LOG_INTERVAL_NS;
+        nextWriteNs = nowNs + LOG_INTERVAL_NS;
         Throwable cause = entry.getThrown();
-        log.line("netty: " + entry.getMessage() + (cause == null ? "" : ": " + cause));
+        log.write("netty: " + entry.getMessage() + (cause == null ? "" : ": " + cause));
     }
 
     @Override
--- a/src/main/java/passhatch/proxy/client/AcceptRetry.java
+++ b/src/main/java/passhatch/proxy/client/AcceptRetry.java
@@ -32,7 +32,7 @@
         long nowNs = System.nanoTime();
         if (nowNs - nextLogNs >= 0) {
             nextLogNs = nowNs + LOG_INTERVAL_NS;
-            log.line("a connection could not be accepted: " + cause.getMessage());
+            log.write("a connection could not be accepted: " + cause.getMessage());
         }
         ChannelConfig config = ctx.channel().config();
         config.setAutoRead(false);
--- a/src/main/java/passhatch/proxy/client/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/client/ClientConnection.java
@@ -414,7 +414,7 @@
             // On a closed connection the request is merely truncated, because its peer left or was
             // closed.
             frontend.log()
-                    .line(
+                    .write(
                             "request rejected with "
                                     + badRequest.status()
                                     + ": "
@@ -632,7 +632,7 @@
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        frontend.log().line("client connection: " + cause);
+        frontend.log().write("client connection: " + cause);
         failAll();
     }
 }
--- a/src/main/java/passhatch/proxy/client/HttpFrontend.java
+++ b/src/main/java/passhatch/proxy/client/HttpFrontend.java
@@ -331,8 +331,8 @@
         evictedCount++;
         if (clock.nowUs() >= nextLogUs) {
             nextLogUs = clock.nowUs() + LOG_INTERVAL_US;
-            log.line(
-                    descriptors.clients()
+            log.write(
+                    descriptors.clientConnections()
                             + " clients are connected, too many: "
                             + evictedCount
                             + " let go so far");
--- a/src/main/java/passhatch/proxy/control/Control.java
+++ b/src/main/java/passhatch/proxy/control/Control.java
@@ -112,7 +112,7 @@
         if (bound.isSuccess()) {
             listener = bound.channel();
         } else {
-            log.line("no control address: " + address + ": " + bound.cause().getMessage());
+            log.write("no control address: " + address + ": " + bound.cause().getMessage());
         }
     }
 
--- a/src/main/java/passhatch/proxy/control/ProxyMetrics.java
+++ b/src/main/java/passhatch/proxy/control/ProxyMetrics.java
@@ -23,37 +23,37 @@
 
     private static final String PREFIX = "app_";
 
-    private final List<String> classes;
-    private final long[][] completed;
-    private long backendRequests;
+    private final List<String> classNames;
+    private final long[][] requestCounts;
+    private long backendRequestCount;
 
     /** Creates counters at 0 for the request classes with these names. */
-    public ProxyMetrics(List<String> classes) {
-        this.classes = classes;
-        this.completed = new long[RequestResult.values().length][classes.size()];
+    public ProxyMetrics(List<String> classNames) {
+        this.classNames = classNames;
+        this.requestCounts = new long[RequestResult.values().length][classNames.size()];
     }
 
     public void countRequest(int requestClass, RequestResult result) {
-        completed[result.ordinal()][requestClass]++;
+        requestCounts[result.ordinal()][requestClass]++;
     }
 
     /** Counts an attempt that was written completely to a backend. */
     public void countBackendRequest() {
-        backendRequests++;
+        backendRequestCount++;
     }
 
     /** Returns the counters and the given current values, one per line. */
     public String text(int inFlight, int hostsListed, int hostsDown) {
         StringBuilder text = new StringBuilder();
         for (RequestResult result : RequestResult.values()) {
-            for (int requestClass = 0; requestClass < classes.size(); requestClass++) {
+            for (int requestClass = 0; requestClass < classNames.size(); requestClass++) {
                 appendLine(
                         text,
-                        result.metric + "{tier=\"" + escaped(classes.get(requestClass)) + "\"}",
-                        completed[result.ordinal()][requestClass]);
+                        result.metric + "{tier=\"" + escape(classNames.get(requestClass)) + "\"}",
+                        requestCounts[result.ordinal()][requestClass]);
             }
         }
-        appendLine(text, "backend_calls", backendRequests);
+        appendLine(text, "backend_calls", backendRequestCount);
         appendLine(text, "inflight", inFlight);
         appendLine(text, "hosts_listed", hostsListed);
         appendLine(text, "hosts_down", hostsDown);
@@ -65,7 +65,7 @@
     }
 
     /** Escapes the value of a label as the Prometheus text format requires. */
-    private static String escaped(String label) {
+    private static String escape(String label) {
         return label.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
     }
 }
--- a/src/main/java/passhatch/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/passhatch/proxy/discovery/DiscoveryClient.java
@@ -55,7 +55,7 @@
         this.clock = clock;
         this.stallDetector = stallDetector;
         this.log = log;
-        this.watch = new ListWatch(config, seed, this, listener, log::line);
+        this.watch = new ListWatch(config, seed, this, listener, log::write);
     }
 
     /** Continues at another address and abandons the watch at the old one. */
@@ -109,7 +109,7 @@
                 done -> {
                     if (done.isSuccess()) {
                         watch.onConnected(call);
-                        channel.writeAndFlush(get(path));
+                        channel.writeAndFlush(buildGet(path));
                     }
                 });
         channel.closeFuture()
@@ -123,7 +123,7 @@
                         });
     }
 
-    private static DefaultFullHttpRequest get(String path) {
+    private static DefaultFullHttpRequest buildGet(String path) {
         DefaultFullHttpRequest get =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         get.headers().set(HttpHeaderNames.HOST, "discovery");
--- a/src/main/java/passhatch/proxy/discovery/JsonObjectScanner.java
+++ b/src/main/java/passhatch/proxy/discovery/JsonObjectScanner.java
@@ -50,7 +50,7 @@
     }
 
     /** Whether an object has started and is not complete. */
-    boolean pending() {
+    boolean hasIncompleteObject() {
         return depth > 0;
     }
 
--- a/src/main/java/passhatch/proxy/discovery/ListWatch.java
+++ b/src/main/java/passhatch/proxy/discovery/ListWatch.java
@@ -66,16 +66,16 @@
          *
          * @param sinceUs when it started
          */
-        void onPending(long sinceUs);
+        void onMessagePending(long sinceUs);
 
         /** No watch is open any more: changes may be missed. */
         void onWatchLost();
 
         /** A connection to discovery is established, whatever the result of the call. */
-        void onReached();
+        void onDiscoveryReached();
 
         /** Discovery has rejected a call at once. */
-        void onRejected();
+        void onCallRejected();
 
         /** Discovery has another address from now on. */
         void onAddressChanged();
@@ -111,7 +111,7 @@
     /** A call without any message for this long is abandoned. */
     private long messageTimeoutMs;
 
-    private long index;
+    private long lastVersion;
     private boolean fetchWhole;
     private boolean stopped;
     private InetSocketAddress address;
@@ -146,10 +146,10 @@
         this.budget = WatchBudget.of(config.onRequest(), config.drainGraceUs());
         this.messageTimeoutMs = budget.initialMessageTimeoutMs();
         this.backoff = new Backoff(budget.maxBackoffMs(), seed);
-        this.index = config.initialList().index();
+        this.lastVersion = config.initialList().index();
         // A known list may have version 0: a watch from there needs one call, a fetch and a watch
         // two.
-        this.fetchWhole = index == 0 && config.initialList().endpoints().isEmpty();
+        this.fetchWhole = lastVersion == 0 && config.initialList().endpoints().isEmpty();
     }
 
     /** Returns the connect timeout in milliseconds. */
@@ -185,18 +185,18 @@
         nextCallUs = NEVER;
         Call call = new Call(++callCount, fetchWhole, nowUs);
         current = call;
-        log.accept("discovery: call from version " + index + " to " + address + " started");
+        log.accept("discovery: call from version " + lastVersion + " to " + address + " started");
         transport.startCall(
                 call.number,
                 address,
-                call.isFetch ? "/v1/endpoints" : "/v1/endpoints?watch=1&from=" + index);
+                call.isFetch ? "/v1/endpoints" : "/v1/endpoints?watch=1&from=" + lastVersion);
         checkSilence();
     }
 
     /** The connection of a call is established. */
     public void onConnected(long call) {
         if (isCurrent(call)) {
-            listener.onReached();
+            listener.onDiscoveryReached();
         }
     }
 
@@ -218,7 +218,7 @@
             // Discovery may no longer have the requested version.
             fetchWhole = status < FIRST_SERVER_ERROR;
             if (nowUs - current.startedUs < IMMEDIATE_REJECTION_US) {
-                listener.onRejected();
+                listener.onCallRejected();
             }
             abortCurrent("answered " + status);
         }
@@ -250,7 +250,7 @@
     public void onResponseEnd(long nowUs, long call) {
         this.nowUs = nowUs;
         if (isCurrent(call)) {
-            if (current.scanner.pending()) {
+            if (current.scanner.hasIncompleteObject()) {
                 current.onSkipped("it was truncated by the end of the response");
             } else {
                 abortCurrent("the response ended");
@@ -303,7 +303,7 @@
 
     /** Abandons a call. A watch is still read until another call gets a response. */
     private void abandon(Call call) {
-        if (call.accepted && !call.isFetch && !call.scanner.pending()) {
+        if (call.accepted && !call.isFetch && !call.scanner.hasIncompleteObject()) {
             closePrevious();
             previous = call;
         } else {
@@ -328,7 +328,7 @@
         long timeoutAtUs = current.lastMessageUs + millisToMicros(limitMs);
         if (nowUs < timeoutAtUs) {
             wakeAt(timeoutAtUs);
-        } else if (current.scanner.pending()) {
+        } else if (current.scanner.hasIncompleteObject()) {
             current.onSkipped("it did not end");
         } else {
             Call silentCall = current;
@@ -364,7 +364,7 @@
         }
         log.accept(
                 "discovery: the watch from index "
-                        + index
+                        + lastVersion
                         + " ended after "
                         + microsToMillis(nowUs - call.startedUs)
                         + " ms, "
@@ -375,7 +375,7 @@
                                 : "without a message")
                         + ": "
                         + call.endReason
-                        + (call.scanner.pending() ? ", inside an object" : ""));
+                        + (call.scanner.hasIncompleteObject() ? ", inside an object" : ""));
         if (!config.onRequest()) {
             nextCallUs = nowUs + millisToMicros(backoff.nextDelayMs());
             wakeAt(nextCallUs);
@@ -396,7 +396,7 @@
     private final class Call implements JsonObjectScanner.Listener {
         private final long number;
         private final boolean isFetch;
-        private final long fromVersion = index;
+        private final long fromVersion = lastVersion;
         private final JsonObjectScanner scanner = new JsonObjectScanner(MAX_LIST_BYTES, this);
         private final long startedUs;
         private long arrivedUs;
@@ -417,19 +417,19 @@
 
         void read(long arrivedAtUs, ByteBuf bytes) {
             arrivedUs = arrivedAtUs;
-            if (!scanner.pending()) {
+            if (!scanner.hasIncompleteObject()) {
                 objectStartedUs = arrivedUs;
                 pendingReported = false;
             }
             scanner.read(bytes);
-            if (this == current && (scanner.pending() || messageReceived)) {
+            if (this == current && (scanner.hasIncompleteObject() || messageReceived)) {
                 // Whatever discovery writes from now on is written to this call as well.
                 closePrevious();
             }
             boolean open = this == current || this == previous;
-            if (open && scanner.pending() && !pendingReported) {
+            if (open && scanner.hasIncompleteObject() && !pendingReported) {
                 pendingReported = true;
-                listener.onPending(objectStartedUs);
+                listener.onMessagePending(objectStartedUs);
             }
         }
 
@@ -447,20 +447,20 @@
                 onSkipped(malformed.getMessage().lines().findFirst().orElse(""));
                 return;
             }
-            if (list.index() < index) {
+            if (list.index() < lastVersion) {
                 // Versions only grow: an older one would undo later changes, such as a server that
                 // drains.
                 skipOlder(list);
                 return;
             }
-            if (!messageReceived && !list.whole() && fromVersion < index) {
+            if (!messageReceived && !list.whole() && fromVersion < lastVersion) {
                 // The message lacks what changed back between the requested version and the known
                 // one.
                 onSkipped(
                         "its changes are from version "
                                 + fromVersion
                                 + ", and "
-                                + index
+                                + lastVersion
                                 + " is known");
                 return;
             }
@@ -468,7 +468,7 @@
             if (this == current) {
                 recordMessage("version " + list.index());
             }
-            index = list.index();
+            lastVersion = list.index();
             fetchWhole = false;
             listFetched = isFetch;
             backoff.reset();
@@ -503,11 +503,11 @@
             boolean first = !messageReceived;
             // The first empty line may be sent while the call is still queued.
             ListFreshness freshness = freshness(first ? startedUs : arrivedUs);
-            recordMessage("no change since version " + index);
+            recordMessage("no change since version " + lastVersion);
             if (!first) {
                 listener.onUnchanged(freshness);
             } else if (!isFetch) {
-                listener.onList(new EndpointList(index, false, List.of()), freshness);
+                listener.onList(new EndpointList(lastVersion, false, List.of()), freshness);
             }
         }
 
@@ -530,7 +530,7 @@
                 // What it says about other servers is in no other message.
                 fetchWhole = true;
             }
-            onSkipped("its version " + list.index() + " is older than " + index);
+            onSkipped("its version " + list.index() + " is older than " + lastVersion);
         }
 
         /** A message that cannot be read is requested again, as later messages do not repeat it. */
@@ -538,7 +538,7 @@
         public void onSkipped(String reason) {
             if (this == current || this == previous) {
                 log.accept("discovery: a list is skipped: " + reason);
-                listener.onPending(objectStartedUs);
+                listener.onMessagePending(objectStartedUs);
                 closePrevious();
                 close("a list was skipped");
             }
--- a/src/main/java/passhatch/proxy/discovery/WatchBudget.java
+++ b/src/main/java/passhatch/proxy/discovery/WatchBudget.java
@@ -43,9 +43,9 @@
      * drain grace, less one stall, is divided into a delay, a connection attempt that began before
      * the end, another delay, and the response.
      */
-    private static final long PUSHED_STEPS = 4;
+    private static final long RECONNECT_STEPS = 4;
 
-    private static final long MIN_PUSHED_STEP_MS = 50;
+    private static final long MIN_RECONNECT_STEP_MS = 50;
 
     /**
      * Returns the limits of one proxy.
@@ -55,15 +55,16 @@
      */
     static WatchBudget of(boolean onRequest, long graceUs) {
         long stepMs =
-                TimeUnit.MICROSECONDS.toMillis(graceUs - ListLease.MAX_STALL_US) / PUSHED_STEPS;
-        long pushedStepMs = Math.max(MIN_PUSHED_STEP_MS, Math.min(stepMs, MAX_CONNECT_TIMEOUT_MS));
+                TimeUnit.MICROSECONDS.toMillis(graceUs - ListLease.MAX_STALL_US) / RECONNECT_STEPS;
+        long reconnectStepMs =
+                Math.max(MIN_RECONNECT_STEP_MS, Math.min(stepMs, MAX_CONNECT_TIMEOUT_MS));
         return new WatchBudget(
                 EMPTY_LINE_INTERVAL_MS + EMPTY_LINE_MARGIN_MS,
                 INITIAL_MESSAGE_TIMEOUT_MS,
                 onRequest
                         ? INITIAL_MESSAGE_TIMEOUT_MS << MAX_DOUBLINGS
                         : INITIAL_MESSAGE_TIMEOUT_MS,
-                onRequest ? MAX_CONNECT_TIMEOUT_MS : pushedStepMs,
-                pushedStepMs);
+                onRequest ? MAX_CONNECT_TIMEOUT_MS : reconnectStepMs,
+                reconnectStepMs);
     }
 }
--- a/src/main/java/passhatch/proxy/flow/Relay.java
+++ b/src/main/java/passhatch/proxy/flow/Relay.java
@@ -48,8 +48,8 @@
     private final Channel target;
     private final Listener listener;
     private Source source;
-    private long pendingBytes;
-    private boolean progressed;
+    private long unwrittenBytes;
+    private boolean progressSinceCheck;
     private boolean ended;
     private Future<?> progressCheck;
 
@@ -67,8 +67,8 @@
         progressCheck =
                 loop.schedule(
                         () -> {
-                            if (progressed) {
-                                progressed = false;
+                            if (progressSinceCheck) {
+                                progressSinceCheck = false;
                                 scheduleProgressCheck();
                             } else {
                                 end(false);
@@ -85,15 +85,15 @@
             return;
         }
         int size = bytes.readableBytes();
-        progressed = true;
-        pendingBytes += size;
+        progressSinceCheck = true;
+        unwrittenBytes += size;
         budget.add(size);
         target.writeAndFlush(new DefaultHttpContent(bytes))
                 .addListener(
                         written -> {
-                            pendingBytes -= size;
+                            unwrittenBytes -= size;
                             budget.remove(size);
-                            progressed = true;
+                            progressSinceCheck = true;
                             if (!written.isSuccess()) {
                                 end(false);
                             } else if (!ended) {
@@ -124,7 +124,7 @@
 
     private void updateReading() {
         if (source != null) {
-            source.setReading(pendingBytes == 0 || target.isWritable() && !budget.exceeded());
+            source.setReading(unwrittenBytes == 0 || target.isWritable() && !budget.exceeded());
         }
     }
 
--- a/src/test/java/passhatch/lab/drain/DrainSimulationTest.java
+++ b/src/test/java/passhatch/lab/drain/DrainSimulationTest.java
@@ -39,7 +39,8 @@
                         .map(result -> result.seed() + ": " + result.lateSends().get(0))
                         .toList(),
                 () -> broken.size() + " of " + SEEDS + " seeds");
-        long effective = results.stream().filter(result -> result.notifiedUnwritten() > 0).count();
+        long effective =
+                results.stream().filter(result -> result.notifiedBeforeWritten() > 0).count();
         assertTrue(
                 effective > SEEDS * 9 / 10,
                 effective + " seeds had a drain deemed notified before or without being written");
--- a/src/test/java/passhatch/proxy/HandoverTest.java
+++ b/src/test/java/passhatch/proxy/HandoverTest.java
@@ -107,16 +107,16 @@
             Files.writeString(folder.resolve("passhatch.pid"), Long.toString(newer.pid()));
             assertTrue(handover.otherProcessRuns());
             assertTrue(handover.newerProcessRuns());
-            assertFalse(handover.newerProcessReady(), "the newer process is not ready");
+            assertFalse(handover.newerProcessIsReady(), "the newer process is not ready");
             Files.writeString(folder.resolve("passhatch.ready"), Long.toString(newer.pid()));
-            assertTrue(handover.newerProcessReady());
+            assertTrue(handover.newerProcessIsReady());
         } finally {
             newer.destroyForcibly().waitFor();
         }
         assertFalse(handover.otherProcessRuns());
         assertFalse(
                 handover.newerProcessRuns(), "a newer process that failed to start still counts");
-        assertFalse(handover.newerProcessReady());
+        assertFalse(handover.newerProcessIsReady());
     }
 
     @Test
@@ -129,7 +129,7 @@
             assertTrue(handover.otherProcessRuns());
             assertFalse(handover.newerProcessRuns());
             handover.recordReady();
-            assertFalse(handover.newerProcessReady());
+            assertFalse(handover.newerProcessIsReady());
             assertEquals(
                     Long.toString(ProcessHandle.current().pid()),
                     Files.readString(folder.resolve("passhatch.ready")));
--- a/src/test/java/passhatch/proxy/backend/BackendPoolTest.java
+++ b/src/test/java/passhatch/proxy/backend/BackendPoolTest.java
@@ -130,7 +130,7 @@
             send(nowhere, true, LONG_TIMEOUT_US);
             assertEquals(Outcome.NOT_SENT, results.poll(5, TimeUnit.SECONDS).outcome());
         }
-        loop.submit(() -> assertEquals(0, descriptors.backends())).sync();
+        loop.submit(() -> assertEquals(0, descriptors.backendConnections())).sync();
     }
 
     @AfterEach
--- a/src/test/java/passhatch/proxy/discovery/JsonObjectScannerTest.java
+++ b/src/test/java/passhatch/proxy/discovery/JsonObjectScannerTest.java
@@ -78,7 +78,7 @@
                 scanner.read(Unpooled.wrappedBuffer(bytes, at, piece));
                 at += piece;
             }
-            assertFalse(scanner.pending());
+            assertFalse(scanner.hasIncompleteObject());
             List<Map<String, Object>> found = new ArrayList<>();
             for (String text : events) {
                 found.add(JSON.std.mapFrom(text));
@@ -112,6 +112,6 @@
     @Test
     void reportsAnIncompleteObject() {
         read("{\"index\":4,");
-        assertTrue(scanner.pending());
+        assertTrue(scanner.hasIncompleteObject());
     }
 }
--- a/src/test/java/passhatch/proxy/discovery/ListWatchTest.java
+++ b/src/test/java/passhatch/proxy/discovery/ListWatchTest.java
@@ -75,7 +75,7 @@
         }
 
         @Override
-        public void onPending(long sinceUs) {
+        public void onMessagePending(long sinceUs) {
             pending.add(sinceUs);
         }
 
@@ -85,10 +85,10 @@
         }
 
         @Override
-        public void onReached() {}
+        public void onDiscoveryReached() {}
 
         @Override
-        public void onRejected() {
+        public void onCallRejected() {
             rejections++;
         }
 
