--- a/src/main/java/passhatch/lab/drain/DiscoveryModel.java
+++ b/src/main/java/passhatch/lab/drain/DiscoveryModel.java
@@ -15,32 +15,32 @@
 import passhatch.lab.sim.EventQueue;
 
 /**
- * Discovery in simulated time, as the protocol describes it, with every fault that the
- * specification names. It keeps its own record of the run.
+ * A model of discovery in simulated time. It follows the protocol and has every fault that the
+ * specification names. It records what it does itself, independently of the proxy.
  */
 final class DiscoveryModel {
 
     /** How discovery handles calls that are started now. */
     enum Mode {
-        /** Responds within milliseconds; the normal mode. */
+        /** Discovery responds within milliseconds; the normal mode. */
         WELL,
-        /** Responds up to 5 s later. */
+        /** Discovery responds up to 5 s later. */
         SLOW,
-        /** Is overloaded: rejects most calls, at once or after they were queued. */
+        /** Discovery is overloaded: it rejects most calls, at once or after they were queued. */
         CROWDED,
-        /** Accepts a call and never responds. */
+        /** Discovery accepts a call and never responds. */
         DEAF,
-        /** Is unreachable. */
+        /** Discovery is unreachable. */
         DOWN
     }
 
     /** What may happen to a message on a watch or in a response. */
     enum Delivery {
-        /** It is written in full. */
+        /** The message is written in full. */
         COMPLETE,
-        /** Only a part of its bytes is written, and the watch goes on. */
+        /** Only a part of the message is written, and the call stays open. */
         TRUNCATED,
-        /** The call is closed instead. */
+        /** The call is closed without writing the message. */
         CLOSED
     }
 
@@ -107,7 +107,7 @@
             }
         }
 
-        /** Ends the call on discovery's side and records it. */
+        /** Ends the call on discovery's side and adds it to the record of the run. */
         void recordEnd() {
             if (open) {
                 open = false;
@@ -143,7 +143,8 @@
     private boolean splitWrites;
 
     /**
-     * One message in this many is truncated, or its call is closed instead; 0 if all are complete.
+     * On average one message in this many is truncated, or its call is closed without writing it; 0
+     * if all messages are complete.
      */
     private int failedDeliveryOneIn;
 
@@ -180,7 +181,7 @@
 
     // ---- changes and faults
 
-    /** Changes the list: a server is up, drains or is removed. */
+    /** Sets the status of a server in a new version of the list: up, draining or removed. */
     void changeStatus(String server, String status) {
         version++;
         statuses.put(server, status);
@@ -242,14 +243,17 @@
         }
     }
 
-    /** Changes the address; calls that are open at the old one are closed 1.5 s later. */
+    /**
+     * Changes the address of discovery; calls that are open at the old address are closed 1.5 s
+     * later.
+     */
     void changeAddress() {
         port++;
         List<OpenCall> old = List.copyOf(calls.values());
         queue.scheduleAfter(OLD_ADDRESS_CLOSE_DELAY_US, () -> old.forEach(c -> c.close("moved")));
     }
 
-    /** Completes the record at the end of the run with calls and outages that are still open. */
+    /** Adds the calls and the outage that are still open at the end of the run to the record. */
     void completeRecord() {
         List.copyOf(calls.values()).forEach(OpenCall::recordEnd);
         if (mode == Mode.DOWN) {
@@ -291,7 +295,7 @@
         }
     }
 
-    /** Schedules an event after the time that the call takes to arrive and the given delay. */
+    /** Schedules an event after the network delay of a call plus the given delay. */
     private void scheduleAfter(long delayUs, Runnable event) {
         queue.scheduleAfter(NETWORK_DELAY_US + delayUs, event);
     }
@@ -350,7 +354,7 @@
         }
     }
 
-    /** Writes the first of the changes that are pending on a watch. */
+    /** Writes the oldest version that is still to be written on a watch. */
     private void writePendingVersion(OpenCall call) {
         Long pending = call.pendingVersions.poll();
         if (pending != null && call.canWrite()) {
@@ -383,7 +387,10 @@
 
     // ---- messages
 
-    /** Returns the list of a version; some messages omit draining servers. */
+    /**
+     * Returns a message with the whole list of a version; some of these messages omit draining
+     * servers.
+     */
     private String listMessage(long listVersion) {
         boolean omitDraining = staleLists || random.nextBoolean();
         List<String> entries = new ArrayList<>();
@@ -398,12 +405,12 @@
         return formatMessage(listVersion, true, entries);
     }
 
-    /** Returns all changes after a version. */
+    /** Returns a message with all changes after a version. */
     private String changesMessage(long after) {
         return changesMessage(after, version);
     }
 
-    /** Returns the changes after a version up to another. */
+    /** Returns a message with the changes after one version, up to and including another. */
     private String changesMessage(long after, long upTo) {
         List<String> entries = new ArrayList<>();
         Map<String, String> current = history.get((int) upTo);
--- a/src/main/java/passhatch/lab/drain/DrainChecker.java
+++ b/src/main/java/passhatch/lab/drain/DrainChecker.java
@@ -14,59 +14,73 @@
 
 /**
  * Finds requests that were sent to a draining or removed server after the drain grace. The time at
- * which a proxy is deemed notified of a change follows from the specification alone: the earliest
- * time that any of its rules gives. The checker is independent of the proxy's implementation, and
- * the same record always gives the same result.
+ * which a proxy is deemed notified of a change is the earliest time that any rule of the
+ * specification gives. The checker is independent of the proxy's implementation, and the same
+ * record always gives the same result.
  */
 public final class DrainChecker {
 
-    /** A proxy is deemed notified of a change no later than this after discovery has it. */
+    /**
+     * A proxy is deemed notified of a change no later than this after discovery has the change and
+     * is reachable.
+     */
     private static final long NOTIFY_TIMEOUT_US = 6_000_000;
 
     /**
-     * A proxy is deemed notified of a change that its watch misses this long after the watch fell
-     * silent.
+     * Time from the moment a watch falls silent until its proxy is deemed notified of the changes
+     * that the watch misses.
      */
     private static final long SILENT_WATCH_NOTIFY_TIMEOUT_US = 6_000_000;
 
     /**
-     * A proxy is deemed notified of all that discovery has this long after the signal that
-     * discovery's address has changed.
+     * Time from the signal that discovery's address has changed until the proxy is deemed notified
+     * of all changes that discovery has.
      */
     private static final long ADDRESS_CHANGE_NOTIFY_TIMEOUT_US = 4_000_000;
 
-    /** After a failed call a proxy may use its list for this many ask intervals. */
+    /** Number of ask intervals for which a proxy may use its list after a failed call. */
     private static final long MAX_ASK_INTERVALS_AFTER_FAILED_CALL = 4;
 
     /** A rule of the specification by which a proxy is deemed notified of a change. */
     public enum NotificationRule {
         /** The change was written on a watch or in a response, whether the proxy read it or not. */
         WRITTEN,
-        /** 6 s after discovery had the change and was reachable, whatever else failed. */
+        /**
+         * A proxy is deemed notified 6 s after discovery had the change and was reachable, whatever
+         * else failed.
+         */
         REACHABLE,
-        /** 6 s after the watch that misses the change fell silent, but not before the change. */
+        /**
+         * A proxy is deemed notified 6 s after the watch that misses the change fell silent, but
+         * not before the change.
+         */
         SILENT_WATCH,
         /**
-         * Without a watch: one ask interval after the change or after the last call, whichever is
-         * later; four ask intervals if that call failed.
+         * A proxy without a watch is deemed notified one ask interval after the change or after its
+         * last call, whichever is later; four ask intervals if that call failed.
          */
         ASKING_TIME,
         /**
-         * 4 s after the signal that discovery's address has changed, or 4 s after a change that was
-         * made within 4 s of that signal.
+         * A proxy is deemed notified 4 s after the signal that discovery's address has changed, or
+         * 4 s after a change that was made within 4 s of that signal.
          */
         MOVED,
-        /** Lists are pushed: at once, or at the end of an outage of discovery. */
+        /**
+         * If lists are pushed, a proxy is deemed notified at once, or at the end of an outage of
+         * discovery.
+         */
         PUSHED
     }
 
-    /** The time at which a proxy is deemed notified of a change, and the rule that gives it. */
+    /**
+     * The time at which a proxy is deemed notified of a change, and the rule that gives this time.
+     */
     private record Notification(long atUs, NotificationRule rule) {}
 
     /**
      * A request that was sent after the drain grace.
      *
-     * @param change the change that took its server out of use
+     * @param change the change that took the server out of use
      * @param notifiedUs when the proxy was deemed notified of that change
      * @param rule the rule that gives this time
      */
@@ -94,15 +108,18 @@
         }
     }
 
-    /** Returns all requests of the record that were sent too late, in their order. */
+    /**
+     * Returns all requests of the record that were sent after the drain grace, in the order of
+     * their times.
+     */
     public static List<LateSend> check(DrainRecord record) {
         return new DrainChecker(record).findLateSends();
     }
 
     /**
-     * Counts, for each proxy of the record, the changes that took a server out of use and of which
-     * the proxy was deemed notified before they were written to it, or although they never were. A
-     * run without any such change does not exercise the rule.
+     * Counts how often a proxy was deemed notified that a server was taken out of use before
+     * discovery wrote that change to it. Changes that were never written are included, and a change
+     * counts once for each such proxy. A run without any such change does not exercise the rule.
      */
     public static int countNotifiedBeforeWritten(DrainRecord record) {
         DrainChecker checker = new DrainChecker(record);
@@ -133,7 +150,10 @@
         return late;
     }
 
-    /** Returns the change since which the server may not be used; null if it may be used. */
+    /**
+     * Returns the change since which the request's server may not be used; null if the server may
+     * be used.
+     */
     private Change findOutOfUseChange(Send send) {
         Change since = null;
         for (Change change : changesByServer.getOrDefault(send.server(), List.of())) {
@@ -149,7 +169,10 @@
         return since;
     }
 
-    /** Returns the earliest notification that any rule gives. */
+    /**
+     * Returns the earliest time at which any rule deems a proxy notified of a change, with that
+     * rule.
+     */
     private Notification findNotification(Change change, String proxy) {
         long reachableUs = reachableFromUs(change.atUs());
         Notification earliest =
@@ -224,8 +247,8 @@
     }
 
     /**
-     * Returns when a proxy without a watch is deemed notified; the ask interval counts from the
-     * change or from the proxy's last call, whichever is later.
+     * Returns when a proxy without a watch is deemed notified of a change. The ask interval starts
+     * at the change or at the proxy's last call, whichever is later.
      */
     private long askIntervalNotifiedUs(Change change, String proxy) {
         long askIntervalUs = record.rules.askEveryUs();
@@ -251,9 +274,10 @@
     }
 
     /**
-     * Returns when the proxy is deemed notified because of an address change. Each signal counts by
-     * itself: 4 s after it for all that discovery has by then, and 4 s after the change for a
-     * change made within 4 s of the signal.
+     * Returns when the proxy is deemed notified of a change because discovery's address has
+     * changed. Each signal counts by itself: for a change made before the signal the time is 4 s
+     * after the signal, and for a change made within 4 s after the signal it is 4 s after the
+     * change.
      */
     private long addressChangeNotifiedUs(Change change, String proxy) {
         for (AddressChange signal : record.addressChanges) {
--- a/src/main/java/passhatch/lab/drain/DrainRecord.java
+++ b/src/main/java/passhatch/lab/drain/DrainRecord.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The events of one run as discovery, the platform and the backends recorded them, each on its own.
- * All times are microseconds of one clock. The entries of each type are in the order of their
- * times, except calls.
+ * The events of one run as discovery, the platform and the backends recorded them independently of
+ * each other. All times are microseconds of one clock. The entries of each type are in the order of
+ * their times, except calls.
  */
 public final class DrainRecord {
 
@@ -21,7 +21,7 @@
     public record Rules(boolean pushed, long graceUs, long askEveryUs) {}
 
     /**
-     * Discovery's list got a new version.
+     * A change of one server in discovery's list, which gave the list a new version.
      *
      * @param up whether the server may be used from this version on
      */
@@ -30,7 +30,10 @@
     /** A period in which discovery was unreachable. */
     public record Outage(long fromUs, long untilUs) {}
 
-    /** All changes up to a version were written to a proxy, whether they arrived or not. */
+    /**
+     * The time at which discovery had written all changes up to a version to a proxy, whether they
+     * arrived or not.
+     */
     public record WrittenVersion(long atUs, String proxy, long version) {}
 
     /**
@@ -38,9 +41,9 @@
      *
      * @param startedUs when it was started
      * @param responseUs when its response began; {@link #NEVER} if it got none
-     * @param silentFromUs when its watch fell silent; {@link #NEVER} if it did not
+     * @param silentFromUs when discovery stopped writing on it; {@link #NEVER} if discovery did not
      * @param endedUs when either side ended it; {@link #NEVER} while it is open
-     * @param failed whether the connection was refused or the call rejected
+     * @param failed whether the connection was refused or discovery rejected the call
      */
     public record Call(
             String proxy,
@@ -50,10 +53,10 @@
             long endedUs,
             boolean failed) {}
 
-    /** A proxy was signalled that discovery has another address. */
+    /** A signal to a proxy that discovery has another address. */
     public record AddressChange(long atUs, String proxy) {}
 
-    /** The first byte of a request was sent to a server. */
+    /** The sending of the first byte of a request to a server. */
     public record Send(long atUs, String proxy, String server) {}
 
     /** The time of an event that has not happened. */
--- a/src/main/java/passhatch/lab/drain/DrainSimulation.java
+++ b/src/main/java/passhatch/lab/drain/DrainSimulation.java
@@ -19,7 +19,9 @@
  */
 final class DrainSimulation {
 
-    /** Time of the clock at which a run starts; not zero, which elsewhere means long ago. */
+    /**
+     * Simulated time at the start of a run. It is not 0, because a time of 0 stands for long ago.
+     */
     private static final long START_US = 1_000_000_000_000L;
 
     private static final long MAX_ACCEPT_US = 30_000_000;
@@ -31,9 +33,10 @@
     /**
      * The result of a run.
      *
-     * @param lateSends requests that were sent too late
-     * @param notifiedBeforeWritten number of changes that took a server out of use and of which the
-     *     proxy was deemed notified before they were written to it, or although they never were
+     * @param lateSends requests that were sent after the drain grace
+     * @param notifiedBeforeWritten number of times that the proxy was deemed notified that a server
+     *     was taken out of use before discovery wrote that change to it; includes changes that were
+     *     never written
      * @param requests number of requests of clients
      * @param sent number of attempts that were sent to servers
      */
@@ -46,9 +49,9 @@
 
     /** What a draining server does with new requests. */
     enum DrainBehavior {
-        /** Rejects them, as the protocol requires. */
+        /** The server rejects them, as the protocol requires. */
         TURNS_AWAY,
-        /** May go on accepting them, for up to 30 s. */
+        /** The server may go on accepting them for up to 30 s. */
         MAY_ACCEPT
     }
 
@@ -96,12 +99,12 @@
         this.loadRandom = seeds.stream("load");
     }
 
-    /** Simulates the run of a seed. */
+    /** Simulates one run with the given seed. */
     static RunResult simulate(long seed, DrainBehavior draining) {
         return simulate(seed, draining, line -> {});
     }
 
-    /** Simulates the run of a seed and writes a line for each event. */
+    /** Simulates one run with the given seed and writes a line for each event. */
     static RunResult simulate(long seed, DrainBehavior draining, Consumer<String> timeline) {
         return new DrainSimulation(seed, draining, timeline).run();
     }
@@ -140,7 +143,7 @@
         }
     }
 
-    /** Draws a time between 1 and below twice the mean. */
+    /** Draws a time in microseconds that is at least 1 and less than twice the mean. */
     private static long drawWithMean(UniformRandomProvider random, long meanUs) {
         return random.nextLong(1, 2 * meanUs);
     }
--- a/src/main/java/passhatch/lab/drain/ProxyModel.java
+++ b/src/main/java/passhatch/lab/drain/ProxyModel.java
@@ -41,7 +41,7 @@
     /** A timer fires no sooner than this after it was set. */
     private static final long MIN_TIMER_DELAY_US = 1_000;
 
-    /** A signal is handled within this time. */
+    /** Maximum time until a signal is handled. */
     private static final long MAX_SIGNAL_DELAY_US = 50_000;
 
     private static final long MAX_CONNECTION_DELAY_US = 1_500_000;
@@ -58,8 +58,9 @@
     private final Map<String, Integer> attempts = new HashMap<>();
 
     /**
-     * Events that wait while the process is paused: reads from discovery's connections, other
-     * reads, and timers, which run after all reads.
+     * The events that wait while the process is paused are in three queues: reads from the
+     * connections to discovery, reads from other connections, and timers. After the pause, timers
+     * run last.
      */
     private final ArrayDeque<Runnable> unreadFromDiscovery = new ArrayDeque<>();
 
@@ -68,7 +69,7 @@
     private final ArrayDeque<Runnable> pendingTimers = new ArrayDeque<>();
     private long pausedSinceUs = DrainRecord.NEVER;
 
-    /** Maximum time for which the bytes that are read now were unread. */
+    /** Maximum time for which bytes that are read now may have waited unread. */
     private long unreadUs;
 
     private boolean stalling;
@@ -95,14 +96,14 @@
         this.deadlineUs = scenario.deadlineUs();
     }
 
-    /** Starts the proxy with the list that it is given. */
-    void start(Scenario scenario, EndpointList known) {
+    /** Starts the proxy with a list that it knows from before. */
+    void start(Scenario scenario, EndpointList initialList) {
         balancer = new Logic(settings(scenario), random.nextLong(), this);
         watch =
                 new ListWatch(
                         new ListWatch.WatchConfig(
                                 discovery.address(),
-                                known,
+                                initialList,
                                 true,
                                 List.of("a"),
                                 List.of("m"),
@@ -111,7 +112,7 @@
                         new SimulatedTransport(),
                         this,
                         timeline);
-        balancer.serversChanged(queue.nowUs(), ListKind.REMEMBERED, known.servers());
+        balancer.serversChanged(queue.nowUs(), ListKind.REMEMBERED, initialList.servers());
     }
 
     private static Balancer.Settings settings(Scenario scenario) {
@@ -206,7 +207,10 @@
                 () -> balancer.request(queue.nowUs(), new Request(id, 0, 0, deadlineUs, 0, false)));
     }
 
-    /** Runs an event of a connection that is not to discovery, once the process is not paused. */
+    /**
+     * Runs an event of a connection that is not to discovery; if the process is paused, after the
+     * pause.
+     */
     private void runReadEvent(Runnable event) {
         if (isPaused()) {
             unreadFromOthers.add(event);
@@ -215,7 +219,7 @@
         }
     }
 
-    /** Runs an event of a connection to discovery, once the process is not paused. */
+    /** Runs an event of a connection to discovery; if the process is paused, after the pause. */
     private void runDiscoveryReadEvent(Runnable event) {
         if (isPaused()) {
             unreadFromDiscovery.add(event);
@@ -224,7 +228,7 @@
         }
     }
 
-    /** Runs an event of a timer, once the process is not paused. */
+    /** Runs an event of a timer; if the process is paused, after the pause. */
     private void runTimerEvent(Runnable event) {
         if (isPaused()) {
             pendingTimers.add(event);
@@ -341,8 +345,8 @@
     }
 
     /**
-     * Writes a request to its connection, which is established now, if the balancer still allows
-     * it; a stalled process writes it some time later.
+     * Writes a request to its connection, which has just been established, if the balancer still
+     * allows it. A stalled process writes the request some time after the balancer has allowed it.
      */
     private void write(String request, int attempt, String server) {
         if (!balancer.mayReach(queue.nowUs(), server)) {
@@ -386,8 +390,8 @@
     }
 
     /**
-     * Replaces the time that was requested before: the balancer requests another only if it is
-     * earlier.
+     * Schedules the balancer's timer in place of the one requested before: the balancer requests
+     * another time only if it is earlier.
      */
     @Override
     public void wakeAt(long atUs) {
--- a/src/main/java/passhatch/lab/drain/Scenario.java
+++ b/src/main/java/passhatch/lab/drain/Scenario.java
@@ -31,7 +31,10 @@
 
     private static final long SECOND_US = TimeUnit.SECONDS.toMicros(1);
 
-    /** The age that a change had in a run whose watch ended instead of writing it. */
+    /**
+     * Maximum delay with which a watch writes a change. One recorded watch ended without having
+     * written a change that was this old.
+     */
     private static final long MAX_WATCH_DELAY_US = 2 * SECOND_US;
 
     static Scenario draw(Seeds seeds) {
--- a/src/main/java/passhatch/lab/drain/WatchCommand.java
+++ b/src/main/java/passhatch/lab/drain/WatchCommand.java
@@ -20,7 +20,7 @@
                         + " and checks each request against the drain rule.")
 public final class WatchCommand implements Callable<Integer> {
 
-    /** Runs between two lines of progress. */
+    /** Number of runs between two lines of progress. */
     private static final long PROGRESS_INTERVAL = 100_000;
 
     private static final int PERCENT = 100;
@@ -51,8 +51,8 @@
     private final LongAdder brokenRuns = new LongAdder();
 
     /**
-     * Runs in which the proxy was deemed notified of a change before it was written, or although it
-     * never was.
+     * Number of runs in which the proxy was deemed notified of a change before discovery wrote it
+     * to the proxy, or although discovery never wrote it.
      */
     private final LongAdder effectiveRuns = new LongAdder();
 
--- a/src/main/java/passhatch/lab/duty/DutyModel.java
+++ b/src/main/java/passhatch/lab/duty/DutyModel.java
@@ -35,10 +35,13 @@
     private static final DutySettings SETTINGS =
             new DutySettings(SENDER_NAMES.subList(0, VOTERS), 1, LEASE_US, 0);
 
-    /** Draws the shortest wait; longer waits result from the steps of the checker. */
+    /**
+     * Makes each candidate draw the shortest wait; longer waits result from the steps of the
+     * checker.
+     */
     private static final RandomGenerator ZERO_RANDOM = () -> 0;
 
-    // Step 0 advances the clock; the constants are the first steps of each of the other types.
+    // Step 0 advances the clock. Each constant is the number of the first step of another type.
     private static final int FIRST_TIMER_STEP = 1;
     private static final int FIRST_VOTER_CRASH_STEP = FIRST_TIMER_STEP + CANDIDATES;
     private static final int FIRST_CANDIDATE_CRASH_STEP = FIRST_VOTER_CRASH_STEP + VOTERS;
@@ -50,7 +53,8 @@
      * @param depth maximum number of steps
      * @param ticks maximum number of half leases that pass
      * @param crashes maximum number of crashes of voters and candidates
-     * @param copies maximum number of messages that arrive and stay in flight
+     * @param copies maximum number of deliveries after which the message stays in flight and may
+     *     arrive again
      */
     record Bounds(int depth, int ticks, int crashes, int copies) {}
 
@@ -84,8 +88,7 @@
         for (int i = 0; i < CANDIDATES; i++) {
             startCandidate(i);
         }
-        // The last message of a former holder, which gives the duty up; it may arrive at any time
-        // or
+        // The last message of a former holder gives the duty up. It may arrive at any time or
         // never.
         inFlight.add(
                 new Envelope(
@@ -149,12 +152,15 @@
         return candidate + ":" + incarnations[candidate];
     }
 
-    /** Returns the number of steps; a step is a number from 0 to below it. */
+    /** Returns the number of steps that are possible now; they are numbered from 0. */
     int stepCount() {
         return FIRST_DELIVERY_STEP + 2 * inFlight.size();
     }
 
-    /** Takes a step; returns false if it is not due, changes nothing or exceeds a bound. */
+    /**
+     * Takes the step with the given number; returns false if the step is not due, changes nothing
+     * or exceeds a bound.
+     */
     boolean step(int step) {
         if (step < FIRST_TIMER_STEP) {
             nowUs += TICK_US;
@@ -203,7 +209,7 @@
         }
     }
 
-    /** Returns the property that does not hold, or null. */
+    /** Returns a description of the property that was violated, or null if there is none. */
     String violation() {
         return violation;
     }
@@ -285,7 +291,7 @@
                 .toString();
     }
 
-    /** Returns the replies of a voter to the last request of each candidate. */
+    /** Formats the replies of a voter to the last request of each candidate. */
     private String formatReplies(int voter, int[] order) {
         StringBuilder text = new StringBuilder();
         for (int i : order) {
@@ -294,7 +300,7 @@
         return text.toString();
     }
 
-    /** Replaces the candidate's number in a holder by its index in the given order. */
+    /** Replaces the candidate's number in the name of a holder by its index in the given order. */
     private static String canonicalHolder(String holder, int[] order) {
         int candidate = holder.charAt(0) - '0';
         return (order[0] == candidate ? 0 : 1) + holder.substring(1);
--- a/src/main/java/passhatch/lab/duty/DutySim.java
+++ b/src/main/java/passhatch/lab/duty/DutySim.java
@@ -31,7 +31,7 @@
     private static final long LEASE_US = 4 * SECOND_US;
     private static final long RUN_US = 300 * SECOND_US;
 
-    /** No fault starts in this last part of a run. */
+    /** Length of the last part of a run, in which no fault starts. */
     private static final long FAULT_FREE_US = 60 * SECOND_US;
 
     private static final long ACT_INTERVAL_US = 100_000;
@@ -57,12 +57,12 @@
      * @param violation the property that did not hold, or null
      * @param holderChanges number of changes of the holder
      * @param gapsUs how long the duty had no holder each time, in microseconds
-     * @param overlaps number of events after which two candidates could act; 0 as long as clocks
-     *     keep to the bound
+     * @param overlaps number of events after which two candidates could act; 0 as long as no clock
+     *     drifts more than is allowed
      */
     public record RunResult(String violation, int holderChanges, List<Long> gapsUs, int overlaps) {}
 
-    /** A process with its clock. */
+    /** A simulated process with its clock. */
     private final class Host {
         private final double clockRate;
         private boolean paused;
@@ -76,7 +76,7 @@
             return (long) (nowUs() * clockRate);
         }
 
-        /** Runs an action on this host, once it is not paused. */
+        /** Runs an action on this host; if the host is paused, after the pause. */
         void run(Runnable action) {
             if (paused) {
                 pendingActions.add(action);
@@ -111,8 +111,8 @@
         }
 
         /**
-         * Asks the other voters every half second for the terms it has lost, while it does not
-         * vote.
+         * Asks the other voters every half second for the terms that this voter has lost, until it
+         * votes.
          */
         void recall() {
             Voter asking = voter;
@@ -146,7 +146,8 @@
         }
 
         /**
-         * Restarts with an empty disk, but only while all voters vote and so remember the terms.
+         * Restarts this voter with an empty disk, but only if all voters vote, so that the others
+         * remember the terms.
          */
         void startWithoutDisk() {
             if (voters.values().stream().allMatch(v -> v.voter.isVoting())) {
@@ -156,7 +157,10 @@
         }
     }
 
-    /** A candidate; null as its state machine means that the process has stopped. */
+    /**
+     * The process of a candidate; {@code candidate}, its state machine, is null while the process
+     * is stopped.
+     */
     private final class CandidateNode implements DutyActions {
         private final int number;
         private final Host host;
@@ -238,7 +242,8 @@
         public void lost(long term) {}
 
         /**
-         * Checks the lease and sends an action, which arrives later; the host may pause in between.
+         * Checks the lease and sends an action to the fence, where it arrives later; the host may
+         * pause in between.
          */
         void act() {
             if (candidate != null && candidate.mayAct(host.localUs())) {
@@ -285,7 +290,7 @@
         return new Host(1 + (2 * random.nextDouble() - 1) * shape.realDrift());
     }
 
-    /** Simulates the run of a seed. */
+    /** Simulates one run with the given seed. */
     public static RunResult simulate(StateMachineFactory factory, Shape shape, long seed) {
         return new DutySim(factory, shape, seed).run();
     }
@@ -443,7 +448,9 @@
         }
     }
 
-    /** Gives the duty up in favour of a random candidate and competes for it again. */
+    /**
+     * Makes the holder give the duty up in favour of a random candidate and compete for it again.
+     */
     private void giveUp(CandidateNode holder) {
         holder.host.run(
                 () -> {
--- a/src/main/java/passhatch/lab/duty/StateMachineFactory.java
+++ b/src/main/java/passhatch/lab/duty/StateMachineFactory.java
@@ -23,8 +23,8 @@
             DutySettings settings,
             long nowUs,
             Collection<Promise> promises,
-            Predicate<Promise> disk) {
-        return new Voter(settings, nowUs, promises, disk);
+            Predicate<Promise> savePromise) {
+        return new Voter(settings, nowUs, promises, savePromise);
     }
 
     /** Creates a candidate of rank 0. */
--- a/src/main/java/passhatch/proxy/BackendRequests.java
+++ b/src/main/java/passhatch/proxy/BackendRequests.java
@@ -17,8 +17,8 @@
     private BackendRequests() {}
 
     /**
-     * Returns a client's request as it is sent to a backend; for a body that is streamed, only its
-     * head.
+     * Builds the request that forwards a client's request to a backend. If the body is streamed,
+     * the result is only the head of the request.
      *
      * @param timeLeftUs how long the proxy waits for the response, in microseconds
      */
@@ -54,7 +54,7 @@
         return message;
     }
 
-    /** Returns the request that asks a backend for its load. */
+    /** Builds the request that asks a backend for its load. */
     static HttpRequest buildProbe() {
         HttpRequest message =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/status/load");
--- a/src/main/java/passhatch/proxy/BackendTable.java
+++ b/src/main/java/passhatch/proxy/BackendTable.java
@@ -22,7 +22,7 @@
     private final Map<String, Entry> byName = new HashMap<>();
 
     /**
-     * Applies a whole list or changes to it.
+     * Applies a message from discovery: the whole list, or changes to it.
      *
      * @return former addresses of the backends whose address has changed
      */
@@ -39,12 +39,12 @@
         }
         List<InetSocketAddress> formerAddresses = new ArrayList<>();
         for (EndpointList.Endpoint endpoint : list.endpoints()) {
-            Entry before =
+            Entry previous =
                     byName.put(
                             endpoint.server().id(),
                             new Entry(endpoint.address(), endpoint.server().status()));
-            if (before != null && !before.address().equals(endpoint.address())) {
-                formerAddresses.add(before.address());
+            if (previous != null && !previous.address().equals(endpoint.address())) {
+                formerAddresses.add(previous.address());
             }
         }
         return formerAddresses;
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Whether a new request may be sent to this backend at this address; false if the backend
-     * drains, was removed or has another address now.
+     * Returns whether a new request may be sent to this backend at this address; false if the
+     * backend drains, was removed or has another address now.
      */
     boolean isUpAt(InetSocketAddress address, String name) {
         Entry backend = byName.get(name);
--- a/src/main/java/passhatch/proxy/Exchange.java
+++ b/src/main/java/passhatch/proxy/Exchange.java
@@ -8,22 +8,25 @@
 import passhatch.proxy.client.ProxyRequest;
 import passhatch.proxy.client.RequestHandler.Responder;
 
-/** A request from its arrival to the end of its last attempt. */
+/** The state of a client's request, from its arrival to the end of its last attempt. */
 final class Exchange {
     final ProxyRequest request;
     final Responder responder;
     final List<Attempt> attempts = new ArrayList<>(2);
 
-    /** When the response is due; unknown until the whole request has been received. */
+    /**
+     * Time at which the response is due; {@code Long.MAX_VALUE} until the whole request has been
+     * received.
+     */
     long deadlineUs = Long.MAX_VALUE;
 
     Future<?> fallbackTimer;
     boolean uploading;
 
-    /** The final response has been chosen. */
+    /** Whether the final response has been chosen. */
     boolean responseChosen;
 
-    /** The final response has been sent, or the client has left. */
+    /** Whether the final response has been sent, or the client has left. */
     boolean completed;
 
     Exchange(ProxyRequest request, Responder responder) {
@@ -36,18 +39,24 @@
                 .anyMatch(attempt -> attempt.outcome == null || !attempt.outcome.provesNotRun);
     }
 
-    /** One attempt to send the request to a backend. Its handle is null if it was never sent. */
+    /**
+     * One attempt to send the request to a backend. {@code handle} is null if the request was never
+     * sent.
+     */
     static final class Attempt {
         final int number;
         final String server;
 
-        /** When it was sent; for a streamed body, when the body had been written completely. */
+        /**
+         * Time at which the request was sent; for a streamed body, the time at which the body had
+         * been written completely.
+         */
         long sentAtUs;
 
-        /** When the whole message had been written; 0 before that. */
+        /** Time at which the whole request had been written; 0 before that. */
         long writtenAtUs;
 
-        /** The response is forwarded to the client as it arrives. */
+        /** Whether the response is forwarded to the client as it arrives. */
         boolean streaming;
 
         BackendPool.Handle handle;
@@ -60,8 +69,8 @@
         }
 
         /**
-         * Whether the message was written completely and its outcome does not prove that it never
-         * ran.
+         * Returns whether the backend may have run the request: it was written completely, and the
+         * outcome does not prove that it never ran.
          */
         boolean mayHaveRun() {
             return writtenAtUs > 0 && (outcome == null || !outcome.provesNotRun);
--- a/src/main/java/passhatch/proxy/ProcessHandover.java
+++ b/src/main/java/passhatch/proxy/ProcessHandover.java
@@ -8,8 +8,8 @@
 
 /**
  * Tracks the processes of this proxy: during an upgrade the new process starts beside the old one,
- * and both share one folder. The newest process writes its process id there at its start, and into
- * a second file once it is ready.
+ * and both share one folder. The newest process writes its process id into one file of that folder
+ * when it starts, and into a second file once it is ready.
  */
 final class ProcessHandover {
 
@@ -33,8 +33,8 @@
         try {
             Files.writeString(file, Long.toString(ownPid));
         } catch (IOException failure) {
-            // This process serves anyway; the older one behaves at its shutdown as if it were
-            // alone.
+            // This process serves anyway. The older process does not see it and shuts down as if no
+            // newer one were running.
             log.write(
                     "cannot write the process id, other processes will not notice this one: "
                             + failure);
@@ -49,7 +49,10 @@
         }
     }
 
-    /** Checks again whether another process of this proxy is running. */
+    /**
+     * Returns whether another process of this proxy is running. Looks for one again if none was
+     * found before.
+     */
     boolean otherProcessRuns() {
         if (otherProcess.isEmpty()) {
             readOtherProcess();
@@ -58,12 +61,15 @@
         return otherProcess.isPresent();
     }
 
-    /** Whether a newer process is running, ready or not. */
+    /** Returns whether a newer process of this proxy is running, ready or not. */
     boolean newerProcessRuns() {
         return readProcess(pidFile).isPresent();
     }
 
-    /** Whether the newer process is ready, so that this one may leave all requests to it. */
+    /**
+     * Returns whether a newer process of this proxy is ready, so that this process may leave all
+     * requests to it.
+     */
     boolean newerProcessIsReady() {
         Optional<ProcessHandle> newerProcess = readProcess(pidFile);
         return newerProcess.isPresent() && newerProcess.equals(readProcess(readyFile));
--- a/src/main/java/passhatch/proxy/ProxyConfig.java
+++ b/src/main/java/passhatch/proxy/ProxyConfig.java
@@ -21,12 +21,12 @@
  * @param tenantNames names of the tenants, by index; empty if there are none
  * @param zoneNames names of the zones, by index
  * @param modelNames names of the machine types, by index
- * @param connectTimeoutUs an attempt to connect that takes longer than this has failed
+ * @param connectTimeoutUs maximum time to connect to a backend, in microseconds
  * @param maxDescriptors maximum number of file descriptors of all processes of this proxy together
- * @param memoryBytes maximum memory of all processes of this proxy together
- * @param initialList the list of servers as this proxy last had it
- * @param controlAddress the address for operators' commands, or null
- * @param folder shared by the processes of this proxy, or null
+ * @param memoryBytes maximum memory of all processes of this proxy together, in bytes
+ * @param initialList the list of servers that this proxy last received; empty if none is configured
+ * @param controlAddress the address for operators' commands, or null if there is none
+ * @param folder the folder that the processes of this proxy share, or null
  */
 record ProxyConfig(
         String name,
@@ -49,7 +49,7 @@
     private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
     private static final long DEFAULT_MEMORY_MB = 144;
 
-    /** The configuration is invalid; the message is a single line. */
+    /** Thrown if the configuration is invalid; its message is a single line. */
     static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -58,7 +58,9 @@
         }
     }
 
-    /** Reads the environment variables and the file that PROXY_CONFIG names. */
+    /**
+     * Reads the configuration from the environment variables and the file that PROXY_CONFIG names.
+     */
     static ProxyConfig read(Map<String, String> env) throws InvalidConfigException {
         String name = requireVariable(env, "PROXY_NAME");
         InetSocketAddress listenAddress =
@@ -107,7 +109,9 @@
                 folder(env.get("TMPDIR")));
     }
 
-    /** Without an address the control server is not started. */
+    /**
+     * Returns the control address, or null if none is set; the control server is then not started.
+     */
     private static InetSocketAddress controlAddress(String variable, Object configured)
             throws InvalidConfigException {
         if (variable != null && !variable.isBlank()) {
@@ -122,7 +126,7 @@
         return name == null || name.isBlank() ? null : Path.of(name);
     }
 
-    /** Reads the address of discovery from the configuration file as it is now. */
+    /** Reads the current address of discovery from the configuration file. */
     static InetSocketAddress readDiscoveryAddress(Map<String, String> env)
             throws InvalidConfigException {
         if (readFile(requireVariable(env, "PROXY_CONFIG")).get("discovery")
@@ -163,7 +167,7 @@
         }
     }
 
-    /** The seed is a text of sixteen hexadecimal digits or a number. */
+    /** Parses the seed, which is a number or a text of sixteen hexadecimal digits. */
     private static long seed(Object seed) throws InvalidConfigException {
         try {
             return seed instanceof Number n
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -45,38 +45,41 @@
 final class ProxyLoop implements Actions, ListWatch.Listener, RequestHandler {
 
     /**
-     * A response is due this long before the client's deadline, for the time on the network and for
-     * delays of the event loop. For a short deadline only a fraction of it is kept back.
+     * A response is due this long before the client's deadline, to allow for the time on the
+     * network and for delays of the event loop. For a short deadline the margin is only a fraction
+     * of the time that the client allows.
      */
     private static final long RESPONSE_MARGIN_US = 20_000;
 
     private static final long RESPONSE_MARGIN_DIVISOR = 8;
 
-    /** The allowance for stalls is at most the client's time divided by this. */
+    /** The allowance for stalls is at most the time that the client allows, divided by this. */
     private static final long STALL_ALLOWANCE_DIVISOR = 4;
 
     /**
-     * If the decision module has given no response at its due time, the proxy responds this much
-     * later.
+     * The proxy itself responds this long after a response was due if the decision module has given
+     * none.
      */
     private static final long FALLBACK_DELAY_US = 5_000;
 
     /**
-     * Timeout of a probe. A load report that took longer is out of date, and the module includes
-     * the time of each reply in the mean that it waits for.
+     * Timeout of a probe. A load report that took longer is out of date. It would also raise the
+     * mean reply time, which decides how long the decision module waits for probes.
      */
     private static final long PROBE_TIMEOUT_US = 50_000;
 
     /**
-     * The maximum time for a message to reach its server, with the handshake of a new connection.
+     * The maximum time for a message to reach its server, including the handshake of a new
+     * connection.
      */
     private static final long MAX_TRANSIT_US = 100_000;
 
-    /** A timer that is set now fires after the current pass of the event loop. */
+    /** Delay of a timer that fires only after the current pass of the event loop. */
     private static final long CATCH_UP_DELAY_MS = 1;
 
     /**
-     * An upload that takes longer than this never ends: the slowest clients send 64 kB per second.
+     * Maximum time of an upload. The slowest clients send 64 kB per second, so an upload that takes
+     * longer would never end.
      */
     private static final long MAX_UPLOAD_US = 600_000_000;
 
@@ -95,12 +98,12 @@
     private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
     private boolean dispatching;
 
-    /** The event loop was stalled and has not read from all connections since. */
+    /** Whether the event loop was stalled and has not read from all connections since then. */
     private boolean catchingUp;
 
     private boolean listReceived;
 
-    /** When requests are accepted although no list has been received. */
+    /** Time from which requests are accepted even if no list has been received. */
     private final long useInitialListAtUs;
 
     private int unansweredCount;
@@ -108,11 +111,12 @@
     /** The number of unanswered requests whose bodies are still being received. */
     private int uploadingCount;
 
-    /** Every request accepted from now on gets its response by this time. */
+    /** Time by which every request accepted from now on gets its response. */
     private long latestDeadlineUs = Long.MAX_VALUE;
 
     /**
-     * An event that the decision module is notified of; the exchange is null if it concerns none.
+     * An event of which the decision module is notified; {@code exchange} is null if the event does
+     * not concern a request.
      */
     private record Event(Exchange exchange, Runnable notification) {}
 
@@ -159,8 +163,8 @@
     }
 
     /**
-     * Whether a list of backends has been received since the start, or enough time has passed to
-     * use the initial list without it.
+     * Returns whether a list of backends has been received since the start, or enough time has
+     * passed to use the initial list without one.
      */
     @Override
     public boolean ready() {
@@ -192,7 +196,7 @@
                 balancer.hostsDown(clock.nowUs()));
     }
 
-    /** Continues with discovery at another address. */
+    /** Calls discovery at another address from now on. */
     void changeDiscoveryAddress(InetSocketAddress newAddress) {
         discovery.changeAddress(newAddress);
     }
@@ -327,8 +331,8 @@
 
     private void startDeadline(Exchange exchange, long unreadUs) {
         long nowUs = clock.nowUs();
-        // A stall cannot be predicted: after recent stalls the response is due that much sooner, if
-        // the deadline allows it.
+        // Stalls cannot be predicted, so after a recent stall the response is due sooner, to allow
+        // for another stall of that length. The deadline limits this allowance.
         long budgetUs = exchange.request.timeoutUs();
         long marginUs =
                 Math.min(RESPONSE_MARGIN_US, budgetUs / RESPONSE_MARGIN_DIVISOR)
@@ -465,7 +469,7 @@
     }
 
     /**
-     * Notifies the decision module of an event, after those before it. The module must not be
+     * Notifies the decision module of an event after all earlier events. The module must not be
      * called from within one of its own actions, so events that an action causes are queued until
      * the module has returned.
      */
@@ -493,9 +497,10 @@
     }
 
     /**
-     * Reports a stall to the module: messages of discovery may have arrived meanwhile and may not
-     * have been read before the next decision. They have been read once the event loop has polled
-     * all connections again, which is certain after two timers, of which the first sets the second.
+     * Reports a stall to the decision module, as messages from discovery may have arrived during
+     * the stall and may still be unread at the next decision. They have been read once the event
+     * loop has polled all connections again. That is certain after two timers in succession, where
+     * the first one sets the second.
      */
     private void reportStall() {
         long nowUs = clock.nowUs();
@@ -536,8 +541,8 @@
         exchange.attempts.add(attempt);
         log.trace("attempt", id, server);
         RequestBody body = exchange.request.body();
-        // The deadline of an upload starts when its body is complete; until then its progress is
-        // monitored.
+        // While the body is being uploaded, the deadline has not started yet; the progress of the
+        // upload is monitored instead.
         long timeLeftUs = exchange.uploading ? MAX_UPLOAD_US : exchange.deadlineUs - nowUs;
         long attemptTimeoutUs =
                 timeoutUs == 0 || exchange.uploading ? timeLeftUs : Math.min(timeoutUs, timeLeftUs);
@@ -598,16 +603,18 @@
     }
 
     /**
-     * Guards against a connection that is established late: nothing is sent to a backend that
-     * drains or was removed meanwhile, or that may have been.
+     * Returns whether a request may still be sent to a backend. The connection may have been
+     * established late, and by then the backend may be draining or removed, or the list may be too
+     * old to exclude that.
      */
     private boolean isUpAt(InetSocketAddress backend, String server) {
         return backends.isUpAt(backend, server) && balancer.mayReach(clock.nowUs(), server);
     }
 
     /**
-     * Guards against a repeat of a keyed request that its server would no longer recognize as a
-     * duplicate: the module asks for it in time, but the connection may be established after that.
+     * Returns whether servers would still recognize a repeat of the request as a duplicate, which
+     * matters for keyed requests only. The decision module orders a repeat in time, but its
+     * connection may be established too late.
      */
     private boolean mayStillRepeat(Exchange exchange) {
         RequestClass requestClass = classes.get(exchange.request.requestClass());
@@ -742,7 +749,10 @@
         }
     }
 
-    /** Completes a request. Every request ends here; the result is null if the client has left. */
+    /**
+     * Completes a request. Every request is completed by this method; {@code result} is null if the
+     * client has left.
+     */
     private void complete(Exchange exchange, ProxyMetrics.RequestResult result) {
         exchange.completed = true;
         log.trace("ended", exchange.request.id(), result);
@@ -754,7 +764,10 @@
         unansweredCount--;
     }
 
-    /** Removes a request once its last attempt has ended, as the module is notified of that too. */
+    /**
+     * Removes a completed request once its last attempt has ended, as the decision module is
+     * notified of the end of every attempt.
+     */
     private void removeIfCompleted(Exchange exchange) {
         if (exchange.completed
                 && exchange.attempts.stream().allMatch(attempt -> attempt.outcome != null)) {
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -33,20 +33,26 @@
 
     private static final long MAINTENANCE_INTERVAL_MS = 250;
 
-    /** Some backends send a second response to one request, some milliseconds after the first. */
+    /**
+     * Delay before a connection to a backend is reused, if a backend recently sent unsolicited
+     * data: some backends send a second response to one request, some milliseconds after the first.
+     */
     private static final long CONNECTION_REUSE_DELAY_US = 20_000;
 
     /**
-     * While an older process serves, a new one accepts a part of the new connections for this long
-     * before it reports itself ready: it is slow at first, and the whole traffic at once would
-     * build a queue.
+     * Time for which a new process accepts only a part of the new connections before it reports
+     * itself ready, if an older process still serves. A new process is slow at first, and the whole
+     * traffic at once would build a queue.
      */
     private static final long WARM_UP_MS = 2_000;
 
     /** How often a process that shuts down checks whether all requests are completed. */
     private static final long COMPLETION_CHECK_INTERVAL_MS = 20;
 
-    /** Buffered bodies may use this fraction of the configured memory; the JVM needs most of it. */
+    /**
+     * The configured memory divided by this is the limit for buffered bodies; the JVM needs most of
+     * the memory.
+     */
     private static final long BUFFER_MEMORY_DIVISOR = 36;
 
     /** Exit status of a process whose event loop has died. */
@@ -73,12 +79,14 @@
     /** Null if the platform provides no folder for the processes of this proxy. */
     private ProcessHandover handover;
 
-    /** False while the whole traffic of an older process would arrive at once. */
+    /** False during the warm-up of a process that was started while an older one serves. */
     private boolean warmedUp;
 
     private InetSocketAddress address;
 
-    /** The proxy could not listen, so there is nothing to shut down in an orderly way. */
+    /**
+     * Whether the proxy could not listen, so that there is nothing to shut down in an orderly way.
+     */
     private volatile boolean listenFailed;
 
     private ProxyServer(ProxyConfig config, EventLog log) {
@@ -97,8 +105,8 @@
     }
 
     /**
-     * Runs a proxy until the process receives SIGTERM. Returns only if the proxy cannot start, with
-     * the exit status.
+     * Runs a proxy until the process receives SIGTERM. If the proxy cannot start, returns the exit
+     * status.
      */
     public static int serve(Map<String, String> env, PrintStream err) throws InterruptedException {
         ProxyServer server;
@@ -108,8 +116,8 @@
             NettyLog.redirectTo(log);
             server = create(config, log, Logic::new);
             server.exitWhenLoopDies();
-            // A signal may arrive while the first connection is accepted, so the handlers are set
-            // before.
+            // The signal handlers are set before the proxy listens: a signal may arrive while the
+            // first connection is accepted.
             if (!ReloadSignal.handle(() -> server.reload(env))) {
                 server.log.write(
                         "SIGHUP is ignored since the start: the configuration cannot be reloaded");
@@ -125,7 +133,8 @@
     }
 
     /**
-     * Ends the process if its event loop dies, as it would otherwise stay without serving requests.
+     * Ends the process if its event loop dies, as the process would otherwise stay alive without
+     * serving requests.
      */
     private void exitWhenLoopDies() {
         Thread.UncaughtExceptionHandler exit =
@@ -239,7 +248,10 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Schedules each tick from the one before, so that a stall is counted once. */
+    /**
+     * Schedules the next tick of the stall detector. Each tick schedules the one after it, so that
+     * a stall is counted only once.
+     */
     private void scheduleTick(Clock clock, StallDetector stallDetector) {
         loop.schedule(
                 () -> {
@@ -258,8 +270,8 @@
     }
 
     /**
-     * Whether this process is ready to serve. An older process may shut down as soon as this
-     * returns true for the first time.
+     * Returns whether this process is ready to serve, and records that in the shared folder. An
+     * older process may shut down as soon as this method returns true for the first time.
      */
     private boolean checkReady() {
         boolean ready = frontend.ready() && warmedUp;
@@ -278,8 +290,8 @@
     }
 
     /**
-     * The limit applies to all processes of this proxy together, and during a handover there are
-     * two.
+     * Sets the descriptor limit of this process. The configured limit applies to all processes of
+     * this proxy together, and during a handover there are two.
      */
     private void updateDescriptorLimit() {
         descriptorLimits.setLimit(otherProcessRuns() ? maxDescriptors / 2 : maxDescriptors);
@@ -290,7 +302,8 @@
     }
 
     /**
-     * Describes the requests, bytes and connections that are still held; empty if there are none.
+     * Returns a text that lists the requests, buffered bytes and connections that this proxy still
+     * holds; empty if there are none.
      */
     String unreleasedResources() throws InterruptedException {
         StringBuilder text = new StringBuilder();
@@ -317,7 +330,7 @@
         return text.toString();
     }
 
-    /** Whether the event loop has begun to shut down, in an orderly way or not. */
+    /** Returns whether the event loop has begun to shut down, in an orderly way or not. */
     boolean isShuttingDown() {
         return loop.isShuttingDown();
     }
@@ -330,9 +343,9 @@
     /**
      * Shuts down in an orderly way: every accepted request gets its response. If a newer process is
      * ready, this one accepts the connections that wait at its listener and closes each client
-     * connection with its response. Otherwise, also if a newer process exists but is not ready,
-     * connections are accepted for a little longer, and open ones are served until shortly before
-     * SIGKILL may come.
+     * connection with its response. Otherwise, even if a newer process exists but is not ready,
+     * this process accepts connections for a little longer and serves open ones until shortly
+     * before SIGKILL may come.
      */
     void shutDown() {
         loop.execute(
@@ -365,8 +378,8 @@
     }
 
     /**
-     * Terminates once all requests are completed; a response that takes long to send may continue
-     * until SIGKILL.
+     * Terminates the proxy once all requests are completed; a response that takes long to send may
+     * continue until SIGKILL.
      */
     private void terminateOnceCompleted() {
         frontend.closeIdleConnections();
@@ -383,9 +396,9 @@
     }
 
     /**
-     * Reads the configuration again; only the address of discovery may change. Synchronized because
-     * each SIGHUP is handled on a thread of its own, and one that has read the file before a change
-     * must not take effect after one that has read it later.
+     * Reads the configuration again; only the address of discovery may change. This method is
+     * synchronized because each SIGHUP is handled on its own thread, and an address that was read
+     * earlier must not replace one that was read later.
      */
     synchronized void reload(Map<String, String> env) {
         InetSocketAddress discoveryAddress;
@@ -404,12 +417,12 @@
         loop.submit(() -> {}).sync();
     }
 
-    /** Waits until the proxy has shut down. */
+    /** Waits until the proxy has shut down; returns false if the timeout expires before. */
     boolean awaitTermination(long timeoutMs) throws InterruptedException {
         return terminated.await(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Terminates at once, without waiting for requests. */
+    /** Terminates the proxy at once, without waiting for requests. */
     void stopNow() {
         if (!loop.isShuttingDown()) {
             loop.execute(this::terminate);
--- a/src/main/java/passhatch/proxy/Rehearsal.java
+++ b/src/main/java/passhatch/proxy/Rehearsal.java
@@ -21,9 +21,9 @@
 import passhatch.proxy.flow.RequestBody;
 
 /**
- * Runs a proxy that serves a few requests of its own on loopback and then ends. The build runs it
- * so that the JVM can archive the classes needed for serving: with half a core, most of the
- * start-up time is spent on loading those.
+ * Starts a proxy on loopback, sends it a few requests and stops it. The build runs this class so
+ * that the JVM can archive the classes needed for serving: with half a core, most of the start-up
+ * time is spent on loading those classes.
  */
 public final class Rehearsal {
 
@@ -79,9 +79,9 @@
     }
 
     private static void sendRequests(ProxyServer proxy) throws Exception {
-        long timeoutNs = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+        long deadlineNs = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
         while (!send(proxy.controlAddress(), "check\n").startsWith("done")) {
-            if (System.nanoTime() > timeoutNs) {
+            if (System.nanoTime() > deadlineNs) {
                 throw new IOException("the proxy did not become ready");
             }
             Thread.sleep(10);
@@ -167,8 +167,8 @@
                             try {
                                 body.call();
                             } catch (Exception failed) {
-                                // The rehearsal has ended and closed its sockets, or it fails where
-                                // it waits for a response.
+                                // Either the rehearsal has ended and closed its sockets, or the
+                                // failure shows where the rehearsal waits for a response.
                             }
                         });
         thread.setDaemon(true);
--- a/src/main/java/passhatch/proxy/ShutdownSchedule.java
+++ b/src/main/java/passhatch/proxy/ShutdownSchedule.java
@@ -1,17 +1,17 @@
 package passhatch.proxy;
 
 /**
- * The steps of an orderly shutdown, in milliseconds after the signal to shut down. New connections
- * may arrive for up to 0.4 s after the signal, and SIGKILL comes no sooner than 0.7 s after the
- * longest deadline, of which at most 3 s count.
+ * The times of the steps of an orderly shutdown, in milliseconds after the shutdown signal. New
+ * connections may arrive for up to 0.4 s after the signal. The time from the signal to SIGKILL is
+ * at least 0.7 s plus the longest deadline of a request, of which at most 3 s count.
  *
- * @param stopListeningMs when new connections are no longer accepted
- * @param closeClientsMs when client connections are closed, with a response or while they are idle.
- *     Until then open connections are served, as the other proxies may be unavailable too: in a
- *     rolling restart the previous proxy may not be back yet
- * @param respondByMs when every accepted request has a response; a request accepted just before
- *     {@code closeClientsMs} still has some time
- * @param killMs when SIGKILL may come at the earliest
+ * @param stopListeningMs time from which no new connection is accepted
+ * @param closeClientsMs time from which client connections are closed, idle ones at once and the
+ *     others with their response. Until then open connections are served, as other proxies may be
+ *     unavailable too: in a rolling restart the proxy restarted before this one may not be back yet
+ * @param respondByMs time by which every accepted request has a response; later than {@code
+ *     closeClientsMs}, so that a request accepted just before that can still be served
+ * @param killMs earliest time at which SIGKILL may come
  */
 record ShutdownSchedule(long stopListeningMs, long closeClientsMs, long respondByMs, long killMs) {
 
@@ -19,19 +19,25 @@
     private static final long KILL_MARGIN_MS = 700;
     private static final long MAX_COUNTED_DEADLINE_MS = 3_000;
 
-    /** Responses are sent at least this long before SIGKILL, if the deadlines leave room for it. */
+    /**
+     * Responses are sent at least this long before SIGKILL, unless the last accepted request needs
+     * the time.
+     */
     private static final long RESPONSE_MARGIN_MS = 300;
 
     /**
-     * No request is accepted later than this before SIGKILL: the last requests need some time to be
-     * served.
+     * Client connections are closed from this long before SIGKILL on, as the last requests need
+     * some time to be served.
      */
     private static final long CLOSE_CLIENTS_MARGIN_MS = 1_200;
 
-    /** The minimum time for the last accepted request, or its deadline if that is shorter. */
+    /** Minimum time to serve the last accepted request; shorter only if the longest deadline is. */
     private static final long MIN_SERVICE_TIME_MS = 100;
 
-    /** Returns the schedule of a proxy with this longest deadline. */
+    /**
+     * Returns the shutdown schedule of a proxy whose requests have deadlines of at most the given
+     * length.
+     */
     static ShutdownSchedule of(long longestDeadlineMs) {
         long killMs = Math.min(longestDeadlineMs, MAX_COUNTED_DEADLINE_MS) + KILL_MARGIN_MS;
         long closeClientsMs = Math.max(ACCEPT_PERIOD_MS, killMs - CLOSE_CLIENTS_MARGIN_MS);
--- a/src/main/java/passhatch/proxy/base/DescriptorLimits.java
+++ b/src/main/java/passhatch/proxy/base/DescriptorLimits.java
@@ -1,17 +1,18 @@
 package passhatch.proxy.base;
 
 /**
- * Divides the file descriptors of this process between clients and backends. Backends need only as
- * many connections as there are open requests, and some idle ones. All others are for clients, as
- * thousands may connect and only a part of them ever sends a request.
+ * Divides the file descriptors of this process between clients and backends. Backends need only one
+ * connection for each open request, and some idle ones. All other descriptors are for clients:
+ * thousands may connect, though only a part of them ever sends a request.
  */
 public final class DescriptorLimits {
 
-    /** For the JVM's own files, the selector, the listeners and discovery. */
+    /** Descriptors kept for the JVM's own files, the selector, the listeners and discovery. */
     private static final int RESERVED_DESCRIPTORS = 24;
 
     /**
-     * The fraction for connections to backends: requests take a third at most, and some are idle.
+     * Fraction of the descriptors that connections to backends may use: open requests take a third
+     * at most, and the remainder is for idle connections.
      */
     private static final double BACKEND_FRACTION = 0.375;
 
@@ -33,8 +34,8 @@
     }
 
     /**
-     * Sets how many descriptors this process may hold; connections beyond it are closed as new ones
-     * arrive.
+     * Sets the maximum number of descriptors of this process. Connections in excess of it are
+     * closed as new ones arrive.
      */
     public void setLimit(int newLimit) {
         maxDescriptors = newLimit;
@@ -56,17 +57,20 @@
         return backendConnections;
     }
 
-    /** Whether another connection must be closed before a new one to a backend is opened. */
+    /**
+     * Returns whether connections to backends use all descriptors intended for them, so that one
+     * must be closed before another is opened.
+     */
     public boolean backendsFull() {
         return backendConnections >= (int) (maxDescriptors * BACKEND_FRACTION);
     }
 
-    /** Whether more descriptors are held than allowed. */
+    /** Returns whether this process holds more descriptors than allowed. */
     public boolean limitExceeded() {
         return clientConnections + backendConnections > maxDescriptors - reserved;
     }
 
-    /** Whether descriptors are scarce, so that no unneeded connection should stay open. */
+    /** Returns whether descriptors are scarce, so that no unneeded connection should stay open. */
     public boolean scarce() {
         return clientConnections + backendConnections
                 > (maxDescriptors - reserved) * SCARCE_FRACTION;
--- a/src/main/java/passhatch/proxy/base/EventLog.java
+++ b/src/main/java/passhatch/proxy/base/EventLog.java
@@ -17,8 +17,8 @@
     }
 
     public void write(String text) {
-        // Text and line end are written in one call: otherwise the stream passes them to the system
-        // as two.
+        // The text and its line end are printed in one call, as the stream would otherwise pass
+        // them to the operating system as two writes.
         out.print(Instant.now() + " " + text + "\n");
     }
 
--- a/src/main/java/passhatch/proxy/base/LingeringClose.java
+++ b/src/main/java/passhatch/proxy/base/LingeringClose.java
@@ -19,11 +19,12 @@
 public final class LingeringClose extends ChannelInboundHandlerAdapter {
 
     /**
-     * A peer that is still connected has received the end of the output by then, over any distance.
+     * Maximum time for which the socket stays open. Any peer that is still connected, however
+     * distant, has received the end of the output by then.
      */
     private static final long MAX_LINGER_MS = 500;
 
-    /** No more than this is read from a peer that keeps sending. */
+    /** Maximum number of bytes that are read from a peer that keeps sending. */
     private static final long MAX_DROPPED_BYTES = 1 << 20;
 
     private long droppedBytes;
--- a/src/main/java/passhatch/proxy/base/LocalFailure.java
+++ b/src/main/java/passhatch/proxy/base/LocalFailure.java
@@ -13,8 +13,9 @@
     private LocalFailure() {}
 
     /**
-     * Whether a connection failed for lack of local descriptors, ports, buffers or a route. For
-     * failures caused by the peer the JDK has classes of their own, except for a reset.
+     * Returns whether a connection failed for lack of local descriptors, ports, buffers or a route.
+     * The JDK has separate exception classes for failures caused by the peer, except for a reset,
+     * which only its message shows.
      */
     public static boolean isLocal(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
--- a/src/main/java/passhatch/proxy/base/NettyLog.java
+++ b/src/main/java/passhatch/proxy/base/NettyLog.java
@@ -25,7 +25,7 @@
         this.log = log;
     }
 
-    /** Sends Netty's warnings and errors to this log from now on, at most one per second. */
+    /** Writes Netty's warnings and errors to the given log from now on, at most one per second. */
     public static void redirectTo(EventLog log) {
         NETTY.setUseParentHandlers(false);
         NETTY.addHandler(new NettyLog(log));
--- a/src/main/java/passhatch/proxy/base/StallDetector.java
+++ b/src/main/java/passhatch/proxy/base/StallDetector.java
@@ -2,26 +2,29 @@
 
 /**
  * Measures how long the event loop was stalled, by its own work or because the process got no CPU
- * time. It compares the times of a regular tick with its interval. It has no clock of its own; all
- * times are microseconds of one {@link Clock}.
+ * time. It compares the time between two ticks of the event loop with the tick interval. It has no
+ * clock of its own; all times are microseconds of one {@link Clock}.
  */
 public final class StallDetector {
 
     /** Interval between two ticks of the event loop. */
     public static final long TICK_INTERVAL_US = 10_000;
 
-    /** Delay of a tick that is not a stall: timers fire up to one or two milliseconds late. */
+    /**
+     * A tick that is late by no more than this is not a sign of a stall: timers fire up to one or
+     * two milliseconds late.
+     */
     private static final long TICK_MARGIN_US = 2_000;
 
     /**
-     * A client accepts a response up to half a second after its deadline, so shorter stalls need no
-     * allowance. A tenth of a second is kept for the response's own delay.
+     * Stalls up to this length need no allowance. A client accepts a response up to half a second
+     * after its deadline, and a tenth of a second of that is kept for the response's own delay.
      */
     private static final long IGNORED_STALL_US = 400_000;
 
     /**
-     * How long another stall of the same length is expected: an overload of the machine lasts for
-     * seconds.
+     * Time after a stall during which another one of the same length is expected: an overload of
+     * the machine lasts for seconds.
      */
     private static final long STALL_MEMORY_US = 10_000_000;
 
@@ -30,7 +33,7 @@
     private long maxStallUs;
     private long maxStallAtUs;
 
-    /** Expects a tick every {@link #TICK_INTERVAL_US} from now on. */
+    /** Creates a detector that expects a tick every {@link #TICK_INTERVAL_US} from now on. */
     public StallDetector(long nowUs) {
         nextTickUs = nowUs + TICK_INTERVAL_US;
         maxStallAtUs = nowUs;
@@ -52,19 +55,19 @@
     }
 
     /**
-     * Returns how long a request that is read now may have been waiting unread. Its client's time
-     * runs from the moment it was sent, also while this process was stalled and read nothing. The
-     * tick may run before the loop reads what arrived meanwhile, so its delay counts until the next
-     * tick.
+     * Returns the maximum time for which a message that is read now may have waited unread. The
+     * client's time runs from the moment the request was sent, even while this process is stalled
+     * and reads nothing. A late tick may run before the loop reads what arrived during the stall,
+     * so the delay of that tick counts until the next tick.
      */
     public long unreadUs(long nowUs) {
         return Math.max(stalledUs, tickDelayUs(nowUs));
     }
 
     /**
-     * Returns how long before its deadline a request should get its response, so that another stall
-     * as long as the longest of the last ten seconds does not make the client count it as lost; 0
-     * if no stall was that long.
+     * Returns how much earlier a response should be due to allow for another stall as long as the
+     * longest of the last ten seconds, after which the client would otherwise count the request as
+     * lost; 0 if every stall was too short for that.
      */
     public long responseMarginUs() {
         return Math.max(0, maxStallUs - IGNORED_STALL_US);
--- a/src/main/java/passhatch/proxy/control/Control.java
+++ b/src/main/java/passhatch/proxy/control/Control.java
@@ -33,13 +33,13 @@
  */
 public final class Control {
 
-    /** Maximum number of open connections; for another one, the oldest is closed. */
+    /** Maximum number of open connections; the oldest is closed when another one is opened. */
     public static final int MAX_CONNECTIONS = 16;
 
     private static final int BACKLOG = 128;
     private static final int MAX_LINE_BYTES = 256;
 
-    /** A connection that has sent no complete line by then is closed. */
+    /** Time after which a connection is closed if no complete line was received on it. */
     private static final long LINE_TIMEOUT_MS = 5_000;
 
     private final EventLoop loop;
@@ -64,7 +64,7 @@
      * Creates a server with further commands.
      *
      * @param extraCommands returns the response to a command other than {@code check} and {@code
-     *     vars}, or null if it does not exist
+     *     vars}, or null if there is no such command
      */
     public Control(
             EventLoop loop,
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Returns the address it listens on, or null. */
+    /** Returns the address on which this server listens, or null if it does not listen. */
     public InetSocketAddress address() {
         return listener == null ? null : (InetSocketAddress) listener.localAddress();
     }
@@ -131,7 +131,7 @@
         };
     }
 
-    /** One connection of an operator. */
+    /** Handles one connection of an operator. */
     private final class ConnectionHandler extends SimpleChannelInboundHandler<String> {
         private boolean responded;
 
@@ -174,15 +174,18 @@
         }
 
         /**
-         * Closes gently: input that is unread or still arrives must not keep the response from the
-         * peer.
+         * Writes the response and then closes the connection without a reset: input that is unread
+         * or still arrives must not prevent the peer from receiving the response.
          */
         private void respondAndClose(ChannelHandlerContext ctx, String response) {
             responded = true;
             ctx.writeAndFlush(response).addListener(written -> LingeringClose.begin(ctx.channel()));
         }
 
-        /** A peer that shuts down its output before it has sent a command will not send one. */
+        /**
+         * Closes the connection if the peer shuts down its output before it has sent a command, as
+         * no command can follow.
+         */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof ChannelInputShutdownEvent && !responded) {
--- a/src/main/java/passhatch/proxy/discovery/Backoff.java
+++ b/src/main/java/passhatch/proxy/discovery/Backoff.java
@@ -3,9 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Exponential back-off with jitter for calls to discovery. The delay doubles with each failure and
- * is random, as the watches of all proxies end together and must not all return at the same moment.
- * A success resets it.
+ * Exponential back-off with jitter for calls to discovery. The mean delay doubles with each
+ * failure. Each delay is random, as the watches of all proxies may end together and must not all be
+ * started again at the same moment. A success resets the mean.
  */
 final class Backoff {
 
@@ -16,9 +16,9 @@
     private long meanDelayMs = INITIAL_DELAY_MS;
 
     /**
-     * Starts with the initial delay.
+     * Creates a back-off that starts with the initial delay.
      *
-     * @param maxDelayMs maximum delay in milliseconds; less than 50 ms counts as 50 ms
+     * @param maxDelayMs maximum delay in milliseconds; a value below 50 ms is raised to 50 ms
      */
     Backoff(long maxDelayMs, long seed) {
         this.maxDelayMs = Math.max(INITIAL_DELAY_MS, maxDelayMs);
@@ -26,7 +26,8 @@
     }
 
     /**
-     * Returns the next delay in milliseconds, between half of the mean and one and a half times it.
+     * Returns the next delay in milliseconds, drawn between 0.5 and 1.5 times the current mean and
+     * limited to the maximum.
      */
     long nextDelayMs() {
         long delayMs = Math.min(maxDelayMs, (long) (meanDelayMs * (0.5 + random.nextDouble())));
--- a/src/main/java/passhatch/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/passhatch/proxy/discovery/DiscoveryClient.java
@@ -28,8 +28,8 @@
 import passhatch.proxy.base.StallDetector;
 
 /**
- * The connections to discovery. Carries out what {@link ListWatch} decides and passes it the events
- * of the network. Used only on the event loop.
+ * Manages the connections to discovery. Carries out the actions of {@link ListWatch} and reports
+ * the events of the network to it. Used only on the event loop.
  */
 public final class DiscoveryClient implements ListWatch.Transport {
 
@@ -41,7 +41,8 @@
     private final Map<Long, Channel> channels = new HashMap<>();
 
     /**
-     * Creates a client that has not started its watch; the seed is for the back-off between calls.
+     * Creates a client that has not started its watch; {@code seed} is for the random delays
+     * between calls.
      */
     public DiscoveryClient(
             EventLoop loop,
@@ -58,7 +59,7 @@
         this.watch = new ListWatch(config, seed, this, listener, log::write);
     }
 
-    /** Continues at another address and abandons the watch at the old one. */
+    /** Starts a watch at another address of discovery and abandons the watch at the old address. */
     public void changeAddress(InetSocketAddress newAddress) {
         watch.changeAddress(clock.nowUs(), newAddress);
     }
@@ -68,7 +69,7 @@
         watch.startWatch(clock.nowUs());
     }
 
-    /** Closes the connections; no further call is made. */
+    /** Closes the connections to discovery; no further call is made. */
     public void stop() {
         watch.stop();
     }
--- a/src/main/java/passhatch/proxy/discovery/EndpointList.java
+++ b/src/main/java/passhatch/proxy/discovery/EndpointList.java
@@ -10,10 +10,10 @@
 import passhatch.proxy.base.Clock;
 
 /**
- * One message from discovery.
+ * One message from discovery: the whole list of backends, or changes to it.
  *
  * @param index the version of the list
- * @param whole whether the message has the whole list; false if it has changes to it
+ * @param whole whether the message has the whole list; false if it has only changes
  */
 public record EndpointList(long index, boolean whole, List<Endpoint> endpoints) {
 
@@ -29,17 +29,17 @@
     /**
      * Parses a message.
      *
-     * @throws IllegalArgumentException if any part of it is malformed: a truncated list would make
-     *     the missing backends look removed
+     * @throws IllegalArgumentException if any part of the message is malformed: in a list without
+     *     its malformed parts, some backends would look removed
      */
     public static EndpointList parse(
             Map<String, Object> json, List<String> zoneNames, List<String> modelNames) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (Object item : requireValue(json, "endpoints", List.class)) {
-            if (!(item instanceof Map<?, ?> line)) {
+            if (!(item instanceof Map<?, ?> entry)) {
                 throw new IllegalArgumentException("an endpoint is not a JSON object");
             }
-            endpoints.add(parseEndpoint(line, zoneNames, modelNames));
+            endpoints.add(parseEndpoint(entry, zoneNames, modelNames));
         }
         return new EndpointList(
                 requireValue(json, "index", Number.class).longValue(),
@@ -48,25 +48,25 @@
     }
 
     private static Endpoint parseEndpoint(
-            Map<?, ?> line, List<String> zoneNames, List<String> modelNames) {
+            Map<?, ?> entry, List<String> zoneNames, List<String> modelNames) {
         ServerStatus status =
-                switch (requireValue(line, "status", String.class)) {
+                switch (requireValue(entry, "status", String.class)) {
                     case "SERVING" -> ServerStatus.UP;
                     case "DRAINING" -> ServerStatus.DRAINING;
                     case "DELETED" -> ServerStatus.GONE;
                     default ->
                             throw new IllegalArgumentException(
-                                    "status '" + line.get("status") + "' is unknown");
+                                    "status '" + entry.get("status") + "' is unknown");
                 };
         Server server =
                 new Server(
-                        requireValue(line, "name", String.class),
-                        Clock.fromUnixMs(requireValue(line, "since_ms", Number.class).longValue()),
-                        zoneNames.indexOf(line.get("zone")),
-                        line.get("group") instanceof Number n ? n.intValue() : 0,
+                        requireValue(entry, "name", String.class),
+                        Clock.fromUnixMs(requireValue(entry, "since_ms", Number.class).longValue()),
+                        zoneNames.indexOf(entry.get("zone")),
+                        entry.get("group") instanceof Number n ? n.intValue() : 0,
                         status,
-                        modelNames.indexOf(line.get("type")));
-        return new Endpoint(server, Addresses.parse(requireValue(line, "address", String.class)));
+                        modelNames.indexOf(entry.get("type")));
+        return new Endpoint(server, Addresses.parse(requireValue(entry, "address", String.class)));
     }
 
     private static <T> T requireValue(Map<?, ?> json, String key, Class<T> type) {
--- a/src/main/java/passhatch/proxy/discovery/JsonObjectScanner.java
+++ b/src/main/java/passhatch/proxy/discovery/JsonObjectScanner.java
@@ -6,13 +6,13 @@
 
 /**
  * Finds JSON objects in the stream from discovery. An object may be on one line or indented over
- * several, so it ends where its braces close. Netty's decoder of this kind stops at the first byte
- * that is not JSON; this one continues with the next line, as the changes after a malformed one are
- * still valid.
+ * several, so it ends where its braces close. Netty's decoder for JSON objects stops at the first
+ * byte that is not JSON. This scanner continues with the next line, as the changes after a
+ * malformed line are still valid.
  */
 final class JsonObjectScanner {
 
-    /** Receives the objects and other events, in their order. */
+    /** Receives the objects and the other events of the stream in their order. */
     interface Listener {
         /**
          * Receives the text of a complete object; whether its content is valid JSON is not checked.
@@ -33,10 +33,13 @@
     private boolean inString;
     private boolean escaped;
 
-    /** This line has something other than the start of an object; the rest of it is skipped. */
+    /**
+     * Whether the rest of the current line is skipped, as it has something other than the start of
+     * an object.
+     */
     private boolean skippingLine;
 
-    /** This line is not empty. */
+    /** Whether the current line is not empty. */
     private boolean lineNotEmpty;
 
     /**
@@ -49,7 +52,7 @@
         this.listener = listener;
     }
 
-    /** Whether an object has started and is not complete. */
+    /** Returns whether an object has started and is not complete. */
     boolean hasIncompleteObject() {
         return depth > 0;
     }
--- a/src/main/java/passhatch/proxy/discovery/ListWatch.java
+++ b/src/main/java/passhatch/proxy/discovery/ListWatch.java
@@ -12,10 +12,10 @@
 /**
  * The state machine of the discovery client: decides when to call discovery, interprets its
  * responses and detects broken watches. A watch that ends is resumed from the last version
- * received; if discovery rejects that, the whole list is fetched first.
+ * received; if discovery rejects that version, the whole list is fetched first.
  *
- * <p>It has no clock, socket or thread: events come with their time, and its actions go to a {@link
- * Transport}. All times are microseconds of one clock.
+ * <p>It has no clock, socket or thread: each event is passed in with its time, and actions are
+ * passed to a {@link Transport}. All times are microseconds of one clock.
  */
 public final class ListWatch {
 
@@ -23,68 +23,77 @@
     private static final int MAX_LIST_BYTES = 1 << 22;
 
     /**
-     * When discovery must be asked for changes, a change may arrive this long after it was made.
+     * If discovery must be asked for changes, a watch may receive a change this long after it was
+     * made.
      */
     private static final long MAX_CHANGE_DELAY_US =
             TimeUnit.MILLISECONDS.toMicros(WatchBudget.EMPTY_LINE_INTERVAL_MS);
 
-    /** A rejection that takes longer may come from a discovery service that is down. */
+    /**
+     * Maximum time of a rejection that counts as immediate. A slower one may come from a discovery
+     * service that is down.
+     */
     private static final long IMMEDIATE_REJECTION_US = TimeUnit.SECONDS.toMicros(1);
 
     private static final int OK = 200;
 
     /**
-     * Lower error statuses concern the call; this one and higher ones concern the state of
-     * discovery.
+     * Lowest HTTP status of an error that concerns the state of discovery; lower error statuses
+     * concern the call.
      */
     private static final int FIRST_SERVER_ERROR = 500;
 
     /** Carries out the actions of the state machine. */
     public interface Transport {
         /**
-         * Opens a connection and requests a path; events of this call are reported with its number.
+         * Opens a connection and requests a path; the events of this call are reported with the
+         * number {@code call}.
          */
         void startCall(long call, InetSocketAddress address, String path);
 
-        /** Closes the connection of a call; no further event of it needs to be reported. */
+        /** Closes the connection of a call; further events of the call need not be reported. */
         void closeCall(long call);
 
-        /** Requests a call of {@link ListWatch#onTimer} at this time or later. */
+        /** Schedules {@link ListWatch#onTimer} for this time or later. */
         void wakeAt(long atUs);
     }
 
     /** Receives the events of discovery. */
     public interface Listener {
-        /** The list was received, or changes to it, of which there may be none. */
+        /** Called when the whole list or changes to it were received; the changes may be empty. */
         void onList(EndpointList list, ListFreshness freshness);
 
-        /** The watch has confirmed that there are no changes. */
+        /** Called when the watch has confirmed that there are no changes. */
         void onUnchanged(ListFreshness freshness);
 
         /**
-         * A message has started that is not processed yet and may never be.
+         * Called when a message is pending: it has started to arrive, but it is not processed yet
+         * and may never be.
          *
-         * @param sinceUs when it started
+         * @param sinceUs when the message started to arrive
          */
         void onMessagePending(long sinceUs);
 
-        /** No watch is open any more: changes may be missed. */
+        /** Called when no watch is open any more, so that changes may be missed. */
         void onWatchLost();
 
-        /** A connection to discovery is established, whatever the result of the call. */
+        /**
+         * Called when a connection to discovery is established, whatever the result of its call
+         * will be.
+         */
         void onDiscoveryReached();
 
-        /** Discovery has rejected a call at once. */
+        /** Called when discovery has rejected a call immediately. */
         void onCallRejected();
 
-        /** Discovery has another address from now on. */
+        /** Called when discovery has another address from now on. */
         void onAddressChanged();
     }
 
     /**
      * The configuration of a watch.
      *
-     * @param initialList the initial list; empty if there is none
+     * @param initialList the list that is known before the first call; empty if there is none
      * @param onRequest whether the decision module chooses when to call again after a watch has
      *     ended
      * @param zoneNames names of the zones, by index
@@ -108,7 +117,7 @@
     private final Backoff backoff;
     private final WatchBudget budget;
 
-    /** A call without any message for this long is abandoned. */
+    /** Time after which a call that has received no message is abandoned. */
     private long messageTimeoutMs;
 
     private long lastVersion;
@@ -122,16 +131,19 @@
     /** The time of the event that is being processed. */
     private long nowUs;
 
-    /** The open call. */
+    /** The open call, or null if there is none. */
     private Call current;
 
     /**
-     * An abandoned watch that stays open until a later call gets a response: everything that
-     * discovery writes on it is deemed notified, and a message may still be on its way.
+     * An abandoned watch that stays open until a later call gets a response, or null if there is
+     * none. This proxy is deemed notified of everything that discovery writes on it, and a message
+     * may still be on its way.
      */
     private Call previous;
 
-    /** Creates a watch that has not started; the seed is for the back-off between calls. */
+    /**
+     * Creates a watch that has not started; {@code seed} is for the random delays between calls.
+     */
     public ListWatch(
             WatchConfig config,
             long seed,
@@ -147,8 +159,8 @@
         this.messageTimeoutMs = budget.initialMessageTimeoutMs();
         this.backoff = new Backoff(budget.maxBackoffMs(), seed);
         this.lastVersion = config.initialList().index();
-        // A known list may have version 0: a watch from there needs one call, a fetch and a watch
-        // two.
+        // A known list may have version 0. A watch from that version needs one call, while a fetch
+        // followed by a watch needs two.
         this.fetchWhole = lastVersion == 0 && config.initialList().endpoints().isEmpty();
     }
 
@@ -159,7 +171,7 @@
 
     // ---- events
 
-    /** Continues at another address and abandons the watch at the old one. */
+    /** Starts a watch at another address of discovery and abandons the watch at the old address. */
     public void changeAddress(long nowUs, InetSocketAddress newAddress) {
         this.nowUs = nowUs;
         address = newAddress;
@@ -174,8 +186,8 @@
     }
 
     /**
-     * Starts a watch unless a call is open. A watch that ends is restarted, unless the module
-     * decides when to call.
+     * Starts a watch unless a call is open. A watch that ends is restarted automatically, unless
+     * the decision module chooses when to call.
      */
     public void startWatch(long nowUs) {
         this.nowUs = nowUs;
@@ -193,21 +205,21 @@
         checkSilence();
     }
 
-    /** The connection of a call is established. */
+    /** Called when the connection of a call is established. */
     public void onConnected(long call) {
         if (isCurrent(call)) {
             listener.onDiscoveryReached();
         }
     }
 
-    /** The connection of a call has failed; its close follows. */
+    /** Called when the connection of a call has failed; {@link #onClosed} follows. */
     public void onFailed(long call, String reason) {
         if (isCurrent(call)) {
             current.endReason = reason;
         }
     }
 
-    /** The head of a response was received. */
+    /** Called when the head of a response was received. */
     public void onResponseHead(long nowUs, long call, int status) {
         this.nowUs = nowUs;
         if (!isCurrent(call)) {
@@ -225,9 +237,10 @@
     }
 
     /**
-     * A part of the body of a response was received.
+     * Called when a part of the body of a response was received.
      *
-     * @param arrivedUs the earliest time at which it may have arrived; not after {@code nowUs}
+     * @param arrivedUs the earliest time at which the bytes may have arrived; not after {@code
+     *     nowUs}
      */
     public void onBody(long nowUs, long arrivedUs, long call, ByteBuf bytes) {
         this.nowUs = nowUs;
@@ -246,7 +259,7 @@
         }
     }
 
-    /** A response is complete. */
+    /** Called when a response is complete. */
     public void onResponseEnd(long nowUs, long call) {
         this.nowUs = nowUs;
         if (isCurrent(call)) {
@@ -258,7 +271,7 @@
         }
     }
 
-    /** The connection of a call is closed. */
+    /** Called when the connection of a call is closed. */
     public void onClosed(long nowUs, long call) {
         this.nowUs = nowUs;
         if (isCurrent(call)) {
@@ -268,7 +281,7 @@
         }
     }
 
-    /** Runs the actions that are due. */
+    /** Runs the actions that are due at the given time. */
     public void onTimer(long nowUs) {
         this.nowUs = nowUs;
         if (wakeAtUs <= nowUs) {
@@ -281,7 +294,7 @@
         }
     }
 
-    /** Closes all connections; no further call is made. */
+    /** Closes all connections to discovery; no further call is made. */
     public void stop() {
         stopped = true;
         if (current != null) {
@@ -320,8 +333,8 @@
     }
 
     /**
-     * Ends the call if it had no message for too long, and else schedules the next check. An
-     * incomplete message does not count.
+     * Ends the current call if it has received no complete message for too long; otherwise
+     * schedules the next check.
      */
     private void checkSilence() {
         long limitMs = current.messageReceived ? budget.silenceTimeoutMs() : messageTimeoutMs;
@@ -380,7 +393,8 @@
             nextCallUs = nowUs + millisToMicros(backoff.nextDelayMs());
             wakeAt(nextCallUs);
         }
-        // When discovery must be asked, the module is notified and decides when to call again.
+        // If discovery must be asked for changes, the decision module is notified and chooses when
+        // to call again.
         listener.onWatchLost();
     }
 
@@ -392,7 +406,10 @@
         return TimeUnit.MICROSECONDS.toMillis(us);
     }
 
-    /** One response of discovery: a stream of lists and changes, or a single whole list. */
+    /**
+     * One call to discovery with its response: a stream of lists and changes, or a single whole
+     * list.
+     */
     private final class Call implements JsonObjectScanner.Listener {
         private final long number;
         private final boolean isFetch;
@@ -448,14 +465,14 @@
                 return;
             }
             if (list.index() < lastVersion) {
-                // Versions only grow: an older one would undo later changes, such as a server that
-                // drains.
+                // Versions only increase. Applying an older one would undo later changes, such as
+                // the drain of a server.
                 skipOlder(list);
                 return;
             }
             if (!messageReceived && !list.whole() && fromVersion < lastVersion) {
-                // The message lacks what changed back between the requested version and the known
-                // one.
+                // A server may have changed and changed back after the requested version. The
+                // message then omits it, but the known list may hold the change in between.
                 onSkipped(
                         "its changes are from version "
                                 + fromVersion
@@ -476,8 +493,8 @@
         }
 
         /**
-         * Records a message. Only the first of a call is logged: a rollout sends several versions
-         * per second.
+         * Records a complete message. Only the first message of a call is logged, as a rollout
+         * causes several versions per second.
          */
         private void recordMessage(String content) {
             if (!messageReceived) {
@@ -493,7 +510,7 @@
             messageTimeoutMs = budget.initialMessageTimeoutMs();
         }
 
-        /** A watch without changes confirms that by an empty line. */
+        /** Handles an empty line, by which a watch confirms that there are no changes. */
         @Override
         public void onEmptyLine() {
             if (this != current) {
@@ -512,8 +529,9 @@
         }
 
         /**
-         * A response includes all that discovery had when the response began; on a watch, changes
-         * may follow later.
+         * Returns the freshness of the list after a message that was sent at the given time. A
+         * response includes all changes that discovery had when the response began; on a watch,
+         * later changes may follow.
          */
         private ListFreshness freshness(long sentUs) {
             long asOfUs =
@@ -527,13 +545,16 @@
 
         private void skipOlder(EndpointList list) {
             if (!list.whole()) {
-                // What it says about other servers is in no other message.
+                // The message may have changes of other servers, which no other message repeats.
                 fetchWhole = true;
             }
             onSkipped("its version " + list.index() + " is older than " + lastVersion);
         }
 
-        /** A message that cannot be read is requested again, as later messages do not repeat it. */
+        /**
+         * Closes the call after a message that cannot be read, so that its content is requested
+         * again: later messages do not repeat it.
+         */
         @Override
         public void onSkipped(String reason) {
             if (this == current || this == previous) {
--- a/src/main/java/passhatch/proxy/discovery/WatchBudget.java
+++ b/src/main/java/passhatch/proxy/discovery/WatchBudget.java
@@ -4,15 +4,15 @@
 import passhatch.ListLease;
 
 /**
- * Time limits for the calls to discovery, in milliseconds. Together they bound the delay of a
- * change; if a step takes longer, the lease on the list expires before a request can be sent to a
- * server past its drain grace.
+ * Time limits for the calls to discovery, in milliseconds. Together they bound the time until this
+ * proxy receives a change. If a call takes longer, the lease on the list expires before a request
+ * can be sent to a server past its drain grace.
  *
  * @param silenceTimeoutMs a watch without any message for this long is considered broken
- * @param initialMessageTimeoutMs a call without any message for this long is abandoned; doubled by
- *     each such call if discovery must be asked
- * @param maxMessageTimeoutMs the upper limit of that doubling
- * @param connectTimeoutMs timeout for a connection
+ * @param initialMessageTimeoutMs a call that receives no message for this long is abandoned; if
+ *     discovery must be asked for changes, each abandoned call doubles this timeout
+ * @param maxMessageTimeoutMs the maximum to which that timeout is doubled
+ * @param connectTimeoutMs timeout for connecting to discovery
  * @param maxBackoffMs maximum delay between two calls after failures, if changes are pushed;
  *     otherwise the decision module chooses when to call
  */
@@ -23,14 +23,15 @@
         long connectTimeoutMs,
         long maxBackoffMs) {
 
-    /** A watch without changes sends an empty line at this interval. */
+    /** Discovery sends an empty line at this interval on a watch without changes. */
     static final long EMPTY_LINE_INTERVAL_MS = 2_000;
 
     /** Allowed delay of an empty line. */
     private static final long EMPTY_LINE_MARGIN_MS = 1_000;
 
     /**
-     * A call may be queued at discovery, and a repeat before this would only make the queue longer.
+     * A call may be queued at discovery, and a repeat within this time would only make the queue
+     * longer.
      */
     private static final long INITIAL_MESSAGE_TIMEOUT_MS = 3_500;
 
@@ -39,16 +40,17 @@
     private static final long MAX_CONNECT_TIMEOUT_MS = 300;
 
     /**
-     * If changes are pushed, all changes made during an outage are deemed notified at its end. The
-     * drain grace, less one stall, is divided into a delay, a connection attempt that began before
-     * the end, another delay, and the response.
+     * Number of steps into which the drain grace, less one stall, is divided if changes are pushed.
+     * At the end of an outage of discovery, a proxy is deemed notified of all changes made during
+     * the outage. The steps until it receives them are a back-off delay, a connection attempt that
+     * began before the end of the outage, another delay, and the response.
      */
     private static final long RECONNECT_STEPS = 4;
 
     private static final long MIN_RECONNECT_STEP_MS = 50;
 
     /**
-     * Returns the limits of one proxy.
+     * Returns the time limits for the calls of one proxy.
      *
      * @param onRequest whether discovery must be asked for changes; false if it pushes them
      * @param graceUs how long a draining server may be sent requests, in microseconds
--- a/src/main/java/passhatch/proxy/flow/BufferBudget.java
+++ b/src/main/java/passhatch/proxy/flow/BufferBudget.java
@@ -1,7 +1,8 @@
 package passhatch.proxy.flow;
 
 /**
- * Counts the bytes of bodies that this process has buffered over all connections, and their limit.
+ * Counts the bytes of bodies that this process has buffered for all connections together, and
+ * compares them with a limit.
  */
 public final class BufferBudget {
 
@@ -21,7 +22,10 @@
         bufferedBytes -= bytes;
     }
 
-    /** Whether too much is buffered, so that a source with buffered bytes should not be read. */
+    /**
+     * Returns whether too many bytes are buffered, so that no more should be read from a source of
+     * which some bytes are buffered.
+     */
     public boolean exceeded() {
         return bufferedBytes > maxBytes;
     }
--- a/src/main/java/passhatch/proxy/flow/BufferedBytes.java
+++ b/src/main/java/passhatch/proxy/flow/BufferedBytes.java
@@ -14,7 +14,7 @@
         this.budget = budget;
     }
 
-    /** Copies the readable bytes; the caller keeps the ownership of the buffer. */
+    /** Adds a copy of the buffer's readable bytes; the caller keeps the ownership of the buffer. */
     public void add(ByteBuf buffer) {
         budget.add(buffer.readableBytes());
         try {
--- a/src/main/java/passhatch/proxy/flow/Relay.java
+++ b/src/main/java/passhatch/proxy/flow/Relay.java
@@ -12,13 +12,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Forwards a body to a channel as it arrives. Its source is paused while the channel is full, or
- * while it has bytes waiting for the channel and too many are buffered over all connections. A
- * relay without waiting bytes is never paused for others, so a slow one cannot stop the rest.
+ * Forwards a body to a channel as it arrives. While some of its bytes wait for the channel, the
+ * source is paused if the channel is full or too many bytes are buffered for all connections
+ * together. A relay without waiting bytes is never paused because of other relays, so a slow relay
+ * cannot stop the rest.
  */
 public final class Relay {
 
-    /** Limits above which a connection is full, and below which it can be written again. */
+    /**
+     * Numbers of bytes waiting to be written: above the high one a connection is full, and below
+     * the low one it can be written again.
+     */
     public static final WriteBufferWaterMark WATER_MARK =
             new WriteBufferWaterMark(1 << 14, 1 << 16);
 
@@ -26,20 +30,26 @@
     public static final RecvByteBufAllocator READ_SIZES =
             new AdaptiveRecvByteBufAllocator(512, 2048, 1 << 14);
 
-    /** Peers may take seconds to read or write; one without any progress for this long is gone. */
+    /**
+     * A peer may take seconds to read or write; a transfer without any progress for this long
+     * fails.
+     */
     private static final long PROGRESS_TIMEOUT_MS = 30_000;
 
-    /** The source of the bytes. */
+    /** The source of the bytes, such as the connection from which they are read. */
     public interface Source {
         void setReading(boolean reading);
     }
 
-    /** Receives the end of the transfer, once; not after {@link #stop}. */
+    /**
+     * Listens for the end of the transfer. One of its methods is called once, but none after {@link
+     * #stop}.
+     */
     public interface Listener {
-        /** All bytes have been written. */
+        /** Called when all bytes have been written. */
         void completed();
 
-        /** The channel failed, or there was no progress for too long. */
+        /** Called when the channel has failed, or when there was no progress for too long. */
         void failed();
     }
 
@@ -105,7 +115,7 @@
         }
     }
 
-    /** The source has delivered all bytes. */
+    /** Ends the body; called when the source has delivered all bytes. */
     public void finish() {
         if (ended) {
             return;
--- a/src/main/java/passhatch/proxy/flow/RequestBody.java
+++ b/src/main/java/passhatch/proxy/flow/RequestBody.java
@@ -12,10 +12,10 @@
  */
 public final class RequestBody {
 
-    /** A body of up to this size in bytes is buffered. */
+    /** Maximum size in bytes of a body that is buffered and can be sent again. */
     public static final int MAX_REPLAYABLE_BYTES = 1 << 16;
 
-    /** Maximum size of a body in bytes, of a response too. */
+    /** Maximum size in bytes of the body of a request or a response. */
     public static final int MAX_BYTES = 1 << 25;
 
     private final EventLoop loop;
@@ -26,7 +26,7 @@
     private long size;
     private boolean ended;
 
-    /** The body has begun to be sent to a backend, or is no longer needed. */
+    /** Whether a part of the body has been sent to a backend, or the body is no longer needed. */
     private boolean consumed;
 
     private Relay relay;
@@ -34,7 +34,7 @@
     /**
      * Creates an empty body.
      *
-     * @param declaredLength its length in bytes according to its head, or -1
+     * @param declaredLength the length in bytes that the request's head declares, or -1
      * @param source the client's connection
      */
     public RequestBody(
@@ -46,7 +46,10 @@
         this.source = source;
     }
 
-    /** Returns the length in bytes that the head declares, or -1 if it declares none. */
+    /**
+     * Returns the length of the body in bytes that the request's head declares, or -1 if it
+     * declares none.
+     */
     public long declaredLength() {
         return declaredLength;
     }
@@ -60,17 +63,17 @@
         return ended;
     }
 
-    /** Whether more bytes were received than can be buffered. */
+    /** Returns whether more bytes were received than can be buffered. */
     public boolean isLong() {
         return size > MAX_REPLAYABLE_BYTES;
     }
 
-    /** Whether the whole body can still be sent to a backend. */
+    /** Returns whether the whole body can still be sent to a backend. */
     public boolean canBeSent() {
         return !consumed;
     }
 
-    /** Returns the whole of a short body, once it is complete. */
+    /** Returns all bytes of a short body, which must be complete. */
     public byte[] replayableBytes() {
         return buffered.copy();
     }
@@ -88,7 +91,7 @@
         }
     }
 
-    /** The client has sent the whole body. */
+    /** Marks the body as complete; called when the client has sent all of it. */
     public void end() {
         ended = true;
         if (relay != null) {
@@ -117,7 +120,7 @@
         }
     }
 
-    /** Drops the body, as it is no longer needed; what still arrives is dropped too. */
+    /** Drops the body when it is no longer needed; bytes that still arrive are dropped too. */
     public void drop() {
         consumed = true;
         stopSending();
--- a/src/main/java/passhatch/proxy/flow/ResponseStream.java
+++ b/src/main/java/passhatch/proxy/flow/ResponseStream.java
@@ -3,12 +3,14 @@
 import io.netty.channel.Channel;
 
 /**
- * A 200 response that is forwarded as it arrives, as it is too long to be buffered. Nothing is read
- * from it before {@link #sendTo}.
+ * A response with status 200 that is too long to be buffered and is therefore forwarded as it
+ * arrives. Its body is not read before {@link #sendTo} is called.
  */
 public interface ResponseStream {
 
-    /** Returns its length in bytes, or -1 if only its end shows the length. */
+    /**
+     * Returns the length of the body in bytes, or -1 if it is known only at the end of the body.
+     */
     long length();
 
     /** Forwards the body to a client; the head must have been written before. */
