--- a/src/main/java/passhatch/FailureRates.java
+++ b/src/main/java/passhatch/FailureRates.java
@@ -8,11 +8,11 @@
     /** Weight of the newest outcome in the rate of failed connections. */
     private static final double CONNECT_FAILURE_WEIGHT = 0.2;
     /** Weight of the newest outcome in the rates of errors and of resets. */
-    private static final double RATE_WEIGHT = 0.04;
+    private static final double RESPONSE_WEIGHT = 0.04;
     /** Connect failure rate above which connected servers come first: one failure lasts ten outcomes. */
     private static final double MAX_CONNECT_FAILURE_RATE = 0.02;
     /** Failures in a row are significant if less probable than this while all servers fail alike. */
-    private static final double CHANCE_PROBABILITY = 0.001;
+    private static final double MAX_CHANCE_PROBABILITY = 0.001;
     /** Upper bound of the reset rate in that calculation: ten failures in a row are always significant. */
     private static final double MAX_RESET_RATE = 0.5;
 
@@ -21,13 +21,13 @@
     private double connectFailureRate;
 
     /** Adds the outcome of an attempt or of a probe that could not connect. */
-    void update(Outcome outcome) {
+    void recordOutcome(Outcome outcome) {
         boolean answered = outcome == Outcome.OK || outcome == Outcome.ERROR;
         if (answered) {
-            errorRate += RATE_WEIGHT * ((outcome == Outcome.ERROR ? 1 : 0) - errorRate);
+            errorRate += RESPONSE_WEIGHT * ((outcome == Outcome.ERROR ? 1 : 0) - errorRate);
         }
         if (answered || outcome == Outcome.RESET) {
-            resetRate += RATE_WEIGHT * ((outcome == Outcome.RESET ? 1 : 0) - resetRate);
+            resetRate += RESPONSE_WEIGHT * ((outcome == Outcome.RESET ? 1 : 0) - resetRate);
         }
         connectFailureRate +=
                 CONNECT_FAILURE_WEIGHT * ((outcome == Outcome.CONNECT_FAILED ? 1 : 0) - connectFailureRate);
@@ -50,10 +50,10 @@
      * @param min the result while connections seldom break, and its lower bound
      */
     int significantFailures(int min) {
-        if (resetRate < CHANCE_PROBABILITY) {
+        if (resetRate < MAX_CHANCE_PROBABILITY) {
             return min;
         }
-        double inARow = Math.log(CHANCE_PROBABILITY) / Math.log(Math.min(resetRate, MAX_RESET_RATE));
+        double inARow = Math.log(MAX_CHANCE_PROBABILITY) / Math.log(Math.min(resetRate, MAX_RESET_RATE));
         return Math.max(min, (int) Math.ceil(inARow));
     }
 }
--- a/src/main/java/passhatch/LatencyStats.java
+++ b/src/main/java/passhatch/LatencyStats.java
@@ -15,7 +15,7 @@
     /** The mean latency per request in flight counts as at most this multiple of the quick one. */
     private static final double MAX_MEAN_TO_QUICK_RATIO = 2;
     /** Relative step of the running estimate of the quick latency. */
-    private static final double QUICK_STEP = 0.05;
+    private static final double QUICK_ESTIMATE_STEP = 0.05;
     /** Relative growth of the baseline at each sample: one from thousands of requests ago may be outdated. */
     private static final double BASELINE_GROWTH = 0.0003;
 
@@ -51,7 +51,7 @@
     }
 
     /** Adds the latency of an attempt that has ended; it is shared among the load at the attempt's send. */
-    void add(Attempt attempt, boolean served, long elapsedUs) {
+    void addSample(Attempt attempt, boolean served, long elapsedUs) {
         int requestClass = attempt.request.original.requestClass();
         if (served) {
             classLatencyUs[requestClass] += (elapsedUs - classLatencyUs[requestClass])
@@ -67,7 +67,7 @@
         }
         double unitUs = usualUs / attempt.loadAtSend;
         quickUnitLatencyUs = quickUnitLatencyUs == 0 ? unitUs : quickUnitLatencyUs
-                * (1 + QUICK_STEP * (unitUs < quickUnitLatencyUs ? QUICK_QUANTILE - 1 : QUICK_QUANTILE));
+                * (1 + QUICK_ESTIMATE_STEP * (unitUs < quickUnitLatencyUs ? QUICK_QUANTILE - 1 : QUICK_QUANTILE));
         // The mean is capped so that a few servers that take seconds do not count as usual.
         unitLatencyUs = Math.min(latencySumUs / loadSum, MAX_MEAN_TO_QUICK_RATIO * quickUnitLatencyUs);
         ServerState server = attempt.server;
@@ -92,7 +92,7 @@
 
     /** Lowers the estimate of the quick latency, as a quick response would. */
     void lowerQuickEstimate() {
-        quickUnitLatencyUs *= 1 - QUICK_STEP * QUICK_QUANTILE;
+        quickUnitLatencyUs *= 1 - QUICK_ESTIMATE_STEP * QUICK_QUANTILE;
     }
 
     /** Returns the running mean of the latency. */
--- a/src/main/java/passhatch/ListLease.java
+++ b/src/main/java/passhatch/ListLease.java
@@ -51,7 +51,7 @@
     private final long notifyTimeoutUs;
     private long watchedUntilUs = NEVER;
     private long currentAsOfUs = NEVER;
-    private long rememberedListFromUs = Long.MAX_VALUE;
+    private long rememberedListUsableFromUs = Long.MAX_VALUE;
     private long pendingSinceUs = NOT_PENDING;
     private long unreadSinceUs = NOT_PENDING;
     private long lastAcceptedSendUs = NEVER;
@@ -82,7 +82,7 @@
 
     /** Starts from a list of unknown age. */
     void startFromRememberedList(long nowUs) {
-        rememberedListFromUs = nowUs + UNCONFIRMED_START_TIMEOUT_US;
+        rememberedListUsableFromUs = nowUs + UNCONFIRMED_START_TIMEOUT_US;
     }
 
     /**
@@ -90,7 +90,7 @@
      * has, even if that does not arrive.
      */
     void discoveryReached() {
-        rememberedListFromUs = Long.MAX_VALUE;
+        rememberedListUsableFromUs = Long.MAX_VALUE;
     }
 
     /** Starts from a list that was current until now. */
@@ -189,7 +189,7 @@
     }
 
     private boolean usableByList(long nowUs) {
-        return nowUs < watchedUntilUs || nowUs < usableUntilUs(nowUs);
+        return nowUs < watchedUntilUs || nowUs < listUsableUntilUs(nowUs);
     }
 
     /**
@@ -205,9 +205,9 @@
                 && nowUs < sendDeadlineUs(acceptedUs + notifyTimeoutUs);
     }
 
-    private long usableUntilUs(long nowUs) {
-        long fromUs = currentAsOfUs == NEVER ? rememberedListFromUs : currentAsOfUs;
-        return fromUs > nowUs ? NEVER : sendDeadlineUs(notifiedAtUs(fromUs));
+    private long listUsableUntilUs(long nowUs) {
+        long fromUs = currentAsOfUs == NEVER ? rememberedListUsableFromUs : currentAsOfUs;
+        return fromUs > nowUs ? NEVER : sendDeadlineUs(earliestNotifiedAtUs(fromUs));
     }
 
     /** Returns by when a send to a server must be decided once its drain is deemed notified. */
@@ -218,12 +218,12 @@
     }
 
     /** Returns the earliest time at which a change after the given time may be deemed notified. */
-    private long notifiedAtUs(long afterUs) {
-        long notifiedAtUs = afterUs + notifyTimeoutUs;
+    private long earliestNotifiedAtUs(long changedAfterUs) {
+        long notifiedAtUs = changedAfterUs + notifyTimeoutUs;
         if (addressChanges.isEmpty()) {
             return notifiedAtUs;
         }
-        long changedUs = Math.max(addressChanges.peek().earliestUs, afterUs);
+        long changedUs = Math.max(addressChanges.peek().earliestUs, changedAfterUs);
         return Math.min(notifiedAtUs, changedUs + ADDRESS_CHANGE_NOTIFY_TIMEOUT_US);
     }
 }
--- a/src/main/java/passhatch/Logic.java
+++ b/src/main/java/passhatch/Logic.java
@@ -18,7 +18,7 @@
  *
  * <p>While nothing fails, a request goes to a server that has none of this copy's own requests in flight,
  * else to the one with the fewest in flight; among equals, to the one assigned least recently; see
- * {@link #better}. Everything else here is about failures and limits.
+ * {@link #ranksBefore}. Everything else here is about failures and limits.
  */
 public final class Logic implements Balancer {
 
@@ -29,11 +29,11 @@
     /** Retries earned by each request, so that retries add at most a tenth of load in the long run. */
     private static final double RETRIES_PER_REQUEST = 0.1;
     /** Retries that may be saved up for a burst of failures. */
-    private static final double MAX_SAVED_RETRIES = 5;
+    private static final double MAX_RETRY_BUDGET = 5;
     /** First delay before discovery is asked again; doubled at each failure. */
     private static final long DISCOVERY_RETRY_DELAY_US = 250_000;
     /** Fraction of the whole worth that probes may cost over all tiers; none if two a request cost more. */
-    private static final double MAX_PROBE_COST_FRACTION = 0.02;
+    private static final double MAX_PROBE_COST_TO_WORTH = 0.02;
     /** Probes in a round: one may be lost or slow, more than two would mostly be wasted. */
     private static final int PROBES_PER_ROUND = 2;
     /** While servers hold fewer requests than this on average, one probe a round is usually enough. */
@@ -49,7 +49,7 @@
     /** Fraction of a request's work beyond the usual that counts: hints err, and not all time is work. */
     private static final double EXTRA_WORK_FACTOR = 0.5;
     /** Fraction of its spare time that a request may be expected to wait: the mean is far from the worst. */
-    private static final double MAX_WAIT_FRACTION = 0.36;
+    private static final double MAX_SPARE_TIME_FRACTION = 0.36;
     /** A request worth more may wait up to this multiple of that, so the least worth are shed first. */
     private static final double MAX_PRIORITY_FACTOR = 2;
     /** Requests that the copies sharing a server may always have there together: they keep cores busy. */
@@ -68,7 +68,7 @@
      * A queued request must have this multiple of the usual latency left: sent at the last moment, half
      * would be late.
      */
-    private static final double QUEUED_TIME_FACTOR = 1.4;
+    private static final double MIN_QUEUED_TIME_FACTOR = 1.4;
     /** How often a cooldown is doubled at most, once at each further failure. */
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
     /** An attempt is overdue after this multiple of the expected latency, as latencies spread widely. */
@@ -76,7 +76,7 @@
     /** Overdue attempts, or unanswered probes, in a row after which a server enters a cooldown. */
     private static final int MAX_UNANSWERED = 2;
     /** Rounds by which the turn of a server in another zone is postponed, so that the own zone is first. */
-    private static final double CROSS_ZONE_ROUNDS = 1;
+    private static final double CROSS_ZONE_DELAY_ROUNDS = 1;
     /** Weight of the newest response in a server's error rate. */
     private static final double ERROR_WEIGHT = 0.2;
     /** Error rate above which a server may enter a cooldown. */
@@ -116,7 +116,7 @@
     /** The shortest target latency of all classes. */
     private final double minAimUs;
     private final double minWorth;
-    private double savedRetries = MAX_SAVED_RETRIES;
+    private double retryBudget = MAX_RETRY_BUDGET;
     private long wakeAtUs = Long.MAX_VALUE;
     private boolean listReceived;
     private boolean watching;
@@ -126,7 +126,7 @@
     private int discoveryFailures;
     /** Probes that the price allows for each request, and those saved up. */
     private final double probesPerRequest;
-    private double savedProbes;
+    private double probeBudget;
     private double probeLatencyUs;
     /** Mean of the loads that probed servers reported; assumed for a server without a valid report. */
     private double meanReportedLoad;
@@ -155,10 +155,10 @@
         this.minAimUs = settings.classes().stream().mapToLong(RequestClass::aimUs).min().orElseThrow();
         this.minWorth = settings.classes().stream().mapToDouble(RequestClass::worth).min().orElseThrow();
         double price = settings.prices().probe() * settings.tiers();
-        double affordable = price > 0 ? MAX_PROBE_COST_FRACTION / price : PROBES_PER_ROUND * MAX_PROBE_ROUNDS;
+        double affordable = price > 0 ? MAX_PROBE_COST_TO_WORTH / price : PROBES_PER_ROUND * MAX_PROBE_ROUNDS;
         this.probesPerRequest = settings.limits().probes() && affordable >= PROBES_PER_ROUND
                 ? Math.min(affordable, PROBES_PER_ROUND * MAX_PROBE_ROUNDS) : 0;
-        this.savedProbes = probesPerRequest * MAX_PROBE_ROUNDS;
+        this.probeBudget = probesPerRequest * MAX_PROBE_ROUNDS;
         this.probeLatencyUs = settings.tickUs();
     }
 
@@ -192,7 +192,7 @@
             discoveryFailures = 0;
             watchRequestAtUs = Long.MAX_VALUE;
         }
-        advance(nowUs);
+        performDueWork(nowUs);
     }
 
     private void applyServer(long nowUs, Server entry) {
@@ -215,8 +215,8 @@
             server = new ServerState(entry.id());
             server.startedAtUs = entry.startedAtUs();
             server.zone = entry.zone();
-            server.turnAtUs = crossZoneRank(server) > 0
-                    ? nowUs + (long) (random.nextDouble() * roundTimeUs(nowUs) * crossZoneRank(server))
+            server.turnAtUs = crossZoneDelayRounds(server) > 0
+                    ? nowUs + (long) (random.nextDouble() * roundTimeUs(nowUs) * crossZoneDelayRounds(server))
                     : Long.MIN_VALUE + random.nextLong(1L << 32);
             serversById.put(server.id, server);
         }
@@ -250,7 +250,7 @@
 
     /** Orders the list: servers of the own zone first, then by a hash that is the same at every copy. */
     private boolean sortsAfter(ServerState a, ServerState b) {
-        return crossZoneRank(a) != crossZoneRank(b) ? crossZoneRank(a) > crossZoneRank(b)
+        return crossZoneDelayRounds(a) != crossZoneDelayRounds(b) ? crossZoneDelayRounds(a) > crossZoneDelayRounds(b)
                 : a.hashOrder > b.hashOrder;
     }
 
@@ -264,7 +264,7 @@
         int start = random.nextInt(servers.size());
         for (int i = 0; i < servers.size(); i++) {
             ServerState other = servers.get((start + i) % servers.size());
-            if (other != server && crossZoneRank(other) == crossZoneRank(server)) {
+            if (other != server && crossZoneDelayRounds(other) == crossZoneDelayRounds(server)) {
                 server.turnAtUs = other.turnAtUs;
                 break;
             }
@@ -276,18 +276,18 @@
     /** Returns when a cold server can safely take this fraction of a usual server's load. */
     private long warmEnoughAtUs(ServerState server, double fraction) {
         Rules rules = settings.rules();
-        double needed = Math.min(1, fraction / (rules.tipMultiple() * COLD_LOAD_FRACTION)) - rules.coldFrom();
-        return server.startedAtUs + (long) (Math.max(0, needed) / (1 - rules.coldFrom()) * rules.coldUs());
+        double extraCapacity = Math.min(1, fraction / (rules.tipMultiple() * COLD_LOAD_FRACTION)) - rules.coldFrom();
+        return server.startedAtUs + (long) (Math.max(0, extraCapacity) / (1 - rules.coldFrom()) * rules.coldUs());
     }
 
     /** Returns the fraction of its full capacity that a server can be assumed to have by now. */
     private double capacityFraction(ServerState server, long nowUs) {
         Rules rules = settings.rules();
-        long age = nowUs - server.startedAtUs;
-        if (server.startedAtUs <= 0 || age >= rules.coldUs()) {
+        long ageUs = nowUs - server.startedAtUs;
+        if (server.startedAtUs <= 0 || ageUs >= rules.coldUs()) {
             return 1;
         }
-        return rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, age) / rules.coldUs();
+        return rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, ageUs) / rules.coldUs();
     }
 
     /**
@@ -332,8 +332,8 @@
     }
 
     /** Returns by how many rounds a server's turn is postponed: 0 in the own zone or if crossing is free. */
-    private double crossZoneRank(ServerState server) {
-        return settings.prices().crossZone() > 0 && server.zone != settings.zone() ? CROSS_ZONE_ROUNDS : 0;
+    private double crossZoneDelayRounds(ServerState server) {
+        return settings.prices().crossZone() > 0 && server.zone != settings.zone() ? CROSS_ZONE_DELAY_ROUNDS : 0;
     }
 
     @Override
@@ -346,13 +346,13 @@
         long delay = DISCOVERY_RETRY_DELAY_US << Math.min(discoveryFailures++, 6);
         long maxDelay = settings.rules().askWithinUs() > 0 ? settings.rules().askWithinUs() / 4 : delay;
         watchRequestAtUs = nowUs + (long) (Math.min(delay, maxDelay) * (0.5 + random.nextDouble()));
-        advance(nowUs);
+        performDueWork(nowUs);
     }
 
     @Override
     public void listCurrent(long nowUs, ListFreshness freshness) {
         lease.confirm(freshness);
-        advance(nowUs);
+        performDueWork(nowUs);
     }
 
     @Override
@@ -368,7 +368,7 @@
     @Override
     public void listRead(long nowUs) {
         lease.markRead();
-        advance(nowUs);
+        performDueWork(nowUs);
     }
 
     @Override
@@ -413,10 +413,10 @@
         }
         RequestState state = new RequestState(request, requestClass, nowUs,
                 nowUs + Math.min(request.timeLeftUs(), usefulUs), relativeWork);
-        state.overQuota = tenantQuotas.overQuota(nowUs, request.tenant());
+        state.overQuota = tenantQuotas.exceedsQuota(nowUs, request.tenant());
         requests.put(request.id(), state);
-        savedRetries = Math.min(MAX_SAVED_RETRIES, savedRetries + RETRIES_PER_REQUEST);
-        savedProbes = Math.min(savedProbes + probesPerRequest, probesPerRequest * MAX_PROBE_ROUNDS);
+        retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRIES_PER_REQUEST);
+        probeBudget = Math.min(probeBudget + probesPerRequest, probesPerRequest * MAX_PROBE_ROUNDS);
         dispatch(nowUs, state);
     }
 
@@ -438,7 +438,7 @@
         ServerState idle =
                 usesReports(nowUs) ? pickServer(nowUs, request, ServerFilter.REPORTED_IDLE) : null;
         ServerState server = idle != null ? idle : pickServer(nowUs, request, ServerFilter.ANY);
-        if (idle == null && waitsForProbes(nowUs, request)) {
+        if (idle == null && sendProbesIfNeeded(nowUs, request)) {
             waiting.add(request);
             scheduleWake(request.probeWaitUntilUs);
         } else if (request.overQuota && (server == null || load(nowUs, server) > 0)) {
@@ -483,7 +483,7 @@
      * idle, including those that are busy with other copies' requests, stalled or slow. So the servers next
      * in turn are probed, and the first found idle is used. Applies where probes are cheap and quick.
      */
-    private boolean waitsForProbes(long nowUs, RequestState request) {
+    private boolean sendProbesIfNeeded(long nowUs, RequestState request) {
         if (!usesReports(nowUs)
                 || probeLatencyUs > request.requestClass.aimUs() * MAX_PROBE_LATENCY_FRACTION) {
             return false;
@@ -493,13 +493,13 @@
         }
         int sent = 0;
         int maxProbes = meanReportedLoad < LIGHT_LOAD ? 1 : PROBES_PER_ROUND;
-        while (request.probeRounds < MAX_PROBE_ROUNDS && sent < maxProbes && savedProbes >= 1) {
+        while (request.probeRounds < MAX_PROBE_ROUNDS && sent < maxProbes && probeBudget >= 1) {
             ServerState server = pickServer(nowUs, request, ServerFilter.UNKNOWN_LOAD);
             if (server == null) {
                 break;
             }
             server.probedAtUs = nowUs;
-            savedProbes--;
+            probeBudget--;
             sent++;
             actions.probe(server.id);
         }
@@ -532,7 +532,7 @@
         request.outstandingAttempts++;
         server.inFlight++;
         double delayUs = Math.min(roundTimeUs(nowUs) * (slowdown(server) - 1), MAX_SLOW_SERVER_DELAY_US)
-                + roundTimeUs(nowUs) * crossZoneRank(server);
+                + roundTimeUs(nowUs) * crossZoneDelayRounds(server);
         server.turnAtUs = nowUs + (long) delayUs;
         double turnIntervalUs = turnIntervalUs(server, nowUs);
         if (turnIntervalUs > roundTimeUs(nowUs)) {
@@ -562,29 +562,29 @@
         ServerState best = null;
         int all = servers.size();
         int sameZone = 0;
-        while (sameZone < all && crossZoneRank(servers.get(sameZone)) == 0) {
+        while (sameZone < all && crossZoneDelayRounds(servers.get(sameZone)) == 0) {
             sameZone++;
         }
-        int left = subsetSize(nowUs);
+        int remaining = subsetSize(nowUs);
         for (int pass = 0; pass < 2; pass++) {
             int from = pass * sameZone;
             int count = pass == 0 ? sameZone : all - sameZone;
             int first = (int) ((long) settings.copy() * count / settings.copies());
-            left = best == null && filter == ServerFilter.ANY ? subsetSize(nowUs) : left;
-            for (int i = 0; i < count && left > 0; i++) {
+            remaining = best == null && filter == ServerFilter.ANY ? subsetSize(nowUs) : remaining;
+            for (int i = 0; i < count && remaining > 0; i++) {
                 ServerState server = servers.get(from + (i + first) % count);
-                if (!available(nowUs, request, server)) {
+                if (!isAvailable(nowUs, request, server)) {
                     continue;
                 }
-                left--;
+                remaining--;
                 boolean matches = switch (filter) {
                     case ANY -> hasCapacity(nowUs, request, server);
                     case REPORTED_IDLE -> server.reportValidUntilUs > nowUs && load(nowUs, server) == 0
-                            && !demoted(nowUs, server);
+                            && !isDemoted(nowUs, server);
                     case UNKNOWN_LOAD -> server.probedAtUs == Long.MIN_VALUE
                             && server.reportValidUntilUs <= nowUs;
                 };
-                if (matches && (best == null || better(nowUs, server, best))) {
+                if (matches && (best == null || ranksBefore(nowUs, server, best))) {
                     best = server;
                 }
             }
@@ -608,8 +608,8 @@
         // The baseline latency is no waiting: in a chain of tiers it may be a third of the target latency.
         double baselineUs = Math.min(latencies.classBaselineUs(request.original.requestClass()), expectedUs);
         return idle || belowMinConcurrency(nowUs, server) && !latencies.hasBaseline()
-                || expectedUs - baselineUs <= (timeUs - baselineUs) * MAX_WAIT_FRACTION
-                && !congested(nowUs, request, server, expectedUs);
+                || expectedUs - baselineUs <= (timeUs - baselineUs) * MAX_SPARE_TIME_FRACTION
+                && !isCongested(nowUs, request, server, expectedUs);
     }
 
     /**
@@ -630,7 +630,7 @@
      * near the baseline and nothing is queued here. A general slowdown of a tier below looks the same: then a
      * copy sends only the minimum concurrency to each server.
      */
-    private boolean congested(long nowUs, RequestState request, ServerState server, double expectedUs) {
+    private boolean isCongested(long nowUs, RequestState request, ServerState server, double expectedUs) {
         return !belowMinConcurrency(nowUs, server)
                 && latencies.meanLatencyUs() > latencies.baselineLatencyUs() * OVERALL_CONGESTION_FACTOR
                 && expectedUs > latencies.baselineLatencyUs() * relativeLatency(request) * CONGESTED_FACTOR;
@@ -642,7 +642,7 @@
                 && nowUs - server.lastLatencySampleUs < FAILURE_COOLDOWN_US;
     }
 
-    private boolean available(long nowUs, RequestState request, ServerState server) {
+    private boolean isAvailable(long nowUs, RequestState request, ServerState server) {
         return server.cooldownUntilUs <= nowUs && server.admitAtUs <= nowUs
                 && lease.usable(nowUs, server.lastAcceptedSendUs)
                 && mayUse(request, server);
@@ -673,7 +673,7 @@
 
     /** Returns the least time that this request can be expected to take. */
     private double minLatencyUs(RequestState request) {
-        return (request.queued ? latencies.unitLatencyUs() * QUEUED_TIME_FACTOR
+        return (request.queued ? latencies.unitLatencyUs() * MIN_QUEUED_TIME_FACTOR
                 : latencies.quickUnitLatencyUs()) * request.relativeWork * relativeLatency(request);
     }
 
@@ -685,11 +685,11 @@
      * Returns whether a is chosen before b: idle servers that are not demoted come first, then those with the
      * fewest requests in flight, demoted or not; among equals the one assigned least recently.
      */
-    private boolean better(long nowUs, ServerState a, ServerState b) {
+    private boolean ranksBefore(long nowUs, ServerState a, ServerState b) {
         int loadA = load(nowUs, a);
         int loadB = load(nowUs, b);
-        boolean idleA = loadA == 0 && !demoted(nowUs, a);
-        boolean idleB = loadB == 0 && !demoted(nowUs, b);
+        boolean idleA = loadA == 0 && !isDemoted(nowUs, a);
+        boolean idleB = loadB == 0 && !isDemoted(nowUs, b);
         if (idleA != idleB) {
             return idleA;
         }
@@ -710,7 +710,7 @@
      * demoted too: it was probed first because its turn is next, so the request that waited for the probe
      * would go to a server that is stalled or partitioned.
      */
-    private boolean demoted(long nowUs, ServerState server) {
+    private boolean isDemoted(long nowUs, ServerState server) {
         return server.demotedUntilUs > nowUs || mayNeedConnection(nowUs, server)
                 || server.probedAtUs != Long.MIN_VALUE
                 && nowUs - server.probedAtUs > PROBE_OVERDUE_FACTOR * probeLatencyUs;
@@ -799,7 +799,7 @@
                     nowUs + (long) (latencies.unitLatencyUs() * BUSY_REPORT_FACTOR);
         }
         if (attempt.reportedIdle()) {
-            reportTrust.update(nowUs, outcome == Outcome.FULL || outcome == Outcome.TIMEOUT);
+            reportTrust.recordReport(nowUs, outcome == Outcome.FULL || outcome == Outcome.TIMEOUT);
         }
         attempt.provedNotRun = outcome.provesNotRun;
         if (outcome == Outcome.TIMEOUT && !attempt.overdue) {
@@ -813,7 +813,7 @@
             retryOrEnd(nowUs, request, outcome);
         }
         removeIfCompleted(request);
-        advance(nowUs);
+        performDueWork(nowUs);
     }
 
     private void recordAccepted(Attempt attempt) {
@@ -830,14 +830,14 @@
 
     private void recordLatency(long nowUs, Attempt attempt, boolean served, long elapsedUs) {
         if (attempt.loadKnown || latencies.unitLatencyUs() == 0) {
-            latencies.add(attempt, served, elapsedUs);
+            latencies.addSample(attempt, served, elapsedUs);
             attempt.server.lastLatencySampleUs = nowUs;
         }
     }
 
     /** Returns whether the load of servers is taken from probes. */
     private boolean usesReports(long nowUs) {
-        return probesPerRequest > 0 && reportTrust.trusted(nowUs);
+        return probesPerRequest > 0 && reportTrust.reportsTrusted(nowUs);
     }
 
     /**
@@ -850,7 +850,7 @@
         if (!error) {
             server.errorCooldowns = server.errorRate < MAX_ERROR_RATE / 2 ? 0 : server.errorCooldowns;
         } else if (server.errorRate > MAX_ERROR_RATE && server.errorRate > 2 * failureRates.errorRate()
-                && halfStayInUse(nowUs)) {
+                && mayStartCooldown(nowUs)) {
             server.cooldownUntilUs = nowUs
                     + (FAILURE_COOLDOWN_US << Math.min(server.errorCooldowns++, MAX_BACKOFF_DOUBLINGS));
             server.errorRate = MAX_ERROR_RATE;
@@ -860,7 +860,7 @@
 
     /** Updates a server's failure counts; only a connection that fails or breaks counts as a failure. */
     private void recordOutcome(long nowUs, ServerState server, Outcome outcome) {
-        failureRates.update(outcome);
+        failureRates.recordOutcome(outcome);
         if (outcome == Outcome.OK || outcome == Outcome.ERROR) {
             updateErrorRate(nowUs, server, outcome == Outcome.ERROR);
         }
@@ -885,9 +885,9 @@
 
     /** After an attempt without a response, tries another server if that is allowed and within budget. */
     private void retryOrEnd(long nowUs, RequestState request, Outcome outcome) {
-        double price = outcome.provesNotRun ? 0 : 1;
-        if (mayRetry(nowUs, request) && savedRetries >= price) {
-            savedRetries -= price;
+        double retryCost = outcome.provesNotRun ? 0 : 1;
+        if (mayRetry(nowUs, request) && retryBudget >= retryCost) {
+            retryBudget -= retryCost;
             dispatch(nowUs, request);
         } else {
             refuseOrFail(nowUs, request);
@@ -937,7 +937,7 @@
         recordLatency(nowUs, attempt, true, elapsedUs);
         attempt.request.completed = true;
         cancelOutstanding(attempt.request);
-        advance(nowUs);
+        performDueWork(nowUs);
     }
 
     @Override
@@ -965,7 +965,7 @@
             request.completed = true;
             cancelOutstanding(request);
             removeIfCompleted(request);
-            advance(nowUs);
+            performDueWork(nowUs);
         }
     }
 
@@ -993,7 +993,7 @@
                     MAX_SLOW_SERVER_DELAY_US);
             server.turnAtUs = Math.max(server.turnAtUs, nowUs + delayUs);
         }
-        if (server.overdueAttempts >= MAX_UNANSWERED && halfStayInUse(nowUs)) {
+        if (server.overdueAttempts >= MAX_UNANSWERED && mayStartCooldown(nowUs)) {
             server.cooldownUntilUs = nowUs + (FAILURE_COOLDOWN_US
                     << Math.min(server.overdueAttempts - MAX_UNANSWERED, MAX_BACKOFF_DOUBLINGS));
             logRateLimited(nowUs, server.id, " rests: calls to it stay unanswered");
@@ -1008,7 +1008,7 @@
     }
 
     /** Returns whether half of the servers stay in use after one more cooldown, so false alarms stop none. */
-    private boolean halfStayInUse(long nowUs) {
+    private boolean mayStartCooldown(long nowUs) {
         int inUse = 0;
         for (ServerState server : servers) {
             inUse += server.cooldownUntilUs <= nowUs && server.admitAtUs <= nowUs ? 1 : 0;
@@ -1047,7 +1047,7 @@
             server.unansweredProbes++;
             meanReportedLoad -= MEAN_WEIGHT * meanReportedLoad;
         }
-        advance(nowUs);
+        performDueWork(nowUs);
     }
 
     // ---- time
@@ -1057,7 +1057,7 @@
         if (wakeAtUs <= nowUs) {
             wakeAtUs = Long.MAX_VALUE;
         }
-        advance(nowUs);
+        performDueWork(nowUs);
     }
 
     @Override
@@ -1090,7 +1090,7 @@
     }
 
     /** Does what is due: asks discovery, handles overdue attempts, and sends or ends queued requests. */
-    private void advance(long nowUs) {
+    private void performDueWork(long nowUs) {
         if (watchRequestAtUs <= nowUs && !watching) {
             watchRequestAtUs = Long.MAX_VALUE;
             actions.watchServers();
--- a/src/main/java/passhatch/ReportTrust.java
+++ b/src/main/java/passhatch/ReportTrust.java
@@ -33,7 +33,7 @@
     }
 
     /** Records whether an outcome refuted a report that the server was idle. */
-    void update(long nowUs, boolean refuted) {
+    void recordReport(long nowUs, boolean refuted) {
         refutedRate += weight * ((refuted ? 1 : 0) - refutedRate);
         if (refutedRate > maxRefutedRate) {
             distrustUntilUs = nowUs + (initialPauseUs << Math.min(distrustPeriods++, MAX_BACKOFF_DOUBLINGS));
@@ -41,7 +41,7 @@
         }
     }
 
-    boolean trusted(long nowUs) {
+    boolean reportsTrusted(long nowUs) {
         return distrustUntilUs <= nowUs;
     }
 }
--- a/src/main/java/passhatch/RequestState.java
+++ b/src/main/java/passhatch/RequestState.java
@@ -12,7 +12,7 @@
      * Fraction of the useful time that a request waits for a list; a refusal after half of it would
      * come too late.
      */
-    private static final double LIST_WAIT_FRACTION = 0.4;
+    private static final double LIST_WAIT_FRACTION_OF_USEFUL_TIME = 0.4;
 
     final Request original;
     final RequestClass requestClass;
@@ -62,7 +62,8 @@
         this.usefulUntilUs = usefulUntilUs;
         this.relativeWork = relativeWork;
         this.deadlineUs = nowUs + original.timeLeftUs();
-        this.listWaitUntilUs = nowUs + (long) ((usefulUntilUs - nowUs) * LIST_WAIT_FRACTION);
+        this.listWaitUntilUs =
+                nowUs + (long) ((usefulUntilUs - nowUs) * LIST_WAIT_FRACTION_OF_USEFUL_TIME);
     }
 
     /** Returns the first attempt that may have run or may still run, or null. */
--- a/src/main/java/passhatch/SettingsCheck.java
+++ b/src/main/java/passhatch/SettingsCheck.java
@@ -11,34 +11,43 @@
 
     private SettingsCheck() {}
 
-    static void check(Settings s) {
-        require(s != null, "settings", "missing");
-        require(s.classes() != null && !s.classes().isEmpty(), "classes", "at least one is needed");
-        for (int i = 0; i < s.classes().size(); i++) {
-            RequestClass c = s.classes().get(i);
-            String at = "classes[" + i + "]";
-            require(c != null, at, "missing");
-            require(c.effect() != null, at + ".effect", "missing");
-            require(c.group() != null, at + ".group", "missing");
-            require(c.aimUs() > 0, at + ".aimUs", "must be above 0");
-            require(c.deadlineUs() >= c.aimUs(), at + ".deadlineUs", "must not be below aimUs");
-            require(c.worth() >= 0, at + ".worth", "must not be negative");
+    static void check(Settings settings) {
+        require(settings != null, "settings", "missing");
+        require(
+                settings.classes() != null && !settings.classes().isEmpty(),
+                "classes",
+                "at least one is needed");
+        for (int i = 0; i < settings.classes().size(); i++) {
+            RequestClass requestClass = settings.classes().get(i);
+            String path = "classes[" + i + "]";
+            require(requestClass != null, path, "missing");
+            require(requestClass.effect() != null, path + ".effect", "missing");
+            require(requestClass.group() != null, path + ".group", "missing");
+            require(requestClass.aimUs() > 0, path + ".aimUs", "must be above 0");
+            require(
+                    requestClass.deadlineUs() >= requestClass.aimUs(),
+                    path + ".deadlineUs",
+                    "must not be below aimUs");
+            require(requestClass.worth() >= 0, path + ".worth", "must not be negative");
             require(
-                    c.lateWorth() >= 0 && c.lateWorth() <= 1,
-                    at + ".lateWorth",
+                    requestClass.lateWorth() >= 0 && requestClass.lateWorth() <= 1,
+                    path + ".lateWorth",
                     "must lie in 0..1");
-            require(c.dedupWindowUs() >= 0, at + ".dedupWindowUs", "must not be negative");
+            require(
+                    requestClass.dedupWindowUs() >= 0,
+                    path + ".dedupWindowUs",
+                    "must not be negative");
         }
-        require(s.tenants() != null, "tenants", "missing");
-        for (int i = 0; i < s.tenants().size(); i++) {
-            Tenant t = s.tenants().get(i);
-            require(t != null, "tenants[" + i + "]", "missing");
+        require(settings.tenants() != null, "tenants", "missing");
+        for (int i = 0; i < settings.tenants().size(); i++) {
+            Tenant tenant = settings.tenants().get(i);
+            require(tenant != null, "tenants[" + i + "]", "missing");
             require(
-                    t.quotaPerSecond() >= 0,
+                    tenant.quotaPerSecond() >= 0,
                     "tenants[" + i + "].quotaPerSecond",
                     "must not be negative");
         }
-        Limits limits = s.limits();
+        Limits limits = settings.limits();
         require(limits != null, "limits", "missing");
         require(limits.maxAttempts() >= 1, "limits.maxAttempts", "must be at least 1");
         require(limits.maxRetryAfterUs() >= 0, "limits.maxRetryAfterUs", "must not be negative");
@@ -47,7 +56,7 @@
                 "limits.callsPerConnection",
                 "must be at least 1");
         require(limits.keepaliveUs() >= 0, "limits.keepaliveUs", "must not be negative");
-        Rules rules = s.rules();
+        Rules rules = settings.rules();
         require(rules != null, "rules", "missing");
         require(rules.drainGraceUs() >= 0, "rules.drainGraceUs", "must not be negative");
         require(rules.askWithinUs() >= 0, "rules.askWithinUs", "must not be negative");
@@ -59,21 +68,27 @@
         require(rules.tipMultiple() > 0, "rules.tipMultiple", "must be above 0");
         require(rules.overloadForUs() >= 0, "rules.overloadForUs", "must not be negative");
         require(rules.closeWithinUs() >= 0, "rules.closeWithinUs", "must not be negative");
-        require(s.prices() != null, "prices", "missing");
-        require(s.copies() >= 1, "copies", "must be at least 1");
-        require(s.copy() >= 0 && s.copy() < s.copies(), "copy", "must lie within copies");
-        require(s.tiers() >= 1, "tiers", "must be at least 1");
-        require(s.tier() >= 0 && s.tier() < s.tiers(), "tier", "must lie within tiers");
+        require(settings.prices() != null, "prices", "missing");
+        require(settings.copies() >= 1, "copies", "must be at least 1");
+        require(
+                settings.copy() >= 0 && settings.copy() < settings.copies(),
+                "copy",
+                "must lie within copies");
+        require(settings.tiers() >= 1, "tiers", "must be at least 1");
+        require(
+                settings.tier() >= 0 && settings.tier() < settings.tiers(),
+                "tier",
+                "must lie within tiers");
         require(
-                s.overQuotaWorth() >= 0 && s.overQuotaWorth() <= 1,
+                settings.overQuotaWorth() >= 0 && settings.overQuotaWorth() <= 1,
                 "overQuotaWorth",
                 "must lie in 0..1");
-        require(s.tickUs() >= 1, "tickUs", "must be at least 1");
+        require(settings.tickUs() >= 1, "tickUs", "must be at least 1");
     }
 
-    private static void require(boolean holds, String field, String what) {
+    private static void require(boolean holds, String field, String problem) {
         if (!holds) {
-            throw new IllegalArgumentException(field + ": " + what);
+            throw new IllegalArgumentException(field + ": " + problem);
         }
     }
 }
--- a/src/main/java/passhatch/SettingsReader.java
+++ b/src/main/java/passhatch/SettingsReader.java
@@ -33,28 +33,28 @@
     public static Settings read(Map<String, Object> params) throws InvalidSettingsException {
         SettingsReader top = new SettingsReader(params, "");
         List<RequestClass> classes = new ArrayList<>();
-        for (SettingsReader category : top.list("categories")) {
+        for (SettingsReader category : top.readObjects("categories")) {
             classes.add(
                     new RequestClass(
-                            category.text("name", ""),
-                            category.wholeNumber("goalTimeUs"),
-                            category.wholeNumber("deadlineUs"),
-                            category.number("worth"),
-                            category.number("lateWorth", 0),
-                            category.effect(),
-                            category.group(),
-                            (long) category.number("dedupWindowUs", 0),
-                            category.indices("runsIn"),
-                            category.indices("machineTypesOnly")));
+                            category.readText("name", ""),
+                            category.readWholeNumber("goalTimeUs"),
+                            category.readWholeNumber("deadlineUs"),
+                            category.readNumber("worth"),
+                            category.readNumber("lateWorth", 0),
+                            category.readEffect(),
+                            category.readGroup(),
+                            (long) category.readNumber("dedupWindowUs", 0),
+                            category.readIndices("runsIn"),
+                            category.readIndices("machineTypesOnly")));
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (SettingsReader tenant : top.list("tenants")) {
-            tenants.add(new Tenant(tenant.text("name", ""), tenant.number("quotaPerS", 0)));
+        for (SettingsReader tenant : top.readObjects("tenants")) {
+            tenants.add(new Tenant(tenant.readText("name", ""), tenant.readNumber("quotaPerS", 0)));
         }
-        SettingsReader limits = top.object("limits");
-        SettingsReader rules = top.object("rules");
-        SettingsReader prices = top.object("fees");
-        boolean watch = top.text("discovery", "pushed").equals("on_request");
+        SettingsReader limits = top.readObject("limits");
+        SettingsReader rules = top.readObject("rules");
+        SettingsReader prices = top.readObject("fees");
+        boolean watch = top.readText("discovery", "pushed").equals("on_request");
         int tiers =
                 top.values.get("layers") instanceof List<?> names ? Math.max(1, names.size()) : 1;
         SettingsBuilder builder = new SettingsBuilder();
@@ -62,35 +62,37 @@
         tenants.forEach(builder::tenant);
         return builder.limits(
                         new Limits(
-                                (int) limits.wholeNumber("maxAttempts"),
-                                limits.flag("cancel"),
-                                limits.flag("probes"),
-                                limits.flag("retryAfter")
-                                        ? (long) limits.number("maxRetryAfterUs", 0)
+                                (int) limits.readWholeNumber("maxAttempts"),
+                                limits.readFlag("cancel"),
+                                limits.readFlag("probes"),
+                                limits.readFlag("retryAfter")
+                                        ? (long) limits.readNumber("maxRetryAfterUs", 0)
                                         : 0,
-                                (int) limits.number("maxStreams", 1),
-                                (long) limits.number("keepaliveUs", 0)))
+                                (int) limits.readNumber("maxStreams", 1),
+                                (long) limits.readNumber("keepaliveUs", 0)))
                 .rules(
                         new Rules(
-                                rules.wholeNumber("drainGraceUs"),
-                                watch ? rules.wholeNumber("askEveryUs") : 0,
-                                rules.number("coldFrom"),
-                                rules.wholeNumber("coldUs"),
-                                rules.number("tipMultiple"),
-                                rules.wholeNumber("overloadForUs"),
-                                (long) rules.number("letGoInUs", 0)))
-                .prices(new Prices(prices.number("probe", 0), prices.number("crossZone", 0)))
-                .copies((int) top.wholeNumber("balancers"), (int) top.number("me", 0))
-                .tier((int) top.number("layer", 0), tiers)
-                .zone((int) top.number("locality", 0))
+                                rules.readWholeNumber("drainGraceUs"),
+                                watch ? rules.readWholeNumber("askEveryUs") : 0,
+                                rules.readNumber("coldFrom"),
+                                rules.readWholeNumber("coldUs"),
+                                rules.readNumber("tipMultiple"),
+                                rules.readWholeNumber("overloadForUs"),
+                                (long) rules.readNumber("letGoInUs", 0)))
+                .prices(
+                        new Prices(
+                                prices.readNumber("probe", 0), prices.readNumber("crossZone", 0)))
+                .copies((int) top.readWholeNumber("balancers"), (int) top.readNumber("me", 0))
+                .tier((int) top.readNumber("layer", 0), tiers)
+                .zone((int) top.readNumber("locality", 0))
                 .watch(watch)
-                .overQuotaWorth(top.number("overShareWorth", 1))
-                .tickUs((long) top.number("resolutionUs", 1))
+                .overQuotaWorth(top.readNumber("overShareWorth", 1))
+                .tickUs((long) top.readNumber("resolutionUs", 1))
                 .build();
     }
 
-    private Effect effect() throws InvalidSettingsException {
-        String text = text("effect", null);
+    private Effect readEffect() throws InvalidSettingsException {
+        String text = readText("effect", null);
         if (text == null) {
             throw invalid("effect", "is missing");
         }
@@ -102,8 +104,8 @@
         };
     }
 
-    private DedupGroup group() throws InvalidSettingsException {
-        String text = text("group", "all");
+    private DedupGroup readGroup() throws InvalidSettingsException {
+        String text = readText("group", "all");
         return switch (text) {
             case "all" -> DedupGroup.ALL;
             case "zone" -> DedupGroup.ZONE;
@@ -112,14 +114,14 @@
         };
     }
 
-    private double number(String key) throws InvalidSettingsException {
+    private double readNumber(String key) throws InvalidSettingsException {
         if (values.get(key) == null) {
             throw invalid(key, "is missing");
         }
-        return number(key, 0);
+        return readNumber(key, 0);
     }
 
-    private double number(String key, double defaultValue) throws InvalidSettingsException {
+    private double readNumber(String key, double defaultValue) throws InvalidSettingsException {
         Object value = values.get(key);
         if (value == null) {
             return defaultValue;
@@ -131,7 +133,7 @@
     }
 
     /** Reads a list of indices as a set; null where absent. */
-    private Set<Integer> indices(String key) throws InvalidSettingsException {
+    private Set<Integer> readIndices(String key) throws InvalidSettingsException {
         Object value = values.get(key);
         if (value == null) {
             return null;
@@ -149,15 +151,15 @@
         return result;
     }
 
-    private long wholeNumber(String key) throws InvalidSettingsException {
-        return Math.round(number(key));
+    private long readWholeNumber(String key) throws InvalidSettingsException {
+        return Math.round(readNumber(key));
     }
 
-    private boolean flag(String key) {
+    private boolean readFlag(String key) {
         return Boolean.TRUE.equals(values.get(key));
     }
 
-    private String text(String key, String defaultValue) throws InvalidSettingsException {
+    private String readText(String key, String defaultValue) throws InvalidSettingsException {
         Object value = values.get(key);
         if (value == null) {
             return defaultValue;
@@ -168,13 +170,13 @@
         throw invalid(key, "must be a text");
     }
 
-    private SettingsReader object(String key) throws InvalidSettingsException {
+    private SettingsReader readObject(String key) throws InvalidSettingsException {
         Object value = values.get(key);
         return new SettingsReader(
                 value == null ? Map.of() : asObject(value, key), path + key + ".");
     }
 
-    private List<SettingsReader> list(String key) throws InvalidSettingsException {
+    private List<SettingsReader> readObjects(String key) throws InvalidSettingsException {
         List<SettingsReader> result = new ArrayList<>();
         Object value = values.get(key);
         if (value != null && !(value instanceof List<?>)) {
@@ -197,7 +199,7 @@
         throw invalid(key, "must be an object");
     }
 
-    private InvalidSettingsException invalid(String key, String what) {
-        return new InvalidSettingsException("params." + path + key + " " + what);
+    private InvalidSettingsException invalid(String key, String problem) {
+        return new InvalidSettingsException("params." + path + key + " " + problem);
     }
 }
--- a/src/main/java/passhatch/TenantQuotas.java
+++ b/src/main/java/passhatch/TenantQuotas.java
@@ -24,7 +24,7 @@
      * worth, so it makes room for others while no server is idle. The quota applies at the first tier only,
      * as further down work was already done for the request.
      */
-    boolean overQuota(long nowUs, int tenant) {
+    boolean exceedsQuota(long nowUs, int tenant) {
         if (settings.tier() > 0 || settings.overQuotaWorth() >= 1 || tenant >= theoreticalArrivalUs.length) {
             return false;
         }
--- a/src/main/java/passhatch/adapter/BatchReader.java
+++ b/src/main/java/passhatch/adapter/BatchReader.java
@@ -18,32 +18,32 @@
 
     private final JsonParser parser;
     private final List<Event> pool = new ArrayList<>();
-    private final int[] instances = new int[1];
-    private int size;
+    private final int[] groupInstance = new int[1];
+    private int eventCount;
     private long nowUs;
-    private int line;
+    private int batchLine;
 
     BatchReader(InputStream in) throws IOException {
         parser = new JsonFactory().createParser(in);
     }
 
     /** Reads the next batch. Returns false at the end of the input. */
-    boolean next() throws IOException, WireException {
+    boolean readNext() throws IOException, WireException {
         try {
             JsonToken token = parser.nextToken();
             if (token == null) {
                 return false;
             }
-            line = parser.currentTokenLocation().getLineNr();
+            batchLine = parser.currentTokenLocation().getLineNr();
             expect(token, JsonToken.START_OBJECT, "a batch");
-            size = 0;
+            eventCount = 0;
             nowUs = Event.ABSENT;
             boolean groups = false;
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String field = parser.currentName();
                 parser.nextToken();
                 switch (field) {
-                    case "atTimeUs" -> nowUs = number(field);
+                    case "atTimeUs" -> nowUs = readWholeNumber(field);
                     case "groups" -> {
                         groups = true;
                         readGroups();
@@ -62,7 +62,7 @@
             var location = e.getLocation();
             throw new WireException(
                     "line "
-                            + (location == null ? line : location.getLineNr())
+                            + (location == null ? batchLine : location.getLineNr())
                             + ", column "
                             + (location == null ? 0 : location.getColumnNr())
                             + ": not valid JSON: "
@@ -70,8 +70,8 @@
         }
     }
 
-    int size() {
-        return size;
+    int eventCount() {
+        return eventCount;
     }
 
     Event event(int i) {
@@ -82,30 +82,30 @@
         return nowUs;
     }
 
-    int line() {
-        return line;
+    int batchLine() {
+        return batchLine;
     }
 
     private void readGroups() throws IOException, WireException {
         expect(parser.currentToken(), JsonToken.START_ARRAY, "groups");
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             expect(parser.currentToken(), JsonToken.START_OBJECT, "an item of groups");
-            int first = size;
-            instances[0] = Integer.MIN_VALUE;
+            int first = eventCount;
+            groupInstance[0] = Integer.MIN_VALUE;
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String field = parser.currentName();
                 parser.nextToken();
                 switch (field) {
-                    case "who" -> instances[0] = (int) number(field);
+                    case "who" -> groupInstance[0] = (int) readWholeNumber(field);
                     case "input" -> readEvents();
                     default -> parser.skipChildren();
                 }
             }
-            if (instances[0] == Integer.MIN_VALUE) {
+            if (groupInstance[0] == Integer.MIN_VALUE) {
                 throw invalid("group: field who is missing");
             }
-            for (int i = first; i < size; i++) {
-                pool.get(i).who = instances[0];
+            for (int i = first; i < eventCount; i++) {
+                pool.get(i).who = groupInstance[0];
             }
         }
     }
@@ -114,10 +114,10 @@
         expect(parser.currentToken(), JsonToken.START_ARRAY, "input");
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             expect(parser.currentToken(), JsonToken.START_OBJECT, "an item of input");
-            if (size == pool.size()) {
+            if (eventCount == pool.size()) {
                 pool.add(new Event());
             }
-            Event event = pool.get(size++).clear(0, line);
+            Event event = pool.get(eventCount++).clear(0, batchLine);
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String field = parser.currentName();
                 if (parser.nextToken() != JsonToken.VALUE_NULL) {
@@ -132,26 +132,26 @@
 
     private void readField(Event event, String field) throws IOException, WireException {
         switch (field) {
-            case "msg" -> event.msg = text(field);
-            case "opId" -> event.opId = text(field);
-            case "backend" -> event.backend = text(field);
-            case "ending" -> event.ending = text(field);
-            case "mode" -> event.mode = text(field);
-            case "last" -> event.last = flag(field);
-            case "profile" -> event.profile = number(field);
-            case "billing" -> event.billing = number(field);
-            case "budgetUs" -> event.budgetUs = number(field);
-            case "predictedUs" -> event.predictedUs = number(field);
-            case "marks" -> event.marks = number(field);
-            case "elapsedUs" -> event.elapsedUs = number(field);
-            case "leg" -> event.leg = number(field);
-            case "rosterId" -> event.rosterId = number(field);
+            case "msg" -> event.msg = readText(field);
+            case "opId" -> event.opId = readText(field);
+            case "backend" -> event.backend = readText(field);
+            case "ending" -> event.ending = readText(field);
+            case "mode" -> event.mode = readText(field);
+            case "last" -> event.last = readFlag(field);
+            case "profile" -> event.profile = readWholeNumber(field);
+            case "billing" -> event.billing = readWholeNumber(field);
+            case "budgetUs" -> event.budgetUs = readWholeNumber(field);
+            case "predictedUs" -> event.predictedUs = readWholeNumber(field);
+            case "marks" -> event.marks = readWholeNumber(field);
+            case "elapsedUs" -> event.elapsedUs = readWholeNumber(field);
+            case "leg" -> event.leg = readWholeNumber(field);
+            case "rosterId" -> event.rosterId = readWholeNumber(field);
             case "nonce64" -> {
-                number(field);
+                readWholeNumber(field);
                 event.nonce64 = parser.getBigIntegerValue().longValue();
             }
             case "stats" -> event.stats = readNumbers(field);
-            case "nodesList" -> readNodes(event.newNodes());
+            case "nodesList" -> readNodes(event.createNodeList());
             case "params" -> {
                 expect(parser.currentToken(), JsonToken.START_OBJECT, field);
                 event.params = readObject();
@@ -165,7 +165,7 @@
         double[] values = new double[4];
         int count = 0;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            double value = parser.currentToken() == JsonToken.VALUE_NULL ? -1 : decimal(field);
+            double value = parser.currentToken() == JsonToken.VALUE_NULL ? -1 : readDecimal(field);
             if (count < values.length) {
                 values[count++] = value;
             }
@@ -189,12 +189,12 @@
                     continue;
                 }
                 switch (field) {
-                    case "backend" -> id = text(field);
-                    case "bootTimeUs" -> startedAtUs = number(field);
-                    case "dc" -> zone = (int) number(field);
-                    case "group" -> group = (int) number(field);
-                    case "model" -> model = (int) number(field);
-                    case "readiness" -> status = status(text(field));
+                    case "backend" -> id = readText(field);
+                    case "bootTimeUs" -> startedAtUs = readWholeNumber(field);
+                    case "dc" -> zone = (int) readWholeNumber(field);
+                    case "group" -> group = (int) readWholeNumber(field);
+                    case "model" -> model = (int) readWholeNumber(field);
+                    case "readiness" -> status = parseStatus(readText(field));
                     default -> parser.skipChildren();
                 }
             }
@@ -206,7 +206,7 @@
         }
     }
 
-    private ServerStatus status(String text) throws WireException {
+    private ServerStatus parseStatus(String text) throws WireException {
         return switch (text) {
             case "U" -> ServerStatus.UP;
             case "L" -> ServerStatus.DRAINING;
@@ -249,7 +249,7 @@
         }
     }
 
-    private long number(String field) throws IOException, WireException {
+    private long readWholeNumber(String field) throws IOException, WireException {
         if (parser.currentToken() == JsonToken.VALUE_NUMBER_INT) {
             return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                     ? Long.MAX_VALUE
@@ -258,37 +258,37 @@
         throw invalid("field " + field + " must be a whole number");
     }
 
-    private double decimal(String field) throws IOException, WireException {
+    private double readDecimal(String field) throws IOException, WireException {
         if (!parser.currentToken().isNumeric()) {
             throw invalid("field " + field + " must hold numbers");
         }
         return parser.getDoubleValue();
     }
 
-    private String text(String field) throws IOException, WireException {
+    private String readText(String field) throws IOException, WireException {
         if (parser.currentToken() != JsonToken.VALUE_STRING) {
             throw invalid("field " + field + " must be a text");
         }
         return parser.getText();
     }
 
-    private boolean flag(String field) throws IOException, WireException {
+    private boolean readFlag(String field) throws IOException, WireException {
         if (!parser.currentToken().isBoolean()) {
             throw invalid("field " + field + " must be true or false");
         }
         return parser.getBooleanValue();
     }
 
-    private void expect(JsonToken token, JsonToken wanted, String what) throws WireException {
+    private void expect(JsonToken token, JsonToken wanted, String subject) throws WireException {
         if (token != wanted) {
             throw invalid(
-                    what
+                    subject
                             + " must be "
                             + (wanted == JsonToken.START_OBJECT ? "an object" : "an array"));
         }
     }
 
-    private WireException invalid(String what) {
-        return new WireException("line " + line + ": " + what);
+    private WireException invalid(String problem) {
+        return new WireException("line " + batchLine + ": " + problem);
     }
 }
--- a/src/main/java/passhatch/adapter/Event.java
+++ b/src/main/java/passhatch/adapter/Event.java
@@ -12,7 +12,7 @@
     static final long ABSENT = Long.MIN_VALUE;
 
     int who;
-    int line;
+    int batchLine;
     String msg;
     String opId;
     String backend;
@@ -34,7 +34,7 @@
 
     Event clear(int instance, int lineNumber) {
         who = instance;
-        line = lineNumber;
+        batchLine = lineNumber;
         msg = null;
         opId = null;
         backend = null;
@@ -56,19 +56,19 @@
         return this;
     }
 
-    List<Server> newNodes() {
+    List<Server> createNodeList() {
         nodes = new ArrayList<>();
         return nodes;
     }
 
-    long required(long value, String field) throws WireException {
+    long require(long value, String field) throws WireException {
         if (value == ABSENT) {
             throw missing(field);
         }
         return value;
     }
 
-    <T> T required(T value, String field) throws WireException {
+    <T> T require(T value, String field) throws WireException {
         if (value == null) {
             throw missing(field);
         }
@@ -76,6 +76,7 @@
     }
 
     private WireException missing(String field) {
-        return new WireException("line " + line + ": " + msg + ": field " + field + " is missing");
+        return new WireException(
+                "line " + batchLine + ": " + msg + ": field " + field + " is missing");
     }
 }
--- a/src/main/java/passhatch/adapter/Wire.java
+++ b/src/main/java/passhatch/adapter/Wire.java
@@ -34,7 +34,7 @@
     /** Indices of the values in a load report; -1 for values that are not reported. */
     private record ReportLayout(int inFlight, int queue, int utilisation) {}
 
-    private record Instance(Balancer balancer, ReportLayout reportLayout, boolean watches) {}
+    private record Instance(Balancer balancer, ReportLayout reportLayout, boolean asksDiscovery) {}
 
     private final BatchReader reader;
     private final OutputStream out;
@@ -55,10 +55,10 @@
 
     /** Answers each batch with one line of actions until the input ends. */
     void serve() throws IOException, WireException {
-        while (reader.next()) {
+        while (reader.readNext()) {
             json.writeStartObject();
             json.writeArrayFieldStart("groups");
-            for (int i = 0; i < reader.size(); i++) {
+            for (int i = 0; i < reader.eventCount(); i++) {
                 Event event = reader.event(i);
                 if (groupOpen && event.who != currentInstance) {
                     closeGroup();
@@ -84,22 +84,22 @@
         switch (event.msg) {
             case "catalog" -> {
                 catalogs.put(
-                        event.required(event.rosterId, "rosterId"),
-                        event.required(event.nodes, "nodesList"));
+                        event.require(event.rosterId, "rosterId"),
+                        event.require(event.nodes, "nodesList"));
                 return;
             }
             case "powerOn" -> {
-                start(event);
+                startInstance(event);
                 return;
             }
             case "teardown" -> {
-                instance(event);
+                findInstance(event);
                 instances.remove(event.who);
                 return;
             }
             default -> {}
         }
-        Instance instance = instance(event);
+        Instance instance = findInstance(event);
         Balancer balancer = instance.balancer();
         switch (event.msg) {
             case "inbound" -> {
@@ -108,53 +108,57 @@
                 balancer.request(
                         nowUs,
                         new Request(
-                                event.required(event.opId, "opId"),
-                                (int) event.required(event.profile, "profile"),
+                                event.require(event.opId, "opId"),
+                                (int) event.require(event.profile, "profile"),
                                 event.billing == Event.ABSENT ? 0 : (int) event.billing,
-                                event.required(event.budgetUs, "budgetUs"),
+                                event.require(event.budgetUs, "budgetUs"),
                                 hasHint ? event.predictedUs : 0,
                                 (marks & MARK_RETRY) != 0));
             }
             case "reply" ->
                     balancer.outcome(
                             nowUs,
-                            event.required(event.opId, "opId"),
-                            (int) event.required(event.leg, "leg"),
+                            event.require(event.opId, "opId"),
+                            (int) event.require(event.leg, "leg"),
                             event.backend,
-                            outcome(event),
-                            event.required(event.elapsedUs, "elapsedUs"),
+                            toOutcome(event),
+                            event.require(event.elapsedUs, "elapsedUs"),
                             event.last,
-                            report(instance.reportLayout(), event.stats));
+                            toReport(instance.reportLayout(), event.stats));
             case "healthResult" ->
                     balancer.probeResult(
                             nowUs,
-                            event.required(event.backend, "backend"),
-                            outcome(event),
-                            event.required(event.elapsedUs, "elapsedUs"),
-                            report(instance.reportLayout(), event.stats));
-            case "backendsChanged" -> listChanged(instance, nowUs, event);
+                            event.require(event.backend, "backend"),
+                            toOutcome(event),
+                            event.require(event.elapsedUs, "elapsedUs"),
+                            toReport(instance.reportLayout(), event.stats));
+            case "backendsChanged" -> handleListChange(instance, nowUs, event);
             case "elapsed" -> balancer.timer(nowUs);
-            case "left" -> balancer.clientGone(nowUs, event.required(event.opId, "opId"));
+            case "left" -> balancer.clientGone(nowUs, event.require(event.opId, "opId"));
             case "established" ->
                     balancer.streamStarted(
                             nowUs,
-                            event.required(event.opId, "opId"),
-                            (int) event.required(event.leg, "leg"),
+                            event.require(event.opId, "opId"),
+                            (int) event.require(event.leg, "leg"),
                             event.backend,
-                            event.required(event.elapsedUs, "elapsedUs"));
+                            event.require(event.elapsedUs, "elapsedUs"));
             case "datagram" -> {}
             default ->
                     throw new WireException(
-                            "line " + event.line + ": message '" + event.msg + "' is not known");
+                            "line "
+                                    + event.batchLine
+                                    + ": message '"
+                                    + event.msg
+                                    + "' is not known");
         }
     }
 
-    private Instance instance(Event event) throws WireException {
+    private Instance findInstance(Event event) throws WireException {
         Instance instance = instances.get(event.who);
         if (instance == null) {
             throw new WireException(
                     "line "
-                            + event.line
+                            + event.batchLine
                             + ": "
                             + event.msg
                             + ": instance "
@@ -164,20 +168,21 @@
         return instance;
     }
 
-    private void start(Event event) throws WireException {
-        Map<String, Object> params = event.required(event.params, "params");
-        long seed = event.required(event.nonce64, "nonce64");
+    private void startInstance(Event event) throws WireException {
+        Map<String, Object> params = event.require(event.params, "params");
+        long seed = event.require(event.nonce64, "nonce64");
         try {
             Settings settings = SettingsReader.read(params);
             Balancer balancer = new Logic(settings, seed, actions);
             instances.put(
-                    event.who, new Instance(balancer, reportLayout(params), settings.watch()));
+                    event.who, new Instance(balancer, readReportLayout(params), settings.watch()));
         } catch (InvalidSettingsException | IllegalArgumentException invalid) {
-            throw new WireException("line " + event.line + ": powerOn: " + invalid.getMessage());
+            throw new WireException(
+                    "line " + event.batchLine + ": powerOn: " + invalid.getMessage());
         }
     }
 
-    private static ReportLayout reportLayout(Map<String, Object> params) {
+    private static ReportLayout readReportLayout(Map<String, Object> params) {
         List<?> names =
                 params.get("loadInfo") instanceof Map<?, ?> info
                                 && info.get("fields") instanceof List<?> list
@@ -187,23 +192,23 @@
                 names.indexOf("inflight"), names.indexOf("queue"), names.indexOf("util"));
     }
 
-    private static LoadReport report(ReportLayout fields, double[] stats) {
+    private static LoadReport toReport(ReportLayout fields, double[] stats) {
         if (stats == null) {
             return null;
         }
         return new LoadReport(
-                value(stats, fields.inFlight()),
-                value(stats, fields.queue()),
-                value(stats, fields.utilisation()));
+                reportedValue(stats, fields.inFlight()),
+                reportedValue(stats, fields.queue()),
+                reportedValue(stats, fields.utilisation()));
     }
 
-    private static double value(double[] stats, int index) {
+    private static double reportedValue(double[] stats, int index) {
         return index < 0 || index >= stats.length ? -1 : stats[index];
     }
 
-    private void listChanged(Instance instance, long nowUs, Event event) throws WireException {
+    private void handleListChange(Instance instance, long nowUs, Event event) throws WireException {
         Balancer balancer = instance.balancer();
-        String mode = event.required(event.mode, "mode");
+        String mode = event.require(event.mode, "mode");
         if (mode.equals("refused")) {
             balancer.discoveryFailed(nowUs);
             return;
@@ -216,30 +221,30 @@
                     default ->
                             throw new WireException(
                                     "line "
-                                            + event.line
+                                            + event.batchLine
                                             + ": backendsChanged: mode '"
                                             + mode
                                             + "' is not known");
                 };
-        List<Server> list = catalogs.get(event.required(event.rosterId, "rosterId"));
+        List<Server> list = catalogs.get(event.require(event.rosterId, "rosterId"));
         if (list == null) {
             throw new WireException(
                     "line "
-                            + event.line
+                            + event.batchLine
                             + ": backendsChanged: catalog "
                             + event.rosterId
                             + " was not given");
         }
         balancer.serversChanged(nowUs, kind, list);
-        if (kind == ListKind.RECENT && !instance.watches()) {
+        if (kind == ListKind.RECENT && !instance.asksDiscovery()) {
             // Changes are pushed and nothing is sent while there are none, so the list is confirmed
             // here.
             balancer.serversChanged(nowUs, ListKind.CHANGES, List.of());
         }
     }
 
-    private static Outcome outcome(Event event) throws WireException {
-        return switch (event.required(event.ending, "ending")) {
+    private static Outcome toOutcome(Event event) throws WireException {
+        return switch (event.require(event.ending, "ending")) {
             case "OK" -> Outcome.OK;
             case "INTERNAL" -> Outcome.ERROR;
             case "RESOURCE_EXHAUSTED" -> Outcome.FULL;
@@ -251,7 +256,7 @@
             default ->
                     throw new WireException(
                             "line "
-                                    + event.line
+                                    + event.batchLine
                                     + ": "
                                     + event.msg
                                     + ": ending '"
--- a/src/main/java/passhatch/lab/StoreBench.java
+++ b/src/main/java/passhatch/lab/StoreBench.java
@@ -34,8 +34,8 @@
                 "Measures writing to the store and its recovery in a new folder, which is kept.")
 final class StoreBench implements Callable<Integer> {
 
-    private static final int PLAIN_WRITES = 200;
-    private static final int OPENINGS = 15;
+    private static final int PLAIN_WRITE_COUNT = 200;
+    private static final int OPEN_COUNT = 15;
 
     @Spec private CommandSpec spec;
 
@@ -75,12 +75,12 @@
                 "group commit, %d threads: %.0f records a second%n",
                 threads,
                 measureGroupCommit());
-        Histogram openTimesUs = measureOpenings();
+        Histogram openTimesUs = measureOpenTimes();
         out.printf(
                 Locale.ROOT,
                 "opening a store of %.1f MiB, %d times: median %.1f ms, worst %.1f ms%n",
                 storeBytes() / 1048576.0,
-                OPENINGS,
+                OPEN_COUNT,
                 openTimesUs.getValueAtPercentile(50) / 1e3,
                 openTimesUs.getMaxValue() / 1e3);
         out.flush();
@@ -91,11 +91,11 @@
         try (FolderDisk disk = FolderDisk.open(folder.resolve("plain"))) {
             disk.create("file");
             long startNs = System.nanoTime();
-            for (int i = 0; i < PLAIN_WRITES; i++) {
+            for (int i = 0; i < PLAIN_WRITE_COUNT; i++) {
                 disk.append("file", ByteBuffer.allocate(bytes));
                 disk.force("file");
             }
-            return PLAIN_WRITES / ((System.nanoTime() - startNs) / 1e9);
+            return PLAIN_WRITE_COUNT / ((System.nanoTime() - startNs) / 1e9);
         }
     }
 
@@ -127,9 +127,9 @@
         }
     }
 
-    private Histogram measureOpenings() throws IOException, StoreException {
+    private Histogram measureOpenTimes() throws IOException, StoreException {
         Histogram openTimesUs = new Histogram(TimeUnit.MINUTES.toMicros(1), 3);
-        for (int i = 0; i < OPENINGS; i++) {
+        for (int i = 0; i < OPEN_COUNT; i++) {
             long startNs = System.nanoTime();
             RecordLog.open(FolderDisk.open(folder.resolve("store")), "bench", e -> {}).close();
             openTimesUs.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNs));
--- a/src/main/java/passhatch/lab/disk/FaultyDisk.java
+++ b/src/main/java/passhatch/lab/disk/FaultyDisk.java
@@ -79,26 +79,26 @@
      */
     private final List<List<NameChange>> unforcedNameChanges = new ArrayList<>();
 
-    private final long capacity;
-    private long faultCall = -1;
+    private final long capacityBytes;
+    private long faultCallIndex = -1;
     private Fault fault = Fault.NONE;
-    private boolean ignoreForce;
-    private long changingCalls;
+    private boolean forceIgnored;
+    private long changingCallCount;
 
     /** Creates an empty disk with a capacity in bytes. */
     public FaultyDisk(long capacity) {
-        this.capacity = capacity;
+        this.capacityBytes = capacity;
     }
 
     /** Injects a fault at one of the following calls that change the disk, counted from 0. */
     public void injectFaultAt(long callIndex, Fault newFault) {
-        faultCall = changingCalls + callIndex;
+        faultCallIndex = changingCallCount + callIndex;
         fault = newFault;
     }
 
     /** Returns the number of calls so far that change the disk. */
-    public long changingCalls() {
-        return changingCalls;
+    public long changingCallCount() {
+        return changingCallCount;
     }
 
     /**
@@ -106,7 +106,7 @@
      * an omitted force.
      */
     public void ignoreForce(boolean ignore) {
-        ignoreForce = ignore;
+        forceIgnored = ignore;
     }
 
     /** Returns a new disk with what survives a power loss, drawn from a random stream. */
@@ -122,7 +122,7 @@
                 }
             }
         }
-        FaultyDisk survivor = new FaultyDisk(capacity);
+        FaultyDisk survivor = new FaultyDisk(capacityBytes);
         names.forEach((name, file) -> survivor.putDurable(name, survivingBytes(file, random)));
         return survivor;
     }
@@ -154,7 +154,7 @@
 
     /** Returns a new disk with the current contents, as if all of it had been forced. */
     public FaultyDisk copy() {
-        FaultyDisk copy = new FaultyDisk(capacity);
+        FaultyDisk copy = new FaultyDisk(capacityBytes);
         files.forEach((name, file) -> copy.putDurable(name, file.currentBytes().clone()));
         return copy;
     }
@@ -179,7 +179,7 @@
     }
 
     private void runWithFault(Operation operation) throws IOException {
-        Fault current = changingCalls++ == faultCall ? fault : Fault.NONE;
+        Fault current = changingCallCount++ == faultCallIndex ? fault : Fault.NONE;
         if (current == Fault.STOP_BEFORE) {
             throw new Stopped();
         }
@@ -195,7 +195,7 @@
         }
     }
 
-    private FileState file(String name) throws IOException {
+    private FileState findFile(String name) throws IOException {
         FileState file = files.get(name);
         if (file == null) {
             throw new FileNotFoundException(name);
@@ -210,12 +210,12 @@
 
     @Override
     public long size(String name) throws IOException {
-        return file(name).currentBytes().length;
+        return findFile(name).currentBytes().length;
     }
 
     @Override
     public byte[] read(String name, int maxBytes) throws IOException {
-        byte[] bytes = file(name).currentBytes();
+        byte[] bytes = findFile(name).currentBytes();
         if (bytes.length > maxBytes) {
             throw new IOException(
                     name
@@ -243,17 +243,17 @@
 
     @Override
     public void append(String name, ByteBuffer bytes) throws IOException {
-        boolean torn = fault == Fault.TORN_ERROR && changingCalls == faultCall;
+        boolean torn = fault == Fault.TORN_ERROR && changingCallCount == faultCallIndex;
         runWithFault(
                 () -> {
-                    FileState file = file(name);
+                    FileState file = findFile(name);
                     byte[] appended = new byte[bytes.remaining()];
                     bytes.get(appended);
                     long used =
                             files.values().stream()
                                     .mapToLong(other -> other.currentBytes().length)
                                     .sum();
-                    int fitting = (int) Math.min(appended.length, capacity - used);
+                    int fitting = (int) Math.min(appended.length, capacityBytes - used);
                     int written = torn ? fitting / 2 : fitting;
                     file.unforcedChanges.add(
                             new ContentChange(
@@ -270,8 +270,8 @@
     public void force(String name) throws IOException {
         runWithFault(
                 () -> {
-                    FileState file = file(name);
-                    if (!ignoreForce) {
+                    FileState file = findFile(name);
+                    if (!forceIgnored) {
                         file.durableBytes = file.currentBytes();
                         file.unforcedChanges.clear();
                     }
@@ -282,7 +282,7 @@
     public void forceFolder() throws IOException {
         runWithFault(
                 () -> {
-                    if (!ignoreForce) {
+                    if (!forceIgnored) {
                         durableNames.clear();
                         durableNames.putAll(files);
                         unforcedNameChanges.clear();
@@ -294,7 +294,7 @@
     public void rename(String from, String to) throws IOException {
         runWithFault(
                 () -> {
-                    FileState file = file(from);
+                    FileState file = findFile(from);
                     files.remove(from);
                     files.put(to, file);
                     unforcedNameChanges.add(
@@ -306,7 +306,7 @@
     public void truncate(String name, long size) throws IOException {
         runWithFault(
                 () ->
-                        file(name)
+                        findFile(name)
                                 .unforcedChanges
                                 .add(new ContentChange((int) size, new byte[0], true)));
     }
@@ -315,7 +315,7 @@
     public void delete(String name) throws IOException {
         runWithFault(
                 () -> {
-                    file(name);
+                    findFile(name);
                     files.remove(name);
                     unforcedNameChanges.add(List.of(new NameChange(name, null)));
                 });
--- a/src/main/java/passhatch/lab/drill/AgentTestbed.java
+++ b/src/main/java/passhatch/lab/drill/AgentTestbed.java
@@ -44,7 +44,10 @@
         }
         for (int i = 0; i < names.size(); i++) {
             agents.get(i)
-                    .configure(relay.peersOf(i), relay.peersOf(i).get(i), extraConfig.apply(i));
+                    .configure(
+                            relay.relayAddressesOf(i),
+                            relay.relayAddressesOf(i).get(i),
+                            extraConfig.apply(i));
         }
     }
 
@@ -58,7 +61,7 @@
 
     /** Removes a member's address from the configuration of one agent. */
     void configureWithoutMember(int index, int removed) throws IOException {
-        List<InetSocketAddress> peers = new ArrayList<>(relay.peersOf(index));
+        List<InetSocketAddress> peers = new ArrayList<>(relay.relayAddressesOf(index));
         InetSocketAddress own = peers.get(index);
         peers.remove(removed);
         agents.get(index).configure(peers, own, "");
--- a/src/main/java/passhatch/lab/drill/ChangesTestbed.java
+++ b/src/main/java/passhatch/lab/drill/ChangesTestbed.java
@@ -105,7 +105,7 @@
 
     private InetSocketAddress peer(int observer, int target) {
         try {
-            return changesRelay.peersOf(observer).get(target);
+            return changesRelay.relayAddressesOf(observer).get(target);
         } catch (IOException failed) {
             throw new IllegalStateException(failed);
         }
--- a/src/main/java/passhatch/lab/drill/FaultRunner.java
+++ b/src/main/java/passhatch/lab/drill/FaultRunner.java
@@ -210,8 +210,8 @@
 
     private void applyToDiscovery(FaultPlan.Step step) throws IOException {
         switch (step.type()) {
-            case DOWN -> testbed.discovery.down();
-            case UP -> testbed.discovery.up();
+            case DOWN -> testbed.discovery.takeDown();
+            case UP -> testbed.discovery.bringUp();
             case BREAK -> testbed.discovery.closeWatches();
             case OVERLOAD -> testbed.discovery.setOverloaded(true);
             case RELIEVE -> testbed.discovery.setOverloaded(false);
--- a/src/main/java/passhatch/lab/drill/Testbed.java
+++ b/src/main/java/passhatch/lab/drill/Testbed.java
@@ -71,7 +71,7 @@
             for (int i = 0; i < scenario.proxies().count(); i++) {
                 InetSocketAddress peerListen = freeUdpAddress();
                 relay.setListenAddress(i, peerListen);
-                proxies.add(new ProxyProcess(i, shared, relay.peersOf(i), peerListen));
+                proxies.add(new ProxyProcess(i, shared, relay.relayAddressesOf(i), peerListen));
             }
         } catch (IOException | RuntimeException failed) {
             close();
--- a/src/main/java/passhatch/lab/load/ClientChannel.java
+++ b/src/main/java/passhatch/lab/load/ClientChannel.java
@@ -35,8 +35,8 @@
     private final Sender sender;
     private final ProxyPool.ProxyEndpoint proxy;
     private Channel channel;
-    private Sender.ClientRequest pending;
-    private boolean reused;
+    private Sender.ClientRequest pendingRequest;
+    private boolean carriedResponse;
 
     ClientChannel(Sender sender, ProxyPool.ProxyEndpoint proxy) {
         this.sender = sender;
@@ -53,14 +53,14 @@
 
     /** Closes the connection because its request has already completed without a response. */
     void abandon() {
-        pending = null;
+        pendingRequest = null;
         if (channel != null) {
             channel.close();
         }
     }
 
     void send(Sender.ClientRequest next) {
-        pending = next;
+        pendingRequest = next;
         if (channel != null) {
             writeRequest();
             return;
@@ -98,46 +98,46 @@
     }
 
     private void writeRequest() {
-        if (pending == null) {
+        if (pendingRequest == null) {
             channel.close();
             return;
         }
-        boolean safe = pending.requestClass().effect() == LoadPlan.Effect.SAFE;
+        boolean safe = pendingRequest.requestClass().effect() == LoadPlan.Effect.SAFE;
         var request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
                         safe ? HttpMethod.GET : HttpMethod.POST,
-                        "/" + pending.requestClass().path(),
+                        "/" + pendingRequest.requestClass().path(),
                         safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(REQUEST_BODY));
         request.headers()
                 .set(HttpHeaderNames.HOST, "origin.svc")
-                .set("X-Request-Id", pending.id())
-                .set("X-Deadline", pending.remainingUs() + "u");
+                .set("X-Request-Id", pendingRequest.id())
+                .set("X-Deadline", pendingRequest.remainingUs() + "u");
         if (!safe) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, REQUEST_BODY.length);
         }
-        if (pending.requestClass().effect() == LoadPlan.Effect.KEYED) {
-            request.headers().set("Idempotency-Key", pending.idempotencyKey());
+        if (pendingRequest.requestClass().effect() == LoadPlan.Effect.KEYED) {
+            request.headers().set("Idempotency-Key", pendingRequest.idempotencyKey());
         }
         channel.writeAndFlush(request);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-        Sender.ClientRequest answered = pending;
-        pending = null;
-        reused = true;
+        Sender.ClientRequest answered = pendingRequest;
+        pendingRequest = null;
+        carriedResponse = true;
         if (answered == null || !HttpUtil.isKeepAlive(response)) {
             ctx.close();
         } else {
-            sender.release(proxy, this);
+            sender.releaseChannel(proxy, this);
         }
         if (answered != null) {
             boolean bodyIsCorrect =
                     response.decoderResult().isSuccess()
                             && Arrays.equals(
                                     ByteBufUtil.getBytes(response.content()),
-                                    BackendServer.bodyFor(answered.id()));
+                                    BackendServer.responseBodyFor(answered.id()));
             answered.onResponse(response.status().code(), bodyIsCorrect);
         }
     }
@@ -153,10 +153,10 @@
     }
 
     private void connectionEnded(boolean connected) {
-        Sender.ClientRequest unanswered = pending;
-        pending = null;
+        Sender.ClientRequest unanswered = pendingRequest;
+        pendingRequest = null;
         if (unanswered != null) {
-            unanswered.onConnectionEnded(connected, reused);
+            unanswered.onConnectionEnded(connected, carriedResponse);
         }
     }
 }
--- a/src/main/java/passhatch/lab/load/Sender.java
+++ b/src/main/java/passhatch/lab/load/Sender.java
@@ -36,15 +36,15 @@
     /** Requests that wait because no further connection may be opened, in order of arrival. */
     private final ArrayDeque<ClientRequest> waitingForConnection = new ArrayDeque<>();
 
-    private int openChannels;
+    private int openChannelCount;
     private final ContinuousSampler arrivalGapNs;
     private final double totalWeight;
     private final String idPrefix;
     private int nextProxyIndex;
-    private long sequence;
+    private long nextIdNumber;
     private long startNs;
     private double nextDueNs;
-    private int pendingRequests;
+    private int pendingRequestCount;
     private boolean arrivalsEnded;
 
     Sender(
@@ -99,9 +99,9 @@
 
     private void startRequest(long dueNs) {
         ClientRequest request = new ClientRequest(chooseClass(), dueNs);
-        pendingRequests++;
+        pendingRequestCount++;
         stats.recordSendDelay(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNs - dueNs));
-        request.attempt(proxies.nextAdmitted(nextProxyIndex++, null));
+        request.startAttempt(proxies.nextAdmitted(nextProxyIndex++, null));
     }
 
     private LoadPlan.RequestClass chooseClass() {
@@ -116,7 +116,7 @@
     }
 
     private void completeIfAllEnded() {
-        if (arrivalsEnded && pendingRequests == 0) {
+        if (arrivalsEnded && pendingRequestCount == 0) {
             completion.trySuccess(stats);
         }
     }
@@ -135,22 +135,22 @@
     }
 
     void connectionOpened() {
-        openChannels++;
+        openChannelCount++;
     }
 
     void connectionClosed() {
-        openChannels--;
+        openChannelCount--;
         ClientRequest next = waitingForConnection.poll();
         if (next != null) {
             // Deferred, as this method may run while another request is being completed.
-            loop.execute(() -> next.attempt(proxies.nextAdmitted(nextProxyIndex++, null)));
+            loop.execute(() -> next.startAttempt(proxies.nextAdmitted(nextProxyIndex++, null)));
         }
     }
 
-    void release(ProxyPool.ProxyEndpoint proxy, ClientChannel channel) {
+    void releaseChannel(ProxyPool.ProxyEndpoint proxy, ClientChannel channel) {
         ClientRequest next = waitingForConnection.poll();
         if (next != null) {
-            next.attemptOn(proxy, channel);
+            next.startAttemptOn(proxy, channel);
             return;
         }
         ArrayDeque<ClientChannel> idle =
@@ -210,28 +210,28 @@
             return Math.max(1, TimeUnit.NANOSECONDS.toMicros(deadlineNs - System.nanoTime()));
         }
 
-        void attempt(ProxyPool.ProxyEndpoint target) {
+        void startAttempt(ProxyPool.ProxyEndpoint target) {
             if (target == null || completed) {
                 complete(Outcome.CUT); // no proxy is admitted
                 return;
             }
             ClientChannel idle = takeIdle(target);
-            if (idle == null && openChannels >= MAX_OPEN_CONNECTIONS) {
+            if (idle == null && openChannelCount >= MAX_OPEN_CONNECTIONS) {
                 waitingForConnection.add(this);
             } else {
-                attemptOn(target, idle);
+                startAttemptOn(target, idle);
             }
         }
 
-        private void attemptOn(ProxyPool.ProxyEndpoint target, ClientChannel connection) {
+        private void startAttemptOn(ProxyPool.ProxyEndpoint target, ClientChannel connection) {
             if (completed) {
                 if (connection != null) {
-                    release(target, connection);
+                    releaseChannel(target, connection);
                 }
                 return;
             }
             attempts++;
-            id = idPrefix + Long.toHexString(sequence++);
+            id = idPrefix + Long.toHexString(nextIdNumber++);
             idempotencyKey = idempotencyKey == null ? id : idempotencyKey;
             resent = false;
             send(target, connection);
@@ -289,7 +289,7 @@
                     && System.nanoTime() < deadlineNs
                     && target != null) {
                 stats.recordRetry();
-                attempt(target);
+                startAttempt(target);
             } else {
                 complete(outcome);
             }
@@ -309,7 +309,7 @@
         private void complete(Outcome outcome) {
             if (!completed) {
                 completed = true;
-                pendingRequests--;
+                pendingRequestCount--;
                 stats.recordCompletion(
                         TimeUnit.NANOSECONDS.toMillis(dueNs),
                         outcome,
--- a/src/main/java/passhatch/lab/standin/BackendServer.java
+++ b/src/main/java/passhatch/lab/standin/BackendServer.java
@@ -81,9 +81,9 @@
     private final ContinuousSampler serviceTimeUs;
     private final Set<Channel> connections = new HashSet<>();
     private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
-    private int runningRequests;
+    private int runningRequestCount;
     private Health health = Health.HEALTHY;
-    private double severity;
+    private double faultSeverity;
     private long startedNs = System.nanoTime() - TimeUnit.HOURS.toNanos(1);
     private boolean draining;
     private boolean acceptsWhileDraining;
@@ -122,7 +122,7 @@
     /**
      * Returns the body of the response to a request, so that clients can check what they received.
      */
-    public static byte[] bodyFor(String id) {
+    public static byte[] responseBodyFor(String id) {
         return ("answer to " + id).getBytes(StandardCharsets.US_ASCII);
     }
 
@@ -138,7 +138,7 @@
         loop.execute(
                 () -> {
                     health = newHealth;
-                    severity = newSeverity;
+                    faultSeverity = newSeverity;
                 });
     }
 
@@ -185,7 +185,7 @@
                             health = Health.HEALTHY;
                             draining = false;
                             startedNs = System.nanoTime();
-                            runningRequests = 0;
+                            runningRequestCount = 0;
                         })
                 .syncUninterruptibly();
         bind(address);
@@ -265,7 +265,7 @@
                 ledger.recordAttemptAfterDrain();
             }
             boolean full =
-                    runningRequests >= capacity.slots()
+                    runningRequestCount >= capacity.slots()
                             && queue.size() >= capacity.maxQueuedRequests();
             boolean rejects = full || draining && !acceptsWhileDraining;
             ledger.recordAttempt(id, atMostOnce, !rejects);
@@ -284,32 +284,32 @@
     }
 
     private void startQueuedRequests() {
-        while (runningRequests < capacity.slots() && !queue.isEmpty()) {
+        while (runningRequestCount < capacity.slots() && !queue.isEmpty()) {
             QueuedRequest request = queue.poll();
             if (health == Health.HUNG) {
                 continue; // a hung backend accepts requests and never responds
             }
-            runningRequests++;
+            runningRequestCount++;
             double timeUs =
                     serviceTimeUs.sample()
-                            * Math.max(1, (double) runningRequests / capacity.cores())
-                            / availableFraction();
+                            * Math.max(1, (double) runningRequestCount / capacity.cores())
+                            / capacityFraction();
             long startedNsAtBegin = startedNs;
             loop.schedule(
                     () -> {
                         if (startedNsAtBegin == startedNs) {
-                            runningRequests--;
-                            finish(request);
+                            runningRequestCount--;
+                            finishRequest(request);
                             startQueuedRequests();
                         }
                     },
-                    (long) (health == Health.SLOW ? timeUs * severity : timeUs),
+                    (long) (health == Health.SLOW ? timeUs * faultSeverity : timeUs),
                     TimeUnit.MICROSECONDS);
         }
     }
 
     /** Returns the fraction of the full capacity that is available now. */
-    private double availableFraction() {
+    private double capacityFraction() {
         double uptimeUs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startedNs);
         return uptimeUs >= capacity.warmUpUs()
                 ? 1
@@ -317,8 +317,8 @@
                         + (1 - capacity.coldCapacityFraction()) * uptimeUs / capacity.warmUpUs();
     }
 
-    private void finish(QueuedRequest request) {
-        boolean affected = random.nextDouble() < severity;
+    private void finishRequest(QueuedRequest request) {
+        boolean affected = random.nextDouble() < faultSeverity;
         if (health == Health.RESETTING && affected) {
             reset(request.channel());
         } else if (health == Health.FAILING && affected) {
@@ -328,7 +328,7 @@
                     new byte[0],
                     false);
         } else if (health != Health.HUNG) {
-            respond(request.channel(), HttpResponseStatus.OK, bodyFor(request.id()), false);
+            respond(request.channel(), HttpResponseStatus.OK, responseBodyFor(request.id()), false);
         }
     }
 
--- a/src/main/java/passhatch/lab/standin/DiscoveryServer.java
+++ b/src/main/java/passhatch/lab/standin/DiscoveryServer.java
@@ -137,7 +137,7 @@
                                             endpoints.put(
                                                     e.name(), new VersionedEndpoint(version, e)));
                             String line =
-                                    messageText(
+                                    formatMessage(
                                                     version,
                                                     false,
                                                     changed.stream().map(Endpoint::toMap).toList())
@@ -188,8 +188,10 @@
         loop.submit(() -> sendToWatches(line + "\n")).syncUninterruptibly();
     }
 
-    /** Takes the service down: closes all connections and refuses new ones until {@link #up}. */
-    public void down() {
+    /**
+     * Takes the service down: closes all connections and refuses new ones until {@link #bringUp}.
+     */
+    public void takeDown() {
         loop.submit(
                         () -> {
                             listener.close();
@@ -199,7 +201,7 @@
     }
 
     /** Brings the service up again at the same address. */
-    public void up() throws IOException {
+    public void bringUp() throws IOException {
         bind(address);
     }
 
@@ -237,14 +239,14 @@
 
     /** Returns the current message with the whole list and its version. */
     public Map<String, Object> snapshot() {
-        return loop.submit(() -> message(version, true, listedEndpoints()))
+        return loop.submit(() -> createMessage(version, true, listedEndpoints()))
                 .syncUninterruptibly()
                 .getNow();
     }
 
     /** Stops the service. */
     public void close() {
-        down();
+        takeDown();
     }
 
     // ---- calls
@@ -333,7 +335,7 @@
                         ctx.channel(),
                         Long.parseLong(uri.parameters().getOrDefault("from", List.of("0")).get(0)));
             } else {
-                respond(ctx.channel(), HttpResponseStatus.OK, snapshotText());
+                respond(ctx.channel(), HttpResponseStatus.OK, formatSnapshot());
             }
         }
 
@@ -350,19 +352,19 @@
         watches.add(channel);
         String firstLine =
                 fromVersion > 0 && fromVersion <= version
-                        ? messageText(
+                        ? formatMessage(
                                 version,
                                 false,
                                 endpoints.values().stream()
                                         .filter(v -> v.version() > fromVersion)
                                         .map(v -> v.endpoint().toMap())
                                         .toList())
-                        : snapshotText();
-        channel.writeAndFlush(new DefaultHttpContent(bytes(firstLine + "\n")));
+                        : formatSnapshot();
+        channel.writeAndFlush(new DefaultHttpContent(encodeUtf8(firstLine + "\n")));
     }
 
-    private String snapshotText() {
-        return messageText(version, true, listedEndpoints());
+    private String formatSnapshot() {
+        return formatMessage(version, true, listedEndpoints());
     }
 
     private List<Map<String, Object>> listedEndpoints() {
@@ -375,30 +377,30 @@
 
     private void sendToWatches(String line) {
         if (!stalled) {
-            watches.forEach(w -> w.writeAndFlush(new DefaultHttpContent(bytes(line))));
+            watches.forEach(w -> w.writeAndFlush(new DefaultHttpContent(encodeUtf8(line))));
         }
     }
 
     private static void respond(Channel channel, HttpResponseStatus status, String body) {
-        ByteBuf content = bytes(body);
+        ByteBuf content = encodeUtf8(body);
         var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
         channel.writeAndFlush(response);
     }
 
-    private static ByteBuf bytes(String text) {
+    private static ByteBuf encodeUtf8(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
     }
 
-    private static Map<String, Object> message(
+    private static Map<String, Object> createMessage(
             long version, boolean snapshot, List<Map<String, Object>> endpoints) {
         return Map.of("index", version, "snapshot", snapshot, "endpoints", endpoints);
     }
 
-    private static String messageText(
+    private static String formatMessage(
             long version, boolean snapshot, List<Map<String, Object>> endpoints) {
         try {
-            return JSON.writeValueAsString(message(version, snapshot, endpoints));
+            return JSON.writeValueAsString(createMessage(version, snapshot, endpoints));
         } catch (JsonProcessingException impossible) {
             throw new IllegalStateException(impossible);
         }
--- a/src/main/java/passhatch/lab/standin/UdpRelay.java
+++ b/src/main/java/passhatch/lab/standin/UdpRelay.java
@@ -110,7 +110,7 @@
     /**
      * Returns the relay addresses at which a member reaches all members, in order of their numbers.
      */
-    public List<InetSocketAddress> peersOf(int member) throws IOException {
+    public List<InetSocketAddress> relayAddressesOf(int member) throws IOException {
         List<InetSocketAddress> peers = new ArrayList<>();
         for (int to = 0; to < members; to++) {
             peers.add((InetSocketAddress) sockets[member][to].getLocalAddress());
--- a/src/test/java/passhatch/agent/ChangesStoreTest.java
+++ b/src/test/java/passhatch/agent/ChangesStoreTest.java
@@ -148,8 +148,8 @@
         List<LogEntry> all = randomLog();
         FaultyDisk faultless = new FaultyDisk(CAPACITY);
         new Run(faultless, role).runSteps(all, new Seeds(9).stream("work"));
-        assertTrue(faultless.changingCalls() > STEPS, "calls " + faultless.changingCalls());
-        for (long call = 0; call < faultless.changingCalls(); call++) {
+        assertTrue(faultless.changingCallCount() > STEPS, "calls " + faultless.changingCallCount());
+        for (long call = 0; call < faultless.changingCallCount(); call++) {
             FaultyDisk disk = new FaultyDisk(CAPACITY);
             disk.injectFaultAt(call, Fault.STOP_AFTER);
             Run run = null;
--- a/src/test/java/passhatch/lab/standin/UdpRelayTest.java
+++ b/src/test/java/passhatch/lab/standin/UdpRelayTest.java
@@ -45,7 +45,8 @@
     }
 
     private void send(int from, int to, byte[] bytes) throws IOException {
-        members[from].send(new DatagramPacket(bytes, bytes.length, relay.peersOf(from).get(to)));
+        members[from].send(
+                new DatagramPacket(bytes, bytes.length, relay.relayAddressesOf(from).get(to)));
     }
 
     private DatagramPacket receive(int member, int timeoutMs) throws IOException {
@@ -81,7 +82,7 @@
         send(0, 2, bytes);
         DatagramPacket packet = receive(2, 5_000);
         assertArrayEquals(bytes, Arrays.copyOf(packet.getData(), packet.getLength()));
-        assertEquals(relay.peersOf(2).get(0), packet.getSocketAddress());
+        assertEquals(relay.relayAddressesOf(2).get(0), packet.getSocketAddress());
         send(0, 2, new byte[UdpRelay.MAX_DATAGRAM_BYTES + 1]);
         assertEquals(0, receivedUnder(new NetworkConditions(1, 0, 0, 0, 0, 0)).size());
         assertEquals(1, relay.oversized());
--- a/src/test/java/passhatch/store/CrashTest.java
+++ b/src/test/java/passhatch/store/CrashTest.java
@@ -93,9 +93,9 @@
             Fault fault, boolean forgetful, int operations) throws StoreException {
         FaultyDisk whole = new FaultyDisk(CAPACITY);
         runWorkload(whole, new Model(), operations);
-        assertTrue(whole.changingCalls() > 3L * operations, "the workload is too small");
+        assertTrue(whole.changingCallCount() > 3L * operations, "the workload is too small");
         int broken = 0;
-        for (long k = 0; k < whole.changingCalls(); k++) {
+        for (long k = 0; k < whole.changingCallCount(); k++) {
             FaultyDisk disk = new FaultyDisk(CAPACITY);
             disk.ignoreForce(forgetful);
             disk.injectFaultAt(k, fault);
