--- a/src/main/java/passhatch/Attempt.java
+++ b/src/main/java/passhatch/Attempt.java
@@ -5,7 +5,10 @@
     final ServerState server;
     final long sentAtUs;
 
-    /** Requests in flight at the server as far as known at the send, this one's work included. */
+    /**
+     * Known requests in flight at the server when this attempt was sent, including this attempt's
+     * own work.
+     */
     final double loadAtSend;
 
     /** Whether {@link #loadAtSend} includes other copies' requests. */
@@ -13,7 +16,7 @@
 
     final RequestState request;
 
-    /** Time after which the attempt is overdue if it has not ended. */
+    /** Time after which this attempt is overdue if the server has not answered. */
     long overdueAtUs;
 
     boolean outstanding = true;
@@ -21,7 +24,7 @@
     /** Whether the request's body is still being sent, so that no response can be expected yet. */
     boolean uploading;
 
-    /** Whether the response has begun, so that only the rest of it is still to come. */
+    /** Whether the server has begun to send the response. */
     boolean responseStarted;
 
     boolean provedNotRun;
@@ -40,12 +43,12 @@
         this.loadKnown = loadKnown;
     }
 
-    /** Returns whether the server has yet to begin a response. */
+    /** Returns whether the server has the whole request but has not begun a response. */
     boolean awaitsResponse() {
         return outstanding && !uploading && !responseStarted;
     }
 
-    /** Returns whether the server had reported itself idle just before the send. */
+    /** Returns whether a valid load report showed the server as idle when this attempt was sent. */
     boolean reportedIdle() {
         return loadKnown && loadAtSend == request.relativeWork;
     }
--- a/src/main/java/passhatch/Balancer.java
+++ b/src/main/java/passhatch/Balancer.java
@@ -7,19 +7,23 @@
  * The interface of the decision module: its input events (the methods) and its output ({@link
  * Actions}).
  *
- * <p>One instance serves one proxy. It reads no clock: every call passes the time, in microseconds,
- * of a clock that starts anywhere and never goes back. It is not thread-safe. It calls actions only
- * from within one of the methods here. All durations are in microseconds.
+ * <p>One instance serves one proxy. An instance reads no clock: each call passes the current time
+ * in microseconds, taken from a monotonic clock with an arbitrary start. An instance is not
+ * thread-safe, and it calls actions only while one of the methods here runs. All durations are in
+ * microseconds.
  */
 public interface Balancer {
 
     /** Whether a request may run more than once. */
     enum Effect {
-        /** Safe to repeat. */
+        /** The request is safe to repeat. */
         SAFE,
-        /** Carries a key by which a group of servers drops repeats for a limited time. */
+        /**
+         * The request carries a key by which a group of servers recognizes and drops repeats for a
+         * limited time.
+         */
         KEYED,
-        /** Must never run twice. */
+        /** The request must never run twice. */
         UNSAFE
     }
 
@@ -29,17 +33,17 @@
         ALL,
         /** The servers of one zone. */
         ZONE,
-        /** The servers of one cell, a few servers of one zone. */
+        /** The servers of one cell, which is a small group of servers in one zone. */
         CELL
     }
 
     /** The result of an attempt or a probe. */
     enum Outcome {
-        /** Served. */
+        /** The server served the request or the probe. */
         OK(false),
         /** The server answered with an error; the request may have run. */
         ERROR(false),
-        /** Rejected without being run: the queue is full, or the server drains. */
+        /** The server rejected the request without running it: its queue is full, or it drains. */
         FULL(true),
         /** No response in time; the request may have run or may still run. */
         TIMEOUT(false),
@@ -50,8 +54,8 @@
         /** Cancelled by this proxy; the request may have run. */
         CANCELLED(false),
         /**
-         * Never sent by this proxy: the request had ended, or its time or its attempts were used
-         * up.
+         * This proxy never sent the attempt, because the request had ended or had no time or no
+         * attempts left.
          */
         NOT_SENT(true);
 
@@ -65,20 +69,21 @@
 
     /** The status of a server according to discovery. */
     enum ServerStatus {
-        /** It runs. */
+        /** The server runs and takes new requests. */
         UP,
-        /** It finishes its work and takes no new requests. */
+        /** The server finishes its work and takes no new requests. */
         DRAINING,
-        /** It was removed. */
+        /** The server was removed. */
         GONE
     }
 
     /**
      * How current a list of servers is.
      *
-     * @param asOfUs the list has every change that discovery had at this time
-     * @param watchedUntilUs up to this time changes are sent as they happen, unless the watch
-     *     breaks before
+     * @param asOfUs time as of which the list is complete: it has every change that discovery had
+     *     by then
+     * @param watchedUntilUs time until which discovery sends changes as they happen, unless the
+     *     watch breaks earlier
      */
     record ListFreshness(long asOfUs, long watchedUntilUs) {}
 
@@ -88,9 +93,9 @@
         CHANGES,
         /** The whole list. */
         WHOLE,
-        /** The whole list as it was at some time before the start. */
+        /** The whole list as it was at some unknown time before this process started. */
         REMEMBERED,
-        /** The whole list as it was until the start. */
+        /** The whole list as it was until this process started. */
         RECENT
     }
 
@@ -100,14 +105,16 @@
      * @param name for display only
      * @param aimUs the target latency: a later response is worth only {@code lateWorth} of the full
      *     worth; above 0
-     * @param deadlineUs how long a client waits over all its tries; at least {@code aimUs}
-     * @param worth the worth of one request, per request or per unit of work; not negative
+     * @param deadlineUs how long a client waits in total, its retries included; at least {@code
+     *     aimUs}
+     * @param worth the value of serving a request, given per request or per unit of work; not
+     *     negative
      * @param lateWorth the fraction of the worth left after the target latency, 0 to 1
-     * @param effect whether a request may run more than once
+     * @param effect whether a request of this class may run more than once
      * @param group the servers that drop repeats of a keyed request; unused for other effects
-     * @param dedupWindowUs how long repeats of a keyed request are dropped, from its first send
-     * @param zones the zones whose servers may run it, at any attempt; null for all
-     * @param models the machine types that may run it, at any attempt; null for all
+     * @param dedupWindowUs how long after the first send of a keyed request its repeats are dropped
+     * @param zones the zones whose servers may run requests of this class; null for all zones
+     * @param models the machine types that may run requests of this class; null for all types
      */
     record RequestClass(
             String name,
@@ -121,7 +128,7 @@
             Set<Integer> zones,
             Set<Integer> models) {
 
-        /** Creates a class that may run on any server. */
+        /** Creates a class whose requests may run on any server. */
         public RequestClass(
                 String name,
                 long aimUs,
@@ -149,8 +156,8 @@
      * A tenant and its quota.
      *
      * @param name for display only
-     * @param quotaPerSecond requests per second over all proxies that are within its quota; 0 for
-     *     unlimited
+     * @param quotaPerSecond the requests per second that the tenant may send through all proxies
+     *     together; 0 for unlimited
      */
     record Tenant(String name, double quotaPerSecond) {}
 
@@ -161,9 +168,9 @@
      * @param cancel whether attempts may be cancelled
      * @param probes whether servers may be probed for their load
      * @param maxRetryAfterUs the longest retry advice that clients follow; 0 if they follow none
-     * @param callsPerConnection requests that one connection carries at a time, at least 1
-     * @param keepaliveUs how long an idle connection is kept open; 0 if none is kept or the time is
-     *     not known
+     * @param callsPerConnection maximum requests that one connection carries at a time, at least 1
+     * @param keepaliveUs how long an idle connection is kept open; 0 if idle connections are closed
+     *     at once or this time is unknown
      */
     record Limits(
             int maxAttempts,
@@ -173,7 +180,9 @@
             int callsPerConnection,
             long keepaliveUs) {
 
-        /** Creates the limits where it is not known how long connections stay open. */
+        /**
+         * Creates limits for deployments where it is not known how long idle connections stay open.
+         */
         public Limits(
                 int maxAttempts,
                 boolean cancel,
@@ -187,16 +196,19 @@
     /**
      * The parameters for draining and for cold servers.
      *
-     * @param drainGraceUs how long after the notice that a server drains or is gone it may still be
-     *     sent requests
-     * @param askWithinUs maximum time between two requests to discovery where it must be asked; 0
-     *     where it need not be
-     * @param coldFrom fraction of its capacity a server starts with, above 0, at most 1
-     * @param coldUs maximum time for which a server stays cold
-     * @param tipMultiple load, as a multiple of its capacity, above which a cold server fails
-     * @param overloadForUs how long that load must last for the server to fail
-     * @param closeWithinUs how long idle connections to a draining server may stay open; 0 for
-     *     without limit
+     * @param drainGraceUs how long this process may go on sending requests to a server after the
+     *     notice that the server drains or is gone
+     * @param askWithinUs maximum time between two calls that ask discovery for changes; 0 if
+     *     discovery sends changes unasked
+     * @param coldFrom fraction of its full capacity that a server has right after its start; above
+     *     0, at most 1
+     * @param coldUs maximum time after its start for which a server stays cold, that is, below its
+     *     full capacity
+     * @param tipMultiple load above which a cold server fails, as a multiple of its present
+     *     capacity
+     * @param overloadForUs how long such a load must last until the server fails
+     * @param closeWithinUs how long idle connections to a draining server may stay open; 0 for no
+     *     limit
      */
     record Rules(
             long drainGraceUs,
@@ -207,7 +219,9 @@
             long overloadForUs,
             long closeWithinUs) {
 
-        /** Creates the parameters where connections to a draining server may stay open. */
+        /**
+         * Creates parameters for deployments where connections to a draining server may stay open.
+         */
         public Rules(
                 long drainGraceUs,
                 long askWithinUs,
@@ -220,10 +234,10 @@
     }
 
     /**
-     * Prices, as fractions of the whole worth.
+     * Prices of extra work, as fractions of the worth of all requests.
      *
-     * @param probe of one probe per request
-     * @param crossZone of one attempt per request that crosses zones
+     * @param probe price of sending one probe for every request
+     * @param crossZone price of sending one attempt of every request to another zone
      */
     record Prices(double probe, double crossZone) {}
 
@@ -235,12 +249,13 @@
      * @param limits the limits of the deployment
      * @param rules the parameters for draining and for cold servers
      * @param prices the prices of probes and of crossing zones
-     * @param copies instances that send to the same tier, this one included; at least 1
-     * @param copy this instance's number among them, from 0
-     * @param tier the tier this instance sends to, from 0
+     * @param copies number of instances that send to the same tier, including this one; at least 1
+     * @param copy index of this instance among the copies, from 0
+     * @param tier index of the tier that this instance sends to, from 0
      * @param tiers number of tiers
-     * @param zone the zone this instance is in
-     * @param watch whether discovery must be asked for changes
+     * @param zone the zone of this instance
+     * @param watch whether this instance must ask discovery for changes; false if discovery sends
+     *     them unasked
      * @param overQuotaWorth fraction of the worth left for requests over a tenant's quota, 0 to 1
      * @param tickUs shortest time between two events of this instance
      */
@@ -263,16 +278,16 @@
      * One entry of a list of servers.
      *
      * @param id the server's name, an opaque text that stays the same when its process restarts
-     * @param startedAtUs when its process last started; 0 for long ago
-     * @param zone the zone it is in
-     * @param group the cell with which it shares its deduplication memory
-     * @param status whether it may be sent new requests
-     * @param model its machine type, to which classes may be restricted
+     * @param startedAtUs when the server's process last started; 0 if that was long ago
+     * @param zone the zone of the server
+     * @param group the cell whose servers share their deduplication memory with this server
+     * @param status whether the server takes new requests
+     * @param model the server's machine type; a class of requests may be restricted to some types
      */
     record Server(
             String id, long startedAtUs, int zone, int group, ServerStatus status, int model) {
 
-        /** Creates a server of the only machine type there is. */
+        /** Creates a server of type 0, for deployments with one machine type. */
         public Server(String id, long startedAtUs, int zone, int group, ServerStatus status) {
             this(id, startedAtUs, zone, group, status, 0);
         }
@@ -281,12 +296,12 @@
     /**
      * A request received from a client.
      *
-     * @param id never used again, not even for another try of the same client
-     * @param requestClass index of its class in the settings
-     * @param tenant index of its tenant, 0 where there are none
-     * @param timeLeftUs time until the client gives up this try
-     * @param workUs expected work on a standard core; 0 if unknown
-     * @param clientRetry whether the client marked it as another try
+     * @param id unique id of the request; a client's retry has a new id
+     * @param requestClass index of the request's class in the settings
+     * @param tenant index of the request's tenant in the settings; 0 if there are no tenants
+     * @param timeLeftUs time until the client stops waiting for a response to this request
+     * @param workUs expected execution time of the request on a standard core; 0 if unknown
+     * @param clientRetry whether the client marked the request as a retry
      */
     record Request(
             String id,
@@ -299,45 +314,48 @@
     /**
      * The load that a server reports; -1 for a value that it does not report.
      *
-     * @param inFlight requests it holds
-     * @param queue those of them that wait
-     * @param utilisation the fraction of its capacity in use, 0 to 1
+     * @param inFlight number of requests at the server, running or waiting
+     * @param queue number of requests at the server that wait to run
+     * @param utilisation fraction of the server's capacity in use, 0 to 1
      */
     record LoadReport(double inFlight, double queue, double utilisation) {}
 
-    /** The actions that the module may request. Ids are passed back as they were received. */
+    /**
+     * The actions that the decision module may request. Ids of requests and servers are the ones
+     * that were passed in.
+     */
     interface Actions {
         /**
-         * Sends an attempt. The attempts of a request are numbered from 0 in the order of these
-         * calls.
+         * Sends an attempt of a request to a server. The attempts of a request are numbered from 0,
+         * in the order of the calls of this method.
          */
         void send(String request, String server, long timeoutUs);
 
         /**
-         * Ends a request as refused: the client may safely try again, after {@code retryAfterUs} if
-         * it follows such advice.
+         * Ends a request as refused: the client may safely retry it, and is advised to wait {@code
+         * retryAfterUs} before that.
          */
         void refuse(String request, long retryAfterUs);
 
-        /** Ends a request as failed, whether or not it ran and whether or not a retry is safe. */
+        /** Ends a request as failed. The request may have run, and a retry may be unsafe. */
         void fail(String request);
 
-        /** Cancels an attempt. */
+        /** Cancels an attempt of a request that is still outstanding. */
         void cancel(String request, int attempt);
 
         /**
          * Closes the idle connections to a server. The default does nothing, for deployments where
-         * they may stay open.
+         * idle connections may stay open.
          */
         default void closeIdle(String server) {}
 
-        /** Asks a server for its load. */
+        /** Sends a probe that asks a server for its load. */
         void probe(String server);
 
         /** Requests a call of {@link Balancer#timer} at or after the given time. */
         void wakeAt(long atUs);
 
-        /** Asks discovery to report changes from now on. */
+        /** Asks discovery to send changes of the list of servers from now on. */
         void watchServers();
 
         /** Writes a line to the operator's log. */
@@ -345,76 +363,87 @@
     }
 
     /**
-     * Updates the list of servers. The first call after construction passes the list from before
-     * the start. With a list that is {@link ListKind#REMEMBERED}, nothing is sent before discovery
-     * has sent the list or changes to it.
+     * Replaces or changes the list of servers. The first call after construction passes the list
+     * from before this process started. If that list is {@link ListKind#REMEMBERED}, no request is
+     * sent before discovery has sent the list or changes to it.
      *
-     * @param freshness how current the list is after the update; unused for one from before the
+     * @param freshness how current the list is after this call; unused for a list from before the
      *     start
      */
     void serversChanged(long nowUs, ListKind kind, List<Server> servers, ListFreshness freshness);
 
     /**
-     * Updates the list of servers over a protocol that sends changes at once and reports a broken
-     * subscription.
+     * Replaces or changes the list of servers where discovery sends changes at once and a broken
+     * watch is reported. The list then stays current until {@link #discoveryFailed} is called.
      */
     default void serversChanged(long nowUs, ListKind kind, List<Server> servers) {
         serversChanged(nowUs, kind, servers, new ListFreshness(nowUs, Long.MAX_VALUE));
     }
 
-    /** Discovery has confirmed that the list did not change. */
+    /** Reports that discovery has confirmed that the list did not change. */
     void listCurrent(long nowUs, ListFreshness freshness);
 
     /**
-     * A call to discovery failed or its subscription broke. The current list stays valid until this
-     * process is deemed notified of the first change that the list may lack.
+     * Reports that a call to discovery failed or that the watch broke. From now on the list may
+     * lack changes. It stays in use until the drain grace after the earliest time at which this
+     * process may be deemed notified of a missing change.
      */
     void discoveryFailed(long nowUs);
 
     /**
-     * Discovery has begun to send something that is not applied and may never be. This process is
-     * deemed notified of it until the list is confirmed again.
+     * Reports that discovery has begun to send a message that is not applied and may never be.
+     * Until the list is confirmed again, this process is deemed notified of the changes in that
+     * message.
      *
-     * @param sinceUs when it began
+     * @param sinceUs when discovery began to send the message
      */
     void listPending(long sinceUs);
 
     /**
-     * This process was stalled. Changes that discovery sent meanwhile may be unread; this process
-     * is deemed notified of them.
+     * Reports that this process was stalled. Changes that discovery sent during the stall may still
+     * be unread, but this process is deemed notified of them.
      *
-     * @param sinceUs since when nothing was read
+     * @param sinceUs time since which nothing from discovery was read
      */
     void listUnread(long sinceUs);
 
-    /** All that arrived during the stall has been read. */
+    /** Reports that everything that arrived during the stall has been read. */
     void listRead(long nowUs);
 
-    /** Discovery has rejected a call at once, which shows that it is alive but overloaded. */
+    /**
+     * Reports that discovery has rejected a call at once, which shows that it is alive but
+     * overloaded.
+     */
     void discoveryTurnedAway();
 
-    /** A connection to discovery was established, whatever becomes of it. */
+    /**
+     * Reports that a connection to discovery was established, even if the call on it fails later.
+     */
     void discoveryReached();
 
     /**
-     * The address of discovery has changed.
+     * Reports that the address of discovery has changed.
      *
-     * @param sinceUs the earliest time of the change; a process that was stalled is notified late
+     * @param sinceUs the earliest possible time of the change, which is before {@code nowUs} if
+     *     this process was stalled
      */
     void discoveryMoved(long nowUs, long sinceUs);
 
-    /** Returns whether a server may be sent requests now; to be checked just before each write. */
+    /**
+     * Returns whether requests may be sent to a server now. The caller checks this just before each
+     * write.
+     */
     boolean mayReach(long nowUs, String server);
 
-    /** A new request; it must get one final answer. */
+    /** Handles a new request, which must get exactly one final answer. */
     void request(long nowUs, Request request);
 
     /**
-     * An attempt ended.
+     * Handles the end of an attempt.
      *
-     * @param elapsedUs time since it was sent
-     * @param ended whether the request is completed by this outcome or was before it
-     * @param report the server's load, or null
+     * @param elapsedUs time since the attempt was sent
+     * @param ended whether the request is completed, by this outcome or earlier
+     * @param report the load that the server reported, or null if it reported none
      */
     void outcome(
             long nowUs,
@@ -427,33 +456,37 @@
             LoadReport report);
 
     /**
-     * A streamed response began. It is the request's final answer, so the attempt has no time-out
-     * from now on; its outcome reports whether the response was complete.
+     * Handles the start of a streamed response. The response is the request's final answer, so the
+     * attempt has no time-out from now on; the outcome of the attempt tells whether the response
+     * was complete.
      */
     void streamStarted(long nowUs, String request, int attempt, String server, long elapsedUs);
 
     /**
-     * The body of a request is sent to the server of its attempt as it arrives from the client and
-     * is not kept, so the request cannot be sent again. No response is due before {@link
+     * Reports that the body of a request is forwarded to the server as it arrives from the client
+     * and is not kept, so that the request cannot be sent again. No response is due before {@link
      * #bodyWritten}.
      */
     void bodySpent(long nowUs, String request);
 
-    /** All of such a body has been sent; the server's response time starts now. */
+    /**
+     * Reports that a body that is not kept has been sent completely; the server's response time
+     * starts now.
+     */
     void bodyWritten(long nowUs, String request, int attempt);
 
-    /** The client has disconnected; the request is completed. */
+    /** Handles a client's disconnection, which completes its request. */
     void clientGone(long nowUs, String request);
 
-    /** A probe ended; {@code report} is null if the server sent none. */
+    /** Handles the end of a probe; {@code report} is null if the server sent no load report. */
     void probeResult(long nowUs, String server, Outcome outcome, long elapsedUs, LoadReport report);
 
-    /** A time requested by {@link Actions#wakeAt} has come. */
+    /** Handles the arrival of a time that {@link Actions#wakeAt} requested. */
     void timer(long nowUs);
 
     /**
-     * Returns how many servers of the current list are avoided now: they drain, are in cooldown, or
-     * are used only if all others are busy.
+     * Returns the number of servers of the current list that are avoided now, because they drain,
+     * are in cooldown or are used only if all others are busy.
      */
     int hostsDown(long nowUs);
 }
--- a/src/main/java/passhatch/FailureRates.java
+++ b/src/main/java/passhatch/FailureRates.java
@@ -9,11 +9,15 @@
     private static final double CONNECT_FAILURE_WEIGHT = 0.2;
     /** Weight of the newest outcome in the rates of errors and of resets. */
     private static final double RESPONSE_WEIGHT = 0.04;
-    /** Connect failure rate above which connected servers come first: one failure lasts ten outcomes. */
+    /**
+     * Rate above which connecting counts as failing: one failure keeps the rate above it for ten outcomes.
+     */
     private static final double MAX_CONNECT_FAILURE_RATE = 0.02;
     /** Failures in a row are significant if less probable than this while all servers fail alike. */
     private static final double MAX_CHANCE_PROBABILITY = 0.001;
-    /** Upper bound of the reset rate in that calculation: ten failures in a row are always significant. */
+    /**
+     * Cap on the reset rate in {@link #significantFailures}: ten failures in a row are always significant.
+     */
     private static final double MAX_RESET_RATE = 0.5;
 
     private double errorRate;
@@ -38,22 +42,23 @@
         return errorRate;
     }
 
-    /** Returns whether connections fail, or failed a moment ago. */
+    /** Returns whether attempts to connect fail at present, or failed a moment ago. */
     boolean connectionsFail() {
         return connectFailureRate > MAX_CONNECT_FAILURE_RATE;
     }
 
     /**
-     * Returns how many failures in a row show that the server itself fails: the more connections break at all
-     * servers, the more often several in a row break at one of them by chance.
+     * Returns how many failures in a row show that a server itself fails. The more connections break at all
+     * servers, the more often several in a row break at one server by chance.
      *
-     * @param min the result while connections seldom break, and its lower bound
+     * @param minFailures the minimum result, returned while connections seldom break
      */
-    int significantFailures(int min) {
+    int significantFailures(int minFailures) {
         if (resetRate < MAX_CHANCE_PROBABILITY) {
-            return min;
+            return minFailures;
         }
-        double inARow = Math.log(MAX_CHANCE_PROBABILITY) / Math.log(Math.min(resetRate, MAX_RESET_RATE));
-        return Math.max(min, (int) Math.ceil(inARow));
+        double failuresInARow =
+                Math.log(MAX_CHANCE_PROBABILITY) / Math.log(Math.min(resetRate, MAX_RESET_RATE));
+        return Math.max(minFailures, (int) Math.ceil(failuresInARow));
     }
 }
--- a/src/main/java/passhatch/LatencyStats.java
+++ b/src/main/java/passhatch/LatencyStats.java
@@ -1,28 +1,31 @@
 package passhatch;
 
 /**
- * Latencies of requests to this tier, as measured by their responses. Latencies differ widely between
- * classes, so all values except {@link #relativeLatency} are for a usual request: each sample is divided by
- * the relative latency of its class. Without this, a server that answers a few long requests would look too
- * slow for short ones; and once the short ones are held back, only long ones are left to measure it by.
+ * Latencies of requests to this tier, measured from their responses. Latencies differ widely between classes,
+ * so all values except {@link #relativeLatency} are for a usual request: each sample is divided by the
+ * relative latency of its class. Without this, a server that answers a few long requests would look too slow
+ * for short requests. It would then get no short requests, so only long ones would be left to measure its
+ * latency.
  */
 final class LatencyStats {
 
     /** Weight of the newest value in a running mean. */
     static final double MEAN_WEIGHT = 0.1;
-    /** Fraction of requests that count as quick. */
+    /** Fraction of requests whose latency is below the quick latency. */
     private static final double QUICK_QUANTILE = 0.3;
-    /** The mean latency per request in flight counts as at most this multiple of the quick one. */
+    /** Maximum of the mean latency per request in flight, as a multiple of the quick latency. */
     private static final double MAX_MEAN_TO_QUICK_RATIO = 2;
     /** Relative step of the running estimate of the quick latency. */
     private static final double QUICK_ESTIMATE_STEP = 0.05;
-    /** Relative growth of the baseline at each sample: one from thousands of requests ago may be outdated. */
+    /**
+     * Relative growth of the baseline at each sample: a minimum of thousands of requests ago may be outdated.
+     */
     private static final double BASELINE_GROWTH = 0.0003;
 
-    /** Samples before the mean is trusted: the first responses to arrive are the quickest. */
+    /** Samples needed before the mean is used: the first responses to arrive are the quickest. */
     private static final int MIN_SAMPLES = 20;
 
-    /** Mean latency of served requests by class index; 0 while there was none. */
+    /** Mean latency of served requests, by class index; 0 for a class of which no request was served yet. */
     private final double[] classLatencyUs;
     private double unitLatencyUs;
     private double quickUnitLatencyUs;
@@ -36,7 +39,9 @@
         classLatencyUs = new double[classes];
     }
 
-    /** Returns the latency of a class as a multiple of the usual one, the mean over all classes. */
+    /**
+     * Returns the latency of a class as a multiple of the usual latency, which is the mean over all classes.
+     */
     double relativeLatency(int requestClass) {
         if (classLatencyUs[requestClass] == 0) {
             return 1;
@@ -50,7 +55,7 @@
         return classLatencyUs[requestClass] * measured / sumUs;
     }
 
-    /** Adds the latency of an attempt that has ended; it is shared among the load at the attempt's send. */
+    /** Adds the latency of a completed attempt, divided by the server's load when the attempt was sent. */
     void addSample(Attempt attempt, boolean served, long elapsedUs) {
         int requestClass = attempt.request.original.requestClass();
         if (served) {
@@ -67,7 +72,8 @@
         }
         double unitUs = usualUs / attempt.loadAtSend;
         quickUnitLatencyUs = quickUnitLatencyUs == 0 ? unitUs : quickUnitLatencyUs
-                * (1 + QUICK_ESTIMATE_STEP * (unitUs < quickUnitLatencyUs ? QUICK_QUANTILE - 1 : QUICK_QUANTILE));
+                * (1 + QUICK_ESTIMATE_STEP
+                * (unitUs < quickUnitLatencyUs ? QUICK_QUANTILE - 1 : QUICK_QUANTILE));
         // The mean is capped so that a few servers that take seconds do not count as usual.
         unitLatencyUs = Math.min(latencySumUs / loadSum, MAX_MEAN_TO_QUICK_RATIO * quickUnitLatencyUs);
         ServerState server = attempt.server;
@@ -75,37 +81,42 @@
         server.loadSum += attempt.loadAtSend - server.loadSum * MEAN_WEIGHT;
     }
 
-    /** Returns whether there were enough samples to know the latency without congestion. */
+    /** Returns whether there are enough samples to tell the latency without congestion. */
     boolean hasBaseline() {
         return samples >= MIN_SAMPLES;
     }
 
-    /** Returns the latency per request in flight at a server, over all servers; 0 while unknown. */
+    /** Returns the mean latency per request in flight at a server, over all servers; 0 while unknown. */
     double unitLatencyUs() {
         return unitLatencyUs;
     }
 
-    /** Returns the latency per request in flight that {@link #QUICK_QUANTILE} of the requests stay below. */
+    /**
+     * Returns the quick latency per request in flight: {@link #QUICK_QUANTILE} of the requests are quicker.
+     */
     double quickUnitLatencyUs() {
         return quickUnitLatencyUs;
     }
 
-    /** Lowers the estimate of the quick latency, as a quick response would. */
+    /** Lowers the estimate of the quick latency by as much as a quick response does. */
     void lowerQuickEstimate() {
         quickUnitLatencyUs *= 1 - QUICK_ESTIMATE_STEP * QUICK_QUANTILE;
     }
 
-    /** Returns the running mean of the latency. */
+    /** Returns the running mean of the latency of all requests. */
     double meanLatencyUs() {
         return meanLatencyUs;
     }
 
-    /** Returns the recent minimum of the mean, without congestion; the greatest value while unknown. */
+    /**
+     * Returns the recent minimum of the mean latency, without congestion; {@link Double#MAX_VALUE} if
+     * unknown.
+     */
     double baselineLatencyUs() {
         return baselineLatencyUs;
     }
 
-    /** Returns the latency of a class while servers are not congested; 0 while unknown. */
+    /** Returns the latency of a class at servers without congestion; 0 while unknown. */
     double classBaselineUs(int requestClass) {
         return !hasBaseline() ? 0 : baselineLatencyUs * relativeLatency(requestClass);
     }
--- a/src/main/java/passhatch/ListLease.java
+++ b/src/main/java/passhatch/ListLease.java
@@ -5,40 +5,45 @@
 import passhatch.Balancer.Rules;
 
 /**
- * Tracks until when the list of servers may be used without confirmation by discovery. This process
- * is deemed notified of a change some time after the change was made, even if the notice never
- * arrived; from then on a server that the change takes out of use may be sent requests for the
- * drain grace only. So the list is held as a lease: it is valid while a watch is alive, and expires
- * after that. While discovery gives no sign that it can be reached, a server that accepted a
- * request a moment ago may be used without a list.
+ * Tracks how long the list of servers may be used without confirmation by discovery. Some time
+ * after a change was made, this process is deemed notified of it, even if the notice never arrived.
+ * From then on, requests may be sent to a server that the change takes out of use for the drain
+ * grace only. So this process holds a lease on the list: the lease is valid while a watch is alive,
+ * and expires some time after the watch has ended. While nothing shows that discovery can be
+ * reached, a server that accepted a request a moment ago may be used without a valid list.
  *
  * <p>The class reads no clock; all times are in microseconds of one clock.
  */
 public final class ListLease {
 
-    /** This process is deemed notified this long after discovery had a change, arrived or not. */
+    /**
+     * This long after discovery had a change, this process is deemed notified of it, whether or not
+     * a notice arrived.
+     */
     public static final long NOTIFY_TIMEOUT_US = 6_000_000;
 
     /**
-     * After a change of discovery's address this process is deemed notified within this time of all
-     * that discovery has, and of each change that it gets within as much time after the address
-     * change.
+     * Within this time after a change of discovery's address, this process is deemed notified of
+     * all changes that discovery had by then. Of each change that discovery gets up to this long
+     * after the address change, this process is deemed notified within this time.
      */
     public static final long ADDRESS_CHANGE_NOTIFY_TIMEOUT_US = 4_000_000;
 
-    /** The process may be stalled for this long between reading its clock and a read or a write. */
+    /**
+     * Maximum stall of this process between reading its clock and the read or write that follows.
+     */
     public static final long MAX_STALL_US = 150_000;
 
     /**
-     * After this time a process that could not reach discovery since its start uses the list that
-     * it was given: it has to serve within 10 s of its start, of which 3 s are for the start
+     * Time after which a process that could not reach discovery uses the list given to it at its
+     * start. The process has to serve within 10 s of its start, of which 3 s are for the start
      * itself.
      */
     public static final long UNCONFIRMED_START_TIMEOUT_US = 7_000_000;
 
     /**
-     * For how long an accepted request is a sign that the server does not drain. A draining server
-     * may go on accepting, for longer than this in some deployments.
+     * How long an accepted request counts as a sign that its server does not drain. In some
+     * deployments a draining server accepts requests for longer than this.
      */
     private static final long ACCEPTANCE_VALIDITY_US = 1_200_000;
 
@@ -59,10 +64,13 @@
     /** Whether discovery has shown that it is alive since the list was last confirmed. */
     private boolean discoveryAlive;
 
-    /** A change of discovery's address at some time between the two. */
+    /** A change of discovery's address at some time between two known times. */
     private record AddressChange(long earliestUs, long latestUs) {}
 
-    /** Oldest first, without those that no longer affect when a change is deemed notified. */
+    /**
+     * Address changes, oldest first, that still affect when this process is deemed notified of a
+     * change.
+     */
     private final ArrayDeque<AddressChange> addressChanges = new ArrayDeque<>();
 
     private ListLease(long drainGraceUs, long notifyTimeoutUs) {
@@ -73,27 +81,28 @@
     /**
      * Returns a lease that holds no list yet.
      *
-     * @param asked whether discovery has to be asked for changes
+     * @param mustAsk whether this process must ask discovery for changes
      */
-    static ListLease of(Rules rules, boolean asked) {
-        long askingUs = asked && rules.askWithinUs() > 0 ? rules.askWithinUs() : NOTIFY_TIMEOUT_US;
-        return new ListLease(rules.drainGraceUs(), Math.min(askingUs, NOTIFY_TIMEOUT_US));
+    static ListLease of(Rules rules, boolean mustAsk) {
+        long maxDelayUs =
+                mustAsk && rules.askWithinUs() > 0 ? rules.askWithinUs() : NOTIFY_TIMEOUT_US;
+        return new ListLease(rules.drainGraceUs(), Math.min(maxDelayUs, NOTIFY_TIMEOUT_US));
     }
 
-    /** Starts from a list of unknown age. */
+    /** Starts the lease with a list of unknown age. */
     void startFromRememberedList(long nowUs) {
         rememberedListUsableFromUs = nowUs + UNCONFIRMED_START_TIMEOUT_US;
     }
 
     /**
-     * Records that discovery can be reached; this process is then deemed notified of what discovery
-     * has, even if that does not arrive.
+     * Records that discovery can be reached. From then on a list remembered from before the start
+     * is not used unconfirmed, as this process is deemed notified of all that discovery has.
      */
     void discoveryReached() {
         rememberedListUsableFromUs = Long.MAX_VALUE;
     }
 
-    /** Starts from a list that was current until now. */
+    /** Starts the lease with a list that was current until now. */
     void startFromRecentList(long nowUs) {
         currentAsOfUs = nowUs;
     }
@@ -107,16 +116,16 @@
     }
 
     /**
-     * Records that discovery began to send something at this time that is not applied; it is deemed
-     * notified.
+     * Records that discovery began at this time to send a message that is not applied. This process
+     * is deemed notified of the changes in that message.
      */
     void markPending(long sinceUs) {
         pendingSinceUs = Math.min(pendingSinceUs, sinceUs);
     }
 
     /**
-     * Records that discovery rejected a call at once: it is alive, and this process is deemed
-     * notified of what it has.
+     * Records that discovery rejected a call at once: discovery is alive, so this process is deemed
+     * notified of all that discovery has.
      */
     void discoveryRejectedCall() {
         discoveryAlive = true;
@@ -128,18 +137,19 @@
     }
 
     /**
-     * Records that nothing was read since this time; changes sent meanwhile are deemed notified.
+     * Records that nothing from discovery was read since this time. This process is deemed notified
+     * of the changes that discovery sent since.
      */
     void markUnread(long sinceUs) {
         unreadSinceUs = Math.min(unreadSinceUs, sinceUs);
     }
 
-    /** Records that all that discovery sent by now has been read. */
+    /** Records that this process has read everything that discovery sent. */
     void markRead() {
         unreadSinceUs = NOT_PENDING;
     }
 
-    /** Records that no watch is alive any more, so that changes may be missed. */
+    /** Records that the watch has ended, so that changes may be missed from now on. */
     void watchLost(long nowUs) {
         if (watchedUntilUs == Long.MAX_VALUE) {
             // A watch without an end reports when it breaks, so all changes up to now have arrived.
@@ -148,7 +158,7 @@
         watchedUntilUs = NEVER;
     }
 
-    /** Records that all changes deemed notified by this time are in the list. */
+    /** Records that the list has all changes that discovery had by this time. */
     private void setCurrentAsOf(long timeUs) {
         currentAsOfUs = Math.max(currentAsOfUs, timeUs);
         while (!addressChanges.isEmpty()
@@ -159,31 +169,32 @@
     }
 
     /**
-     * Records that discovery has another address from now on; each address change counts
-     * separately. A process that was stalled knows only two times between which it happened.
+     * Records that discovery has a new address. A process that was stalled knows only two times
+     * between which the address changed. Each address change counts separately.
      */
     void addressChanged(long earliestUs, long latestUs) {
         watchLost(latestUs);
         addressChanges.add(new AddressChange(earliestUs, latestUs));
     }
 
-    /** Returns whether any server may be sent requests. */
+    /** Returns whether requests may be sent to at least one server. */
     boolean anyServerUsable(long nowUs) {
         return usable(nowUs, lastAcceptedSendUs);
     }
 
     /**
-     * Returns whether a server may be sent requests.
+     * Returns whether requests may be sent to a server.
      *
-     * @param acceptedUs when the latest request that the server accepted was sent, or {@link
-     *     #NEVER}
+     * @param acceptedUs send time of the latest request that the server accepted, or {@link #NEVER}
      */
     boolean usable(long nowUs, long acceptedUs) {
         return nowUs < sendDeadlineUs(Math.min(pendingSinceUs, unreadSinceUs))
                 && (usableByList(nowUs) || usableByAcceptance(nowUs, acceptedUs));
     }
 
-    /** Returns whether servers may be sent requests by the list alone. */
+    /**
+     * Returns whether the list alone allows requests to its servers, whatever they have accepted.
+     */
     boolean usable(long nowUs) {
         return usable(nowUs, NEVER);
     }
@@ -193,9 +204,9 @@
     }
 
     /**
-     * Returns whether a server may be used because it accepted a request a moment ago. Not so after
-     * an address change: this process is then soon deemed notified of what discovery has, whether
-     * discovery can be reached or not.
+     * Returns whether a server may be used because it accepted a request a moment ago. After a
+     * change of discovery's address it may not: this process is then soon deemed notified of all
+     * that discovery has, whether or not discovery can be reached.
      */
     private boolean usableByAcceptance(long nowUs, long acceptedUs) {
         return acceptedUs != NEVER
@@ -210,20 +221,26 @@
         return fromUs > nowUs ? NEVER : sendDeadlineUs(earliestNotifiedAtUs(fromUs));
     }
 
-    /** Returns by when a send to a server must be decided once its drain is deemed notified. */
+    /**
+     * Returns until when requests may be sent to a server, given the time at which this process is
+     * deemed notified of the server's drain.
+     */
     private long sendDeadlineUs(long notifiedAtUs) {
         return notifiedAtUs == NOT_PENDING
                 ? notifiedAtUs
                 : notifiedAtUs + drainGraceUs - 2 * MAX_STALL_US;
     }
 
-    /** Returns the earliest time at which a change after the given time may be deemed notified. */
+    /**
+     * Returns the earliest time at which this process may be deemed notified of a change made after
+     * the given time.
+     */
     private long earliestNotifiedAtUs(long changedAfterUs) {
         long notifiedAtUs = changedAfterUs + notifyTimeoutUs;
         if (addressChanges.isEmpty()) {
             return notifiedAtUs;
         }
-        long changedUs = Math.max(addressChanges.peek().earliestUs, changedAfterUs);
-        return Math.min(notifiedAtUs, changedUs + ADDRESS_CHANGE_NOTIFY_TIMEOUT_US);
+        long addressChangedUs = Math.max(addressChanges.peek().earliestUs, changedAfterUs);
+        return Math.min(notifiedAtUs, addressChangedUs + ADDRESS_CHANGE_NOTIFY_TIMEOUT_US);
     }
 }
--- a/src/main/java/passhatch/Logic.java
+++ b/src/main/java/passhatch/Logic.java
@@ -14,87 +14,112 @@
 
 /**
  * Makes all decisions of the balancer: server selection, retries, probes, slow start and load shedding. Its
- * types, events and actions are declared in {@link Balancer} (Balancer.java).
+ * types, events and actions are declared in {@link Balancer}.
  *
- * <p>While nothing fails, a request goes to a server that has none of this copy's own requests in flight,
- * else to the one with the fewest in flight; among equals, to the one assigned least recently; see
- * {@link #ranksBefore}. Everything else here is about failures and limits.
+ * <p>While nothing fails, a request goes to the server with the fewest of this copy's own requests in flight,
+ * and among equals to the server to which a request was assigned least recently; see {@link #ranksBefore}.
+ * All other rules of this class are about failures and limits.
  */
 public final class Logic implements Balancer {
 
-    /** Consecutive failures before a cooldown, where few connections fail: one may be chance, two are not. */
+    /** Failures in a row before a cooldown while few connections fail: one may be chance, two are not. */
     private static final int FAILURES_BEFORE_COOLDOWN = 2;
-    /** Length of a cooldown: a few attempts a minute do no harm, and a restart takes some seconds. */
+    /** Length of a cooldown. A restart takes some seconds, and a few failed attempts a minute do no harm. */
     private static final long FAILURE_COOLDOWN_US = 3_000_000;
-    /** Retries earned by each request, so that retries add at most a tenth of load in the long run. */
+    /** Retries that each request adds to the budget: retries add at most a tenth of load in the long run. */
     private static final double RETRIES_PER_REQUEST = 0.1;
-    /** Retries that may be saved up for a burst of failures. */
+    /** Maximum number of retries that are saved up for a burst of failures. */
     private static final double MAX_RETRY_BUDGET = 5;
-    /** First delay before discovery is asked again; doubled at each failure. */
+    /** First delay before a failed call to discovery is repeated; doubled at each further failure. */
     private static final long DISCOVERY_RETRY_DELAY_US = 250_000;
-    /** Fraction of the whole worth that probes may cost over all tiers; none if two a request cost more. */
+    /**
+     * Maximum cost of probes over all tiers as a fraction of all worth; no probes are sent if two per request
+     * cost more.
+     */
     private static final double MAX_PROBE_COST_TO_WORTH = 0.02;
-    /** Probes in a round: one may be lost or slow, more than two would mostly be wasted. */
+    /** Probes sent at a time for a request: one may be lost or slow, more than two would mostly be wasted. */
     private static final int PROBES_PER_ROUND = 2;
-    /** While servers hold fewer requests than this on average, one probe a round is usually enough. */
+    /** Mean number of requests per server below which a round of one probe is usually enough. */
     private static final double LIGHT_LOAD = 0.25;
-    /** Rounds of probes before a request goes to the best server known. */
+    /** Rounds of probes for a request before it is sent to the best server known. */
     private static final int MAX_PROBE_ROUNDS = 3;
-    /** Probes are sent only while one takes at most this fraction of the target latency. */
+    /** Probes are sent only while a probe takes at most this fraction of the request's target latency. */
     private static final double MAX_PROBE_LATENCY_FRACTION = 0.02;
     /** The reply to a probe is overdue after this multiple of the mean probe latency. */
     private static final double PROBE_OVERDUE_FACTOR = 3;
-    /** A busy server's report is valid for this part of a usual latency, as most of that work is left. */
+    /**
+     * A busy server's load report is valid for this fraction of the time that the reported requests take, as
+     * most of that work is then still left.
+     */
     private static final double BUSY_REPORT_FACTOR = 0.25;
-    /** Fraction of a request's work beyond the usual that counts: hints err, and not all time is work. */
+    /** Weight of a request's work beyond the usual: hints about work err, and not all latency is work. */
     private static final double EXTRA_WORK_FACTOR = 0.5;
-    /** Fraction of its spare time that a request may be expected to wait: the mean is far from the worst. */
+    /**
+     * Maximum expected wait as a fraction of a request's spare time: the longest waits far exceed the mean.
+     */
     private static final double MAX_SPARE_TIME_FRACTION = 0.36;
-    /** A request worth more may wait up to this multiple of that, so the least worth are shed first. */
+    /**
+     * Requests of higher worth may wait up to this many times longer, so that those of least worth are shed
+     * first.
+     */
     private static final double MAX_PRIORITY_FACTOR = 2;
-    /** Requests that the copies sharing a server may always have there together: they keep cores busy. */
+    /** Requests that the copies together may always have in flight at a server, to keep its cores busy. */
     private static final double MIN_SERVER_CONCURRENCY = 4;
-    /** More are sent while the next should take less than this multiple of the baseline; 2 to 3 act alike. */
+    /**
+     * A server is congested if the next request would take more than this multiple of the baseline;
+     * values from 2 to 3 have the same effect.
+     */
     private static final double CONGESTED_FACTOR = 2.3;
-    /** Or while the mean latency is below this multiple of it: a burst after calm is no congestion. */
+    /**
+     * No server is congested while the mean latency is below this multiple of the baseline: a burst after
+     * calm is no congestion.
+     */
     private static final double OVERALL_CONGESTION_FACTOR = 1.3;
-    /** Classes worth up to this multiple of the least get no priority: they may be half of all traffic. */
+    /**
+     * Classes worth up to this multiple of the lowest worth get no priority: they may be half of all traffic.
+     */
     private static final double PRIORITY_WORTH_RATIO = 4;
-    /** A server gets turns at most this many times less often, or more often, than the usual one. */
+    /** A server gets turns at most this many times less often, or more often, than the usual server. */
     private static final double MAX_SLOWDOWN = 20;
-    /** Fraction of the load that would overload a cold server that all copies together may send it. */
+    /** All copies together send a cold server at most this fraction of the load that would overload it. */
     private static final double COLD_LOAD_FRACTION = 0.5;
     /**
-     * A queued request must have this multiple of the usual latency left: sent at the last moment, half
-     * would be late.
+     * A queued request is sent only while it has this multiple of the usual latency left: of requests sent at
+     * the last moment, half would be late.
      */
     private static final double MIN_QUEUED_TIME_FACTOR = 1.4;
-    /** How often a cooldown is doubled at most, once at each further failure. */
+    /** Maximum number of times that a cooldown is doubled, once at each further failure. */
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
     /** An attempt is overdue after this multiple of the expected latency, as latencies spread widely. */
     private static final double ATTEMPT_OVERDUE_FACTOR = 5;
-    /** Overdue attempts, or unanswered probes, in a row after which a server enters a cooldown. */
+    /**
+     * Overdue attempts in a row that start a cooldown; cap on the penalty for overdue attempts and unanswered
+     * probes.
+     */
     private static final int MAX_UNANSWERED = 2;
-    /** Rounds by which the turn of a server in another zone is postponed, so that the own zone is first. */
+    /** Rounds by which the turn of a server in another zone is postponed, to use this copy's zone first. */
     private static final double CROSS_ZONE_DELAY_ROUNDS = 1;
-    /** Weight of the newest response in a server's error rate. */
+    /** Weight of the newest response in the running mean of a server's error rate. */
     private static final double ERROR_WEIGHT = 0.2;
     /** Error rate above which a server may enter a cooldown. */
     private static final double MAX_ERROR_RATE = 0.35;
-    /** A slow server is tried again after this long at the latest, as it may have recovered. */
+    /** Maximum time for which a slow server gets no request, as it may have recovered. */
     private static final double MAX_SLOW_SERVER_DELAY_US = 24_000_000;
     /** Load assumed for a server that rejected a request as full. */
     private static final int FULL_LOAD = 1000;
-    /** Copies per server where only their own requests show its load: each should see most of that load. */
+    /** Copies that use each server if no reports show its load: each copy should see most of that load. */
     private static final double COPIES_PER_SERVER = 2;
-    /** Minimum number of servers in a subset: with fewer, one that is slow or dead weighs too much. */
+    /** Minimum number of servers that a copy uses: with fewer, a slow or dead one matters too much. */
     private static final int MIN_SUBSET_SIZE = 4;
-    /** The same where probes report load: enough to find an idle one, few enough to rank per request. */
+    /**
+     * Minimum number of servers that a copy uses if probes report load: enough to find an idle server, few
+     * enough to rank for each request.
+     */
     private static final int MIN_PROBED_SUBSET_SIZE = 24;
     /** Minimum time between two rate-limited log lines, as failures come in bursts. */
     private static final long LOG_INTERVAL_US = 10_000_000;
 
-    /** Which servers a selection considers: all, those reported to be idle, those whose load is unknown. */
+    /** Which servers a selection considers: any, those reported as idle, or those whose load is unknown. */
     private enum ServerFilter { ANY, REPORTED_IDLE, UNKNOWN_LOAD }
 
     private final Settings settings;
@@ -105,9 +130,9 @@
     private final Set<String> drainingIds = new HashSet<>();
     private final List<ServerState> servers = new ArrayList<>();
     private final Map<String, RequestState> requests = new HashMap<>();
-    /** Requests for which no server may be used now, oldest first. */
+    /** Requests that wait for a server, for replies to probes or for a list of servers. */
     private final ArrayDeque<RequestState> waiting = new ArrayDeque<>();
-    /** Attempts in the order in which they were sent, to find those overdue. */
+    /** Attempts in the order in which they were sent, to find overdue attempts. */
     private final ArrayDeque<Attempt> sentAttempts = new ArrayDeque<>();
     private final ReportTrust reportTrust =
             new ReportTrust(FAILURE_COOLDOWN_US, ERROR_WEIGHT, MAX_ERROR_RATE);
@@ -124,15 +149,15 @@
     private long nextLogAtUs = Long.MIN_VALUE;
     private long watchRequestAtUs = Long.MAX_VALUE;
     private int discoveryFailures;
-    /** Probes that the price allows for each request, and those saved up. */
+    /** Number of probes that the price allows for each request; 0 if no probes are sent. */
     private final double probesPerRequest;
     private double probeBudget;
     private double probeLatencyUs;
-    /** Mean of the loads that probed servers reported; assumed for a server without a valid report. */
+    /** Mean load that probed servers reported; assumed as the load of a server without a valid report. */
     private double meanReportedLoad;
     private final LatencyStats latencies;
     private double meanWorkUs;
-    /** The time that clients give the first try of a request. */
+    /** Time that clients wait for the response to a request that is not a retry. */
     private double firstTryTimeoutUs;
     private final TenantQuotas tenantQuotas;
     private double meanSendGapUs;
@@ -182,7 +207,7 @@
         }
         servers.forEach(server -> server.listed = server.up);
         servers.removeIf(server -> !server.listed);
-        // A removed server is kept until its attempts end: it may be listed again while it still holds them.
+        // A removed server is kept until its attempts end, as it may be listed again before that.
         serversById.values().removeIf(server -> !server.listed && server.inFlight == 0);
         if (!listReceived) {
             listReceived = true;
@@ -239,8 +264,9 @@
     }
 
     /**
-     * Closes the idle connections to a draining server, as they would keep it from stopping. Called at the
-     * notice, and for connections in use at that time when the outcome ends their use.
+     * Closes the idle connections to a draining server, as open connections would keep the server from
+     * stopping. Called at the notice of the drain, and after each later outcome for the connection that it
+     * freed.
      */
     private void closeIdle(String serverId) {
         if (settings.rules().closeWithinUs() > 0) {
@@ -248,17 +274,21 @@
         }
     }
 
-    /** Orders the list: servers of the own zone first, then by a hash that is the same at every copy. */
+    /**
+     * Returns whether a comes after b in the list: this copy's zone first, then by hash, as at every copy.
+     */
     private boolean sortsAfter(ServerState a, ServerState b) {
-        return crossZoneDelayRounds(a) != crossZoneDelayRounds(b) ? crossZoneDelayRounds(a) > crossZoneDelayRounds(b)
+        return crossZoneDelayRounds(a) != crossZoneDelayRounds(b)
+                ? crossZoneDelayRounds(a) > crossZoneDelayRounds(b)
                 : a.hashOrder > b.hashOrder;
     }
 
     /**
-     * Sets when a newly listed server gets its first request. By assignment time alone it would be next at
-     * every copy at once, so it gets the turn of a server chosen at random. While it is cold only a part of
-     * the copies use it: with many copies, a round of each takes so long that a wait measured in rounds would
-     * leave it without requests.
+     * Sets when a newly listed server gets its first request. If turns went by assignment time alone, the
+     * server would be next at every copy at once, so it gets the turn of another server chosen at random.
+     * With many copies, a round takes so long that a wait of whole rounds would leave a cold server without
+     * requests. So each copy admits the server at a random time, and only some of the copies use it while it
+     * is cold.
      */
     private void scheduleSlowStart(long nowUs, ServerState server) {
         int start = random.nextInt(servers.size());
@@ -273,14 +303,16 @@
                 warmEnoughAtUs(server, random.nextDouble()));
     }
 
-    /** Returns when a cold server can safely take this fraction of a usual server's load. */
+    /** Returns when a cold server can safely take a given fraction of a usual server's load. */
     private long warmEnoughAtUs(ServerState server, double fraction) {
         Rules rules = settings.rules();
-        double extraCapacity = Math.min(1, fraction / (rules.tipMultiple() * COLD_LOAD_FRACTION)) - rules.coldFrom();
-        return server.startedAtUs + (long) (Math.max(0, extraCapacity) / (1 - rules.coldFrom()) * rules.coldUs());
+        double extraCapacity =
+                Math.min(1, fraction / (rules.tipMultiple() * COLD_LOAD_FRACTION)) - rules.coldFrom();
+        return server.startedAtUs
+                + (long) (Math.max(0, extraCapacity) / (1 - rules.coldFrom()) * rules.coldUs());
     }
 
-    /** Returns the fraction of its full capacity that a server can be assumed to have by now. */
+    /** Returns the fraction of its full capacity that a server is assumed to have now. */
     private double capacityFraction(ServerState server, long nowUs) {
         Rules rules = settings.rules();
         long ageUs = nowUs - server.startedAtUs;
@@ -291,9 +323,9 @@
     }
 
     /**
-     * Returns the time between two turns of a cold server, based on this copy's round over its servers. If
-     * every copy keeps to it, the server gets only a safe fraction of the load that would overload it,
-     * provided that a warm server can do at least what it is sent now.
+     * Returns the time between two turns of a cold server at this copy. If every copy keeps to this interval,
+     * the server gets only a safe fraction of the load that would overload it, provided that a warm server
+     * can take its present load.
      */
     private double turnIntervalUs(ServerState server, long nowUs) {
         double safeLoad =
@@ -301,19 +333,20 @@
         return roundTimeUs(nowUs) * Math.max(1, 1 / safeLoad);
     }
 
-    /** Returns the time in which this copy sends one request to each server of its subset. */
+    /** Returns the length of a round, in which this copy sends one request to each server of its subset. */
     private double roundTimeUs(long nowUs) {
         return (meanSendGapUs > 0 ? meanSendGapUs : settings.classes().get(0).aimUs())
                 * Math.max(1, subsetSize(nowUs));
     }
 
     /**
-     * Returns how many servers this copy uses. Where many copies send to each server and no probe reports
-     * what the others sent, own requests in flight tell nothing of its load; and where a connection carries
-     * one request, connections of many copies exhaust a server even while idle. So each copy uses only the
-     * few servers that follow its own index in the list, which spreads the copies evenly. Where probes report
-     * load, more are used, but not all of hundreds: ranking them for each request costs too much. A server in
-     * cooldown is skipped.
+     * Returns the size of this copy's subset, the servers that it uses. If many copies send to a server and
+     * no probe reports its load, a copy's own requests in flight tell little about that load. If a connection
+     * carries one request at a time, the connections of many copies exhaust a server even while they are
+     * idle. So each copy uses only a few servers, from a place in the list given by its own index, which
+     * spreads the copies evenly. If probes report load, the subset is larger, but it does not hold hundreds
+     * of servers, as ranking them for each request costs too much. Servers in cooldown are skipped and do not
+     * count.
      */
     private int subsetSize(long nowUs) {
         int all = servers.size();
@@ -323,17 +356,21 @@
     }
 
     /**
-     * Returns the server's latency as a multiple of the usual one. Idle servers are ordered by turn only:
-     * with turns set by assignment time alone, slow servers would get as many requests as fast ones.
+     * Returns a server's latency as a multiple of the usual latency. Turns depend on it because idle servers
+     * are ordered by turn only: if turns went by assignment time alone, slow servers would get as many
+     * requests as quick servers.
      */
     private double slowdown(ServerState server) {
         return server.loadSum == 0 || latencies.unitLatencyUs() == 0 ? 1 : Math.min(MAX_SLOWDOWN,
                 Math.max(1 / MAX_SLOWDOWN, server.unitLatencyUs() / latencies.unitLatencyUs()));
     }
 
-    /** Returns by how many rounds a server's turn is postponed: 0 in the own zone or if crossing is free. */
+    /**
+     * Returns by how many rounds a server's turn is postponed: 0 in this copy's zone or if crossing is free.
+     */
     private double crossZoneDelayRounds(ServerState server) {
-        return settings.prices().crossZone() > 0 && server.zone != settings.zone() ? CROSS_ZONE_DELAY_ROUNDS : 0;
+        return settings.prices().crossZone() > 0 && server.zone != settings.zone()
+                ? CROSS_ZONE_DELAY_ROUNDS : 0;
     }
 
     @Override
@@ -407,8 +444,8 @@
         if (!request.clientRetry()) {
             firstTryTimeoutUs = request.timeLeftUs();
         } else if (Math.abs(request.timeLeftUs() - firstTryTimeoutUs) > settings.tickUs() * 10) {
-            // The target latency counts from the client's first try; a last try is given all the time that
-            // the client has left, which tells when the first one came.
+            // The target latency counts from the client's first request, not from this retry. A last retry
+            // has all the time that the client has left, which tells when the client sent the first request.
             usefulUs -= requestClass.deadlineUs() - request.timeLeftUs();
         }
         RequestState state = new RequestState(request, requestClass, nowUs,
@@ -420,11 +457,12 @@
         dispatch(nowUs, state);
     }
 
-    /** Sends the request to the server whose turn it is, or queues it until one may be used. */
+    /** Sends a request to the server whose turn it is, or queues the request until a server may be used. */
     private void dispatch(long nowUs, RequestState request) {
         if (nowUs + minLatencyUs(request) > request.usefulUntilUs || nowUs >= request.usefulUntilUs) {
             if (!request.queued) {
-                // Without this, one slow period could end all later requests unsent, with no new samples.
+                // Without this, after one slow period all later requests could end unsent, so that no new
+                // sample would correct the estimate.
                 latencies.lowerQuickEstimate();
             }
             refuseOrFail(nowUs, request);
@@ -456,7 +494,7 @@
         }
     }
 
-    /** Logs each change between a list of servers that may be used and one that may not. */
+    /** Logs when the list of servers becomes usable or unusable. */
     private void logListState(long nowUs) {
         boolean usable = lease.anyServerUsable(nowUs);
         if (usable != listUsable) {
@@ -466,7 +504,7 @@
         }
     }
 
-    /** Queues a request while no list may be used, but refuses it while its client can still go elsewhere. */
+    /** Queues a request until the list may be used, but refuses it in time for its client to go elsewhere. */
     private void waitForList(long nowUs, RequestState request) {
         if (nowUs >= request.listWaitUntilUs) {
             logRateLimited(nowUs, request.requestClass.name(),
@@ -479,9 +517,10 @@
     }
 
     /**
-     * Returns whether the request first waits for probes. With few own requests in flight every server looks
-     * idle, including those that are busy with other copies' requests, stalled or slow. So the servers next
-     * in turn are probed, and the first found idle is used. Applies where probes are cheap and quick.
+     * Sends probes for a request if they are cheap and quick, and returns whether the request waits for
+     * replies. While this copy has few requests in flight, every server looks idle, even one that is stalled,
+     * slow or busy with other copies' requests. So the servers next in turn are probed, and the first one
+     * found idle is used.
      */
     private boolean sendProbesIfNeeded(long nowUs, RequestState request) {
         if (!usesReports(nowUs)
@@ -542,7 +581,7 @@
         actions.send(request.original.id(), server.id, request.deadlineUs - nowUs);
     }
 
-    /** Starts the time after which the attempt is overdue if its server has not answered. */
+    /** Sets when an attempt becomes overdue if its server has not answered by then. */
     private void startResponseTimer(long nowUs, Attempt attempt) {
         if (latencies.unitLatencyUs() > 0) {
             attempt.overdueAtUs = nowUs + (long) (ATTEMPT_OVERDUE_FACTOR * latencies.unitLatencyUs()
@@ -553,10 +592,10 @@
     }
 
     /**
-     * Returns the server whose turn it is among those of the subset that the request may use and that match
-     * the filter, or null. Where all servers of the own zone are too congested or slow for the request, a
-     * subset of the other zones' servers is tried: traffic that moves to one zone must not be refused while
-     * other zones have capacity.
+     * Returns the best server of the subset that a request may use and that matches the filter, or null if
+     * there is none. If all servers of this copy's zone are too congested or slow for the request, a subset
+     * of the other zones' servers is tried: traffic that moves to one zone must not be refused while other
+     * zones have capacity.
      */
     private ServerState pickServer(long nowUs, RequestState request, ServerFilter filter) {
         ServerState best = null;
@@ -593,19 +632,21 @@
     }
 
     private boolean hasCapacity(long nowUs, RequestState request, ServerState server) {
-        // Classes with a longer target latency must not fill the servers up for the others, unless they are
-        // worth more. Those worth far more may also load a server further, so that under overload the least
-        // worth run out of capacity first; if they were most of the traffic, they would overload it.
+        // A class with a long target latency must not fill the servers at the cost of other classes, unless
+        // it is worth more. A class that is worth far more may also load a server further, so that under
+        // overload the classes of least worth run out of capacity first. It would overload the server if it
+        // were most of the traffic.
         double worthRatio = minWorth > 0 ? request.requestClass.worth() / minWorth : 1;
         double priority = Math.max(1, Math.min(worthRatio / PRIORITY_WORTH_RATIO, MAX_PRIORITY_FACTOR));
         double timeUs = Math.min((request.usefulUntilUs - nowUs) * priority, minAimUs * worthRatio);
-        // An idle server is never too slow for long, as its recovery would not be seen. Where only own
-        // requests show load, other copies may congest a server that looks idle, so its last latencies
-        // count for a while.
+        // An idle server never counts as too slow for long, as its recovery would then not be seen. If only
+        // this copy's own requests show load, other copies may congest a server that looks idle, so the
+        // server's last latencies count for a while.
         boolean idle = assumedLoad(nowUs, server) == 0
                 && (usesReports(nowUs) || !hasRecentLatency(nowUs, server));
         double expectedUs = expectedLatencyUs(nowUs, request, server);
-        // The baseline latency is no waiting: in a chain of tiers it may be a third of the target latency.
+        // The baseline latency does not count as waiting: in a chain of tiers it may be a third of the target
+        // latency.
         double baselineUs = Math.min(latencies.classBaselineUs(request.original.requestClass()), expectedUs);
         return idle || belowMinConcurrency(nowUs, server) && !latencies.hasBaseline()
                 || expectedUs - baselineUs <= (timeUs - baselineUs) * MAX_SPARE_TIME_FRACTION
@@ -613,9 +654,9 @@
     }
 
     /**
-     * Returns whether the server holds fewer requests than it may always have. Until there are enough samples
-     * to tell the baseline latency from congestion, these are sent whatever the first ones took: a copy that
-     * starts under full load would otherwise learn the baseline too late.
+     * Returns whether a server has fewer requests in flight than it may always have. Until there are enough
+     * samples to know the baseline latency, requests are sent up to this number whatever latency the first
+     * ones had: a copy that starts under full load would otherwise learn the baseline too late.
      */
     private boolean belowMinConcurrency(long nowUs, ServerState server) {
         double copiesPerServer = Math.max(1, (double) settings.copies() * subsetSize(nowUs) / servers.size());
@@ -623,12 +664,12 @@
     }
 
     /**
-     * Returns whether one more request would only lengthen the server's queue. The target latency may leave
-     * room for many requests, yet where they take far longer than the baseline, a longer queue serves none
-     * sooner, and some servers turn slower once congested and stay so. Such requests wait here, where they
-     * can still go to the server that is free first. Where a server's cores share the work, latencies stay
-     * near the baseline and nothing is queued here. A general slowdown of a tier below looks the same: then a
-     * copy sends only the minimum concurrency to each server.
+     * Returns whether one more request would only lengthen a server's queue. The target latency may leave
+     * room for many requests, but if they take far longer than the baseline, a longer queue serves no request
+     * sooner, and some servers become slower once congested and stay slow. Such requests wait at this copy,
+     * from where they can go to the first server that is free. If the cores of a server share its work,
+     * latencies stay near the baseline and no request waits here. A general slowdown of a tier below looks
+     * like congestion: a copy then sends only the minimum concurrency to each server.
      */
     private boolean isCongested(long nowUs, RequestState request, ServerState server, double expectedUs) {
         return !belowMinConcurrency(nowUs, server)
@@ -636,7 +677,7 @@
                 && expectedUs > latencies.baselineLatencyUs() * relativeLatency(request) * CONGESTED_FACTOR;
     }
 
-    /** Returns whether the server's latest latency sample is recent enough to count. */
+    /** Returns whether a server's latest latency sample is recent enough to be used. */
     private static boolean hasRecentLatency(long nowUs, ServerState server) {
         return server.lastLatencySampleUs != Long.MIN_VALUE
                 && nowUs - server.lastLatencySampleUs < FAILURE_COOLDOWN_US;
@@ -649,8 +690,8 @@
     }
 
     /**
-     * Returns how long the server is expected to take over this request. A server too congested or slow to
-     * answer in time is treated as in cooldown for it: late work is wasted and prolongs the congestion.
+     * Returns the expected latency of a request at a server. A server that is too congested or slow to answer
+     * in time is not used for the request: late work is wasted and prolongs the congestion.
      */
     private double expectedLatencyUs(long nowUs, RequestState request, ServerState server) {
         double usualUs = latencies.unitLatencyUs() / capacityFraction(server, nowUs);
@@ -660,7 +701,10 @@
                 * relativeLatency(request);
     }
 
-    /** Returns the requests in flight: this copy's own, or all copies' while a report is valid. */
+    /**
+     * Returns a server's known requests in flight: those of this copy, or of all copies while a report is
+     * valid.
+     */
     private static int load(long nowUs, ServerState server) {
         return server.reportValidUntilUs > nowUs ? Math.max(server.inFlight, server.reportedLoad)
                 : server.inFlight;
@@ -671,7 +715,7 @@
                 : Math.max(server.inFlight, (int) meanReportedLoad);
     }
 
-    /** Returns the least time that this request can be expected to take. */
+    /** Returns the minimum latency that a request can be expected to have. */
     private double minLatencyUs(RequestState request) {
         return (request.queued ? latencies.unitLatencyUs() * MIN_QUEUED_TIME_FACTOR
                 : latencies.quickUnitLatencyUs()) * request.relativeWork * relativeLatency(request);
@@ -682,8 +726,9 @@
     }
 
     /**
-     * Returns whether a is chosen before b: idle servers that are not demoted come first, then those with the
-     * fewest requests in flight, demoted or not; among equals the one assigned least recently.
+     * Returns whether server a is chosen before server b. Idle servers that are not demoted come first, then
+     * those with the fewest requests in flight, demoted or not; among equals, the lower turn time comes
+     * first.
      */
     private boolean ranksBefore(long nowUs, ServerState a, ServerState b) {
         int loadA = load(nowUs, a);
@@ -693,8 +738,8 @@
         if (idleA != idleB) {
             return idleA;
         }
-        // A server partitioned from this copy holds none of its requests. It must not attract all requests
-        // that find the other servers busy.
+        // A server partitioned from this copy has none of this copy's requests in flight. It must not attract
+        // all requests while the other servers are busy.
         loadA += Math.min(MAX_UNANSWERED, a.unansweredProbes + a.overdueAttempts)
                 + (mayNeedConnection(nowUs, a) ? 1 : 0);
         loadB += Math.min(MAX_UNANSWERED, b.unansweredProbes + b.overdueAttempts)
@@ -706,9 +751,9 @@
     }
 
     /**
-     * Returns whether the server is used only after the others. One whose reply to a probe is overdue is
-     * demoted too: it was probed first because its turn is next, so the request that waited for the probe
-     * would go to a server that is stalled or partitioned.
+     * Returns whether a server is used only if all others are busy. A server whose reply to a probe is
+     * overdue is demoted too. It was probed first because its turn is next, so otherwise the request that
+     * waited for the probe would go to this server, which may be stalled or partitioned.
      */
     private boolean isDemoted(long nowUs, ServerState server) {
         return server.demotedUntilUs > nowUs || mayNeedConnection(nowUs, server)
@@ -717,26 +762,28 @@
     }
 
     /**
-     * Returns whether a request there might need a new connection while connecting fails. Where servers
-     * accept few connections, are slow to answer new ones or are partitioned, requests do best at servers
-     * that this copy is connected to. These come first then, even with one more request in flight. That saves
-     * connections for other copies too. One dead server triggers this for some requests; if it always
-     * applied, each copy would keep to a few servers without need.
+     * Returns whether a request to a server might need a new connection while attempts to connect fail. If
+     * servers accept few connections, accept them slowly or are partitioned, requests do best at servers to
+     * which this copy is connected. Such servers then come first, even with one more request in flight, which
+     * also saves connections for other copies. One dead server triggers this rule for some requests. If the
+     * rule always applied, each copy would keep to a few servers without need.
      */
     private boolean mayNeedConnection(long nowUs, ServerState server) {
         return failureRates.connectionsFail() && server.inFlight == 0
                 && server.lastConnectedUs <= nowUs - settings.limits().keepaliveUs();
     }
 
-    /** Returns whether the class may run on the server. Its requests wait while no such server is usable. */
+    /**
+     * Returns whether a class may run on a server. Requests of the class wait while no such server is usable.
+     */
     private static boolean placementAllows(RequestClass requestClass, ServerState server) {
         return (requestClass.zones() == null || requestClass.zones().contains(server.zone))
                 && (requestClass.models() == null || requestClass.models().contains(server.model));
     }
 
     /**
-     * Returns false for servers on which the request's class may not run, that the request tried before, or
-     * that would not drop it as a repeat.
+     * Returns whether a request may be sent to a server. It may not if its class may not run there, if it was
+     * sent there before, or if it may have run elsewhere and this server would not drop it as a repeat.
      */
     private static boolean mayUse(RequestState request, ServerState server) {
         if (!placementAllows(request.requestClass, server)) {
@@ -759,7 +806,7 @@
         };
     }
 
-    /** Returns whether the request may be sent once more, after its attempts so far. */
+    /** Returns whether another attempt of a request is allowed after its attempts so far. */
     private boolean mayRetry(long nowUs, RequestState request) {
         if (request.attempts.size() >= settings.limits().maxAttempts() || nowUs >= request.usefulUntilUs
                 || request.bodyNotReplayable) {
@@ -835,15 +882,15 @@
         }
     }
 
-    /** Returns whether the load of servers is taken from probes. */
+    /** Returns whether this copy sends probes and uses the load that they report. */
     private boolean usesReports(long nowUs) {
         return probesPerRequest > 0 && reportTrust.reportsTrusted(nowUs);
     }
 
     /**
-     * Updates a server's error rate, and starts a cooldown if it errs far more than the others: as it answers
-     * at once, it always looks idle and attracts ever more requests. Errors that all servers show alike come
-     * from a tier below and start no cooldown.
+     * Updates a server's error rate, and starts a cooldown if the server answers with errors far more often
+     * than others: as errors come at once, such a server always looks idle and attracts ever more requests.
+     * Errors that all servers show alike come from a tier below and start no cooldown.
      */
     private void updateErrorRate(long nowUs, ServerState server, boolean error) {
         server.errorRate += ERROR_WEIGHT * ((error ? 1 : 0) - server.errorRate);
@@ -858,7 +905,7 @@
         }
     }
 
-    /** Updates a server's failure counts; only a connection that fails or breaks counts as a failure. */
+    /** Updates a server's error rate and failure count; only connections that fail or break are failures. */
     private void recordOutcome(long nowUs, ServerState server, Outcome outcome) {
         failureRates.recordOutcome(outcome);
         if (outcome == Outcome.OK || outcome == Outcome.ERROR) {
@@ -883,7 +930,10 @@
         }
     }
 
-    /** After an attempt without a response, tries another server if that is allowed and within budget. */
+    /**
+     * Retries a request after a failed attempt, if that is allowed and within budget, or else ends the
+     * request.
+     */
     private void retryOrEnd(long nowUs, RequestState request, Outcome outcome) {
         double retryCost = outcome.provesNotRun ? 0 : 1;
         if (mayRetry(nowUs, request) && retryBudget >= retryCost) {
@@ -895,8 +945,8 @@
     }
 
     /**
-     * Gives the final answer where no server gave one: a refusal where the client may safely try again, and
-     * either has time left or heeds advice on when to retry; else a failure.
+     * Ends a request to which no server gave the final answer. The request is refused if the client may
+     * safely retry it, and either has time left or follows advice on when to retry; otherwise it fails.
      */
     private void refuseOrFail(long nowUs, RequestState request) {
         request.completed = true;
@@ -929,7 +979,7 @@
         if (attempt == null || attempt.responseStarted) {
             return;
         }
-        // The server has done its work; how long the rest of the response takes depends on the client.
+        // The server has done its work: how long the rest of the response takes depends on the client.
         attempt.responseStarted = true;
         attempt.server.inFlight--;
         recordOutcome(nowUs, attempt.server, Outcome.OK);
@@ -980,15 +1030,15 @@
     // ---- servers that do not answer
 
     /**
-     * Handles an overdue attempt: its server may hang although connections stand and probes are answered. The
-     * server is demoted, and enters a cooldown if this happens again with no response in between.
+     * Handles an overdue attempt at a server, which may hang although connections stay open and probes are
+     * answered. The server is demoted, and enters a cooldown if another attempt is overdue before a response.
      */
     private void onUnanswered(long nowUs, ServerState server) {
         server.overdueAttempts++;
         server.demotedUntilUs = nowUs + FAILURE_COOLDOWN_US;
         if (probesPerRequest == 0) {
-            // A round of a copy with few requests lasts longer than the demotion, so the demotion alone would
-            // not delay the server's next turn.
+            // If this copy has few requests, a round lasts longer than the demotion, so the demotion alone
+            // would not delay the server's next turn.
             long delayUs = (long) Math.min(roundTimeUs(nowUs) * ATTEMPT_OVERDUE_FACTOR,
                     MAX_SLOW_SERVER_DELAY_US);
             server.turnAtUs = Math.max(server.turnAtUs, nowUs + delayUs);
@@ -1007,7 +1057,10 @@
         }
     }
 
-    /** Returns whether half of the servers stay in use after one more cooldown, so false alarms stop none. */
+    /**
+     * Returns whether one more cooldown leaves half of the servers in use, so that false alarms stop no
+     * traffic.
+     */
     private boolean mayStartCooldown(long nowUs) {
         int inUse = 0;
         for (ServerState server : servers) {
@@ -1030,7 +1083,7 @@
             meanReportedLoad += MEAN_WEIGHT * (server.reportedLoad - meanReportedLoad);
             if (server.reportedLoad > 0) {
                 // Without this, servers that are never idle would be probed first each time, and their loads
-                // would be taken for those of all servers.
+                // would be taken for the loads of all servers.
                 server.turnAtUs = Math.max(server.turnAtUs, nowUs);
             }
             server.reportValidUntilUs = nowUs + (long) (server.reportedLoad > 0
@@ -1073,7 +1126,7 @@
         }
     }
 
-    /** Returns when the next server that is in cooldown, cold or busy may be usable again. */
+    /** Returns the earliest time at which a server that is in cooldown, cold or busy may be usable again. */
     private long nextAvailableUs(long nowUs) {
         long next = Long.MAX_VALUE;
         for (ServerState server : servers) {
@@ -1089,7 +1142,9 @@
                 nowUs + (long) (latencies.unitLatencyUs() * BUSY_REPORT_FACTOR) + settings.tickUs());
     }
 
-    /** Does what is due: asks discovery, handles overdue attempts, and sends or ends queued requests. */
+    /**
+     * Performs all due work: asks discovery, handles overdue attempts, and sends or ends waiting requests.
+     */
     private void performDueWork(long nowUs) {
         if (watchRequestAtUs <= nowUs && !watching) {
             watchRequestAtUs = Long.MAX_VALUE;
@@ -1110,7 +1165,8 @@
             scheduleWake(sentAttempts.peek().overdueAtUs);
         }
         if (!waiting.isEmpty()) {
-            // Newest first: under overload, requests that waited longest would mostly be late.
+            // Newest first: under overload, the responses to requests that waited longest would mostly be
+            // late.
             ArrayDeque<RequestState> queued = new ArrayDeque<>(waiting);
             waiting.clear();
             while (!queued.isEmpty()) {
--- a/src/main/java/passhatch/ReportTrust.java
+++ b/src/main/java/passhatch/ReportTrust.java
@@ -1,14 +1,16 @@
 package passhatch;
 
 /**
- * Decides whether servers' load reports are used. Where servers that just reported themselves idle reject
- * requests as full or leave them unanswered, reports are out of date: if used, they would send the requests
- * of all copies to servers that were idle a while ago. So for some time this copy uses its own requests in
- * flight only.
+ * Decides whether the load reports of servers are used. If servers that just reported themselves as idle
+ * reject requests as full or leave them unanswered, the reports are out of date: they would lead the requests
+ * of all copies to servers that were idle a while ago. For some time after that, this copy judges the load of
+ * servers by its own requests in flight only.
  */
 final class ReportTrust {
 
-    /** How often the time without reports is doubled at most, once at each further loss of trust. */
+    /**
+     * Maximum number of times that the pause in the use of reports is doubled, once at each further pause.
+     */
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
     private final long initialPauseUs;
@@ -20,10 +22,10 @@
     private int distrustPeriods;
 
     /**
-     * Creates an instance that trusts reports until enough of them are refuted.
+     * Creates an instance that allows the use of reports until too many of them are refuted.
      *
-     * @param initialPauseUs for how long reports are not used the first time
-     * @param weight of the newest report in the running mean
+     * @param initialPauseUs length of the first pause, in which reports are not used
+     * @param weight weight of the newest report in the running mean
      * @param maxRefutedRate the fraction of refuted reports above which reports are not used
      */
     ReportTrust(long initialPauseUs, double weight, double maxRefutedRate) {
@@ -32,7 +34,7 @@
         this.maxRefutedRate = maxRefutedRate;
     }
 
-    /** Records whether an outcome refuted a report that the server was idle. */
+    /** Records whether the outcome of an attempt refuted a report that its server was idle. */
     void recordReport(long nowUs, boolean refuted) {
         refutedRate += weight * ((refuted ? 1 : 0) - refutedRate);
         if (refutedRate > maxRefutedRate) {
--- a/src/main/java/passhatch/RequestState.java
+++ b/src/main/java/passhatch/RequestState.java
@@ -5,29 +5,30 @@
 import passhatch.Balancer.Request;
 import passhatch.Balancer.RequestClass;
 
-/** A request held by this copy, from its arrival until its last attempt's outcome. */
+/** The state of a request at this copy, kept until the request and all its attempts have ended. */
 final class RequestState {
 
     /**
-     * Fraction of the useful time that a request waits for a list; a refusal after half of it would
-     * come too late.
+     * Fraction of its useful time for which a request waits for a list of servers; a refusal after
+     * half of the useful time would come too late.
      */
     private static final double LIST_WAIT_FRACTION_OF_USEFUL_TIME = 0.4;
 
     final Request original;
     final RequestClass requestClass;
 
-    /** Time after which a response has no worth or the client no longer waits for it. */
+    /** Time after which a response has no worth, or the client no longer waits for a response. */
     final long usefulUntilUs;
 
-    /** Expected work as a multiple of the usual; 1 where unknown. */
+    /** Expected work of this request as a multiple of the usual work; 1 if unknown. */
     final double relativeWork;
 
-    /** When the client gives up this try. */
+    /** When the client stops waiting for a response to this request. */
     final long deadlineUs;
 
     /**
-     * Until when the request waits for a list of servers; half of its time is left to go elsewhere.
+     * Time until which this request waits for a list of servers; more than half of its useful time
+     * is then left for the client to go elsewhere.
      */
     final long listWaitUntilUs;
 
@@ -35,20 +36,23 @@
     int outstandingAttempts;
     boolean completed;
 
-    /** Whether the body went to a server and was not kept. */
+    /**
+     * Whether the body was forwarded to a server and not kept, so that this request cannot be sent
+     * again.
+     */
     boolean bodyNotReplayable;
 
     boolean overQuota;
 
     /**
-     * Whether it had to wait for a server; such requests are sent only if they are likely to be in
-     * time.
+     * Whether this request had to wait for a server; such a request is sent only if its response is
+     * likely to be in time.
      */
     boolean queued;
 
     int probeRounds;
 
-    /** Until when the request waits for probes. */
+    /** Time until which this request waits for the replies to probes. */
     long probeWaitUntilUs = Long.MIN_VALUE;
 
     RequestState(
@@ -66,7 +70,10 @@
                 nowUs + (long) ((usefulUntilUs - nowUs) * LIST_WAIT_FRACTION_OF_USEFUL_TIME);
     }
 
-    /** Returns the first attempt that may have run or may still run, or null. */
+    /**
+     * Returns the first attempt of this request that may have run or may still run, or null if
+     * there is none.
+     */
     Attempt firstPossiblyRun() {
         for (Attempt attempt : attempts) {
             if (!attempt.provedNotRun) {
--- a/src/main/java/passhatch/ServerState.java
+++ b/src/main/java/passhatch/ServerState.java
@@ -4,7 +4,10 @@
 final class ServerState {
     final String id;
 
-    /** Hash of the id that orders the list in the same way at every copy. */
+    /**
+     * Hash of the id; the list of servers is sorted by it, so that its order is the same at every
+     * copy.
+     */
     final int hashOrder;
 
     int zone;
@@ -12,69 +15,86 @@
     int model;
     long startedAtUs;
 
-    /** Whether the latest list has it as {@link Balancer.ServerStatus#UP}. */
+    /** Whether the latest list has this server as {@link Balancer.ServerStatus#UP}. */
     boolean up;
 
-    /** Whether it is among the servers that requests may be sent to. */
+    /** Whether this server is in {@link Logic}'s list of servers to which requests may be sent. */
     boolean listed;
 
     /**
-     * Whether it is draining: its idle connections are closed at the notice and after each outcome.
+     * Whether this server drains; its idle connections are then closed at the notice and after each
+     * outcome.
      */
     boolean draining;
 
-    /** This copy's outstanding attempts; also counted while it drains or is not listed. */
+    /**
+     * Number of this copy's attempts at this server that await a response; also counted while this
+     * server drains or is not listed.
+     */
     int inFlight;
 
     /**
-     * When it was last assigned, later by a part of a round for a slow server, earlier for a quick
-     * one. Below all times, in random order, while never used.
+     * Time that orders servers by turn, the lowest first: when this server was last assigned a
+     * request, shifted to a later time if this server is slow and to an earlier time if it is
+     * quick. A random value below all times while this server was never used.
      */
     long turnAtUs;
 
-    /** When the latest request that it accepted was sent. */
+    /** Send time of the latest request that this server accepted. */
     long lastAcceptedSendUs = ListLease.NEVER;
 
     int consecutiveFailures;
 
-    /** When an outcome last showed a working connection; the least value after a failure. */
+    /**
+     * When an outcome last showed a working connection to this server; {@link Long#MIN_VALUE} after
+     * a failed or broken connection.
+     */
     long lastConnectedUs = Long.MIN_VALUE;
 
-    /** Running mean of the share of errors among its responses, 0 to 1. */
+    /** Running mean of the fraction of errors among this server's responses, 0 to 1. */
     double errorRate;
 
-    /** Cooldowns because of errors, with no recovery in between. */
+    /** Number of this server's cooldowns because of errors since its last recovery. */
     int errorCooldowns;
 
-    /** Overdue attempts since its last response. */
+    /** Number of overdue attempts since this server's last response. */
     int overdueAttempts;
 
-    /** Unanswered probes since the last answered one. */
+    /** Number of unanswered probes since the last probe that this server answered. */
     int unansweredProbes;
 
-    /** Until this time it is chosen only if all others are busy. */
+    /** Time until which this server is chosen only if all other servers are busy. */
     long demotedUntilUs = Long.MIN_VALUE;
 
-    /** Requests in flight by its own report, valid until {@link #reportValidUntilUs}. */
+    /**
+     * Requests in flight as this server last reported them; valid until {@link
+     * #reportValidUntilUs}.
+     */
     int reportedLoad;
 
     long reportValidUntilUs = Long.MIN_VALUE;
 
-    /** Decaying sum of the latencies of attempts here. */
+    /** Exponentially decaying sum of the latencies of attempts at this server. */
     double latencySumUs;
 
-    /** Decaying sum of the loads at the send of the same attempts. */
+    /**
+     * Exponentially decaying sum of {@link Attempt#loadAtSend} over the same attempts as {@link
+     * #latencySumUs}.
+     */
     double loadSum;
 
-    /** When the two sums last changed. */
+    /** When {@link #latencySumUs} and {@link #loadSum} last changed. */
     long lastLatencySampleUs = Long.MIN_VALUE;
 
-    /** When the pending probe was sent, or the least value if none is pending. */
+    /**
+     * When the pending probe to this server was sent; {@link Long#MIN_VALUE} if no probe is
+     * pending.
+     */
     long probedAtUs = Long.MIN_VALUE;
 
     long cooldownUntilUs = Long.MIN_VALUE;
 
-    /** A cold or newly listed server gets no request before this time. */
+    /** Time before which this server gets no request because it is cold or newly listed. */
     long admitAtUs = Long.MIN_VALUE;
 
     ServerState(String id) {
@@ -82,7 +102,7 @@
         this.hashOrder = id.hashCode() * 0x9E3779B1;
     }
 
-    /** Returns the latency per request in flight here; 0 while unknown. */
+    /** Returns the mean latency per request in flight at this server; 0 while unknown. */
     double unitLatencyUs() {
         return loadSum > 0 ? latencySumUs / loadSum : 0;
     }
--- a/src/main/java/passhatch/SettingsBuilder.java
+++ b/src/main/java/passhatch/SettingsBuilder.java
@@ -10,9 +10,10 @@
 import passhatch.Balancer.Tenant;
 
 /**
- * Builds settings by name, with defaults: one copy, one tier, one zone, discovery that pushes
- * changes, no prices, no tenants. Only the classes of requests must be given. The records of {@link
- * Balancer} document the meaning and unit of each setting; {@link Logic} checks them.
+ * Builds settings from named values. The defaults are one copy, one tier, one zone, discovery that
+ * pushes changes, no prices and no tenants; only the classes of requests have no default. The
+ * records of {@link Balancer} document the meaning and unit of each setting; {@link Logic} checks
+ * them.
  */
 public final class SettingsBuilder {
 
@@ -43,8 +44,8 @@
     }
 
     /**
-     * Sets the fraction of the worth left for requests over a tenant's quota, 0 to 1. Default: 1,
-     * so that quotas have no effect.
+     * Sets the fraction of its worth that a request over its tenant's quota keeps, 0 to 1. Default:
+     * 1, with which quotas have no effect.
      */
     public SettingsBuilder overQuotaWorth(double fraction) {
         overQuotaWorth = fraction;
@@ -52,8 +53,8 @@
     }
 
     /**
-     * Sets the limits. Default: 3 attempts, may cancel, no probes, no retry advice, 100 requests
-     * per connection.
+     * Sets the limits of the deployment. Default: 3 attempts, attempts may be cancelled, no probes,
+     * no retry advice, 100 requests per connection.
      */
     public SettingsBuilder limits(Limits given) {
         limits = given;
@@ -61,23 +62,23 @@
     }
 
     /**
-     * Sets the parameters for draining and cold servers. Default: 0.5 s of drain grace; a quarter
-     * of the capacity at first, cold for 30 s, and failing above twice its capacity.
+     * Sets the parameters for draining and cold servers. Default: a drain grace of 0.5 s; a server
+     * starts with a quarter of its capacity, is cold for 30 s, and fails above twice its capacity.
      */
     public SettingsBuilder rules(Rules given) {
         rules = given;
         return this;
     }
 
-    /** Sets the prices. Default: no prices. */
+    /** Sets the prices of probes and of crossing zones. Default: both are free. */
     public SettingsBuilder prices(Prices given) {
         prices = given;
         return this;
     }
 
     /**
-     * Sets how many instances send to the same tier, and this instance's index, from 0. Default: 1,
-     * 0.
+     * Sets the number of instances that send to the same tier, and the index of this instance, from
+     * 0. Default: one instance, index 0.
      */
     public SettingsBuilder copies(int count, int index) {
         copies = count;
@@ -85,20 +86,26 @@
         return this;
     }
 
-    /** Sets the tier this instance sends to, from 0, and the number of tiers. Default: 0, 1. */
+    /**
+     * Sets the index of the tier that this instance sends to, from 0, and the number of tiers.
+     * Default: tier 0 of one.
+     */
     public SettingsBuilder tier(int index, int count) {
         tier = index;
         tiers = count;
         return this;
     }
 
-    /** Sets the zone this instance is in. Default: 0. */
+    /** Sets the zone of this instance. Default: 0. */
     public SettingsBuilder zone(int index) {
         zone = index;
         return this;
     }
 
-    /** Sets whether discovery must be asked for changes. Default: false, it pushes them. */
+    /**
+     * Sets whether this instance must ask discovery for changes. Default: false, as discovery
+     * pushes them.
+     */
     public SettingsBuilder watch(boolean required) {
         watch = required;
         return this;
@@ -110,7 +117,7 @@
         return this;
     }
 
-    /** Returns the settings, not yet checked. */
+    /** Returns the settings without validating them. */
     public Settings build() {
         return new Settings(
                 List.copyOf(classes),
--- a/src/main/java/passhatch/SettingsCheck.java
+++ b/src/main/java/passhatch/SettingsCheck.java
@@ -6,7 +6,7 @@
 import passhatch.Balancer.Settings;
 import passhatch.Balancer.Tenant;
 
-/** Validates settings; the message of the exception names the invalid field. */
+/** Validates settings. An invalid setting causes an exception whose message names the field. */
 final class SettingsCheck {
 
     private SettingsCheck() {}
--- a/src/main/java/passhatch/SettingsReader.java
+++ b/src/main/java/passhatch/SettingsReader.java
@@ -14,7 +14,9 @@
 import passhatch.Balancer.Settings;
 import passhatch.Balancer.Tenant;
 
-/** Converts settings from their outer names into {@link Settings}. Unknown keys are ignored. */
+/**
+ * Converts settings from a map, as read from JSON, into {@link Settings}. Unknown keys are ignored.
+ */
 public final class SettingsReader {
 
     private final Map<String, Object> values;
@@ -26,7 +28,7 @@
     }
 
     /**
-     * Reads the settings.
+     * Converts the values of a map into settings.
      *
      * @throws InvalidSettingsException if a value is missing or invalid; the message names the key
      */
@@ -132,7 +134,7 @@
         throw invalid(key, "must be a number");
     }
 
-    /** Reads a list of indices as a set; null where absent. */
+    /** Reads a list of indices as a set; returns null if the key is absent. */
     private Set<Integer> readIndices(String key) throws InvalidSettingsException {
         Object value = values.get(key);
         if (value == null) {
@@ -184,8 +186,10 @@
         }
         if (value instanceof List<?> items) {
             for (int i = 0; i < items.size(); i++) {
-                String at = key + "[" + i + "]";
-                result.add(new SettingsReader(asObject(items.get(i), at), path + at + "."));
+                String indexedKey = key + "[" + i + "]";
+                result.add(
+                        new SettingsReader(
+                                asObject(items.get(i), indexedKey), path + indexedKey + "."));
             }
         }
         return result;
--- a/src/main/java/passhatch/TenantQuotas.java
+++ b/src/main/java/passhatch/TenantQuotas.java
@@ -3,14 +3,16 @@
 import java.util.Arrays;
 import passhatch.Balancer.Settings;
 
-/** Rate limits of the tenants, each by this copy's part of the tenant's quota. */
+/** Rate limits of the tenants. Each copy allows a tenant an equal part of the tenant's quota. */
 final class TenantQuotas {
 
-    /** A tenant may send as much at once as its quota allows in this time. */
+    /** Maximum burst of a tenant: it may send as much at once as its quota allows in this time. */
     private static final double MAX_BURST_US = 2_000_000;
 
     private final Settings settings;
-    /** By tenant: when its next request would be due, had all come evenly at the rate of its quota. */
+    /**
+     * By tenant index: when its next request would arrive if all had come evenly at the rate of its quota.
+     */
     private final double[] theoreticalArrivalUs;
 
     TenantQuotas(Settings settings) {
@@ -20,20 +22,22 @@
     }
 
     /**
-     * Returns whether a request exceeds its tenant's quota, and counts it if not. Such a request has little
-     * worth, so it makes room for others while no server is idle. The quota applies at the first tier only,
-     * as further down work was already done for the request.
+     * Returns whether a new request exceeds its tenant's quota, and counts the request if it does not. A
+     * request over quota has little worth, so it is sent only to an idle server. Quotas apply at the first
+     * tier only, as at later tiers work was already done for the request.
      */
     boolean exceedsQuota(long nowUs, int tenant) {
         if (settings.tier() > 0 || settings.overQuotaWorth() >= 1 || tenant >= theoreticalArrivalUs.length) {
             return false;
         }
-        double quota = settings.tenants().get(tenant).quotaPerSecond() / settings.copies();
-        if (quota > 0 && theoreticalArrivalUs[tenant] > nowUs + MAX_BURST_US) {
+        double copyQuotaPerSecond =
+                settings.tenants().get(tenant).quotaPerSecond() / settings.copies();
+        if (copyQuotaPerSecond > 0 && theoreticalArrivalUs[tenant] > nowUs + MAX_BURST_US) {
             return true;
         }
         theoreticalArrivalUs[tenant] =
-                Math.max(theoreticalArrivalUs[tenant], nowUs) + (quota > 0 ? 1e6 / quota : 0);
+                Math.max(theoreticalArrivalUs[tenant], nowUs)
+                + (copyQuotaPerSecond > 0 ? 1e6 / copyQuotaPerSecond : 0);
         return false;
     }
 }
--- a/src/main/java/passhatch/adapter/Adapter.java
+++ b/src/main/java/passhatch/adapter/Adapter.java
@@ -6,18 +6,18 @@
 import java.io.PrintStream;
 
 /**
- * Runs the balancers of a simulator's instances. Events are read and actions written in batches,
- * one JSON object per line.
+ * Runs the balancers of a simulator's instances. It reads events and writes actions in batches, one
+ * JSON object per line.
  */
 public final class Adapter {
 
     private Adapter() {}
 
     /**
-     * Serves until the input ends.
+     * Handles batches until the input ends.
      *
-     * @return the exit status: 0 at the end of the input, 1 if the input is invalid or input or
-     *     output fails, after one line on {@code err}
+     * @return the exit status: 0 at the end of the input; 1 if the input is invalid or if reading
+     *     or writing fails, in which case one line on {@code err} says why
      */
     public static int run(InputStream in, OutputStream out, PrintStream err) {
         try {
--- a/src/main/java/passhatch/adapter/BatchReader.java
+++ b/src/main/java/passhatch/adapter/BatchReader.java
@@ -27,7 +27,7 @@
         parser = new JsonFactory().createParser(in);
     }
 
-    /** Reads the next batch. Returns false at the end of the input. */
+    /** Reads the next batch of events. Returns false at the end of the input. */
     boolean readNext() throws IOException, WireException {
         try {
             JsonToken token = parser.nextToken();
--- a/src/main/java/passhatch/adapter/Event.java
+++ b/src/main/java/passhatch/adapter/Event.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import passhatch.Balancer.Server;
 
-/** One message of a batch; it has the fields of all kinds of messages. */
+/** One message of a batch. It can hold the fields of every type of message. */
 final class Event {
 
-    /** Value of a number that was absent or null. */
+    /** Value of a numeric field that was absent or null in the message. */
     static final long ABSENT = Long.MIN_VALUE;
 
     int who;
--- a/src/main/java/passhatch/adapter/Wire.java
+++ b/src/main/java/passhatch/adapter/Wire.java
@@ -22,16 +22,19 @@
 import passhatch.Logic;
 import passhatch.SettingsReader;
 
-/** Hosts the instances of one process: passes each its events and writes its actions. */
+/**
+ * Hosts the instances of one process: passes to each instance its events and writes the instance's
+ * actions.
+ */
 final class Wire {
 
-    /** Bit of an inbound request's marks: the client marked it as another try. */
+    /** Bit of {@link Event#marks} that says that the client marked the request as a retry. */
     private static final int MARK_RETRY = 2;
 
-    /** Bit of an inbound request's marks: its expected work is given. */
+    /** Bit of {@link Event#marks} that says that the request's expected work is given. */
     private static final int MARK_HINT = 1;
 
-    /** Indices of the values in a load report; -1 for values that are not reported. */
+    /** Index of each value in the array of a load report; -1 for a value that is not reported. */
     private record ReportLayout(int inFlight, int queue, int utilisation) {}
 
     private record Instance(Balancer balancer, ReportLayout reportLayout, boolean asksDiscovery) {}
@@ -237,8 +240,8 @@
         }
         balancer.serversChanged(nowUs, kind, list);
         if (kind == ListKind.RECENT && !instance.asksDiscovery()) {
-            // Changes are pushed and nothing is sent while there are none, so the list is confirmed
-            // here.
+            // Discovery pushes changes and sends nothing while there are none, so the list is
+            // confirmed here.
             balancer.serversChanged(nowUs, ListKind.CHANGES, List.of());
         }
     }
--- a/src/main/java/passhatch/lab/LabLog.java
+++ b/src/main/java/passhatch/lab/LabLog.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Directs the log of the lab tools to a file, with one line of JSON per event. */
+/** Writes the log of the lab tools to a file, one line of JSON per event. */
 public final class LabLog {
 
     private static final String APPENDER_NAME = "file";
--- a/src/main/java/passhatch/lab/Main.java
+++ b/src/main/java/passhatch/lab/Main.java
@@ -9,12 +9,12 @@
 import passhatch.lab.scale.ScaleCommand;
 import picocli.CommandLine;
 
-/** Entry point of the lab tools: the commands of the program itself and those of the lab. */
+/** Entry point of the lab tools, which offers the program's own commands and those of the lab. */
 public final class Main {
 
     private Main() {}
 
-    /** Runs the command and exits with its status. */
+    /** Runs the command given by the arguments and exits with the command's status. */
     public static void main(String[] args) {
         System.setProperty("java.awt.headless", "true");
         System.exit(commandLine().execute(args));
--- a/src/main/java/passhatch/lab/ProgramJar.java
+++ b/src/main/java/passhatch/lab/ProgramJar.java
@@ -13,8 +13,8 @@
     private ProgramJar() {}
 
     /**
-     * Returns the absolute path of the given file or, if it is null, of the one beside the lab's
-     * jar.
+     * Returns the absolute path of the program's jar: the given file or, if that is null, the jar
+     * beside the lab's jar.
      *
      * @throws InvalidInputException if the file does not exist
      */
--- a/src/main/java/passhatch/lab/Seeds.java
+++ b/src/main/java/passhatch/lab/Seeds.java
@@ -6,19 +6,22 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Random streams derived from one seed, one for each component: a further draw from one stream does
- * not change the others.
+ * Derives one random stream for each component from a common seed. The streams are independent, so
+ * a further draw from one of them does not change the others.
  */
 public final class Seeds {
 
     private final long seed;
 
-    /** Creates the streams of a seed. */
+    /** Creates an instance that derives all streams from a seed. */
     public Seeds(long seed) {
         this.seed = seed;
     }
 
-    /** Returns a new stream for a component; the same name gives the same sequence. */
+    /**
+     * Returns a new random stream for a component. Streams of the same component name draw the same
+     * sequence.
+     */
     public UniformRandomProvider stream(String component) {
         CRC32C crc = new CRC32C();
         crc.update(component.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/passhatch/lab/StoreBench.java
+++ b/src/main/java/passhatch/lab/StoreBench.java
@@ -24,8 +24,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Measures the store in a real folder: the rate of group commits compared with that of plain writes
- * with a force, and the time to open a filled store.
+ * Measures the store in a real folder: the rate of records written by group commits, the rate of
+ * single writes that are each forced to disk, and the time to open a filled store.
  */
 @Command(
         name = "store-bench",
--- a/src/main/java/passhatch/lab/disk/FaultyDisk.java
+++ b/src/main/java/passhatch/lab/disk/FaultyDisk.java
@@ -15,13 +15,14 @@
 
 /**
  * An in-memory disk that can lose data that was not forced. At a power loss each unforced write
- * survives or not, regardless of order, whole or torn at any byte. Of the unforced changes of names
- * a prefix survives, as a file system's journal keeps them in order. The disk can also stop the
- * process at any call, fail a call with an error, run full and flip bits.
+ * survives or is lost, regardless of order, and a surviving write may be torn at any byte. Unforced
+ * changes of file names survive up to some point in their order, as a file system's journal keeps
+ * them in order. The disk can also stop the process at any call, fail a call with an error, run
+ * full and flip bits.
  */
 public final class FaultyDisk implements Disk {
 
-    /** Thrown to simulate that the process stops; its memory is then considered lost. */
+    /** Thrown to simulate that the process stops and loses its memory. */
     public static final class Stopped extends Error {
         private static final long serialVersionUID = 1L;
 
@@ -30,7 +31,7 @@
         }
     }
 
-    /** Fault injected at a chosen call. */
+    /** Fault that is injected at a chosen call. */
     public enum Fault {
         NONE,
         STOP_BEFORE,
@@ -39,7 +40,7 @@
         TORN_ERROR
     }
 
-    /** A file's durable bytes and, apart from them, the changes that were not forced yet. */
+    /** A file's durable bytes and its changes that were not forced yet. */
     private static final class FileState {
         byte[] durableBytes = {};
 
@@ -55,7 +56,7 @@
         }
     }
 
-    /** A write at an offset, or a truncation to that size. */
+    /** A write at an offset, or a truncation to the size given by the offset. */
     private record ContentChange(int offset, byte[] bytes, boolean truncates) {
         byte[] applyTo(byte[] contents, int length) {
             if (truncates) {
@@ -74,8 +75,8 @@
     private final Map<String, FileState> durableNames = new TreeMap<>();
 
     /**
-     * Changes of names since the last force of the folder; those of one operation, such as the two
-     * of a rename, are grouped.
+     * Changes of names since the last force of the folder. The changes of one operation are
+     * grouped, such as the two changes of a rename.
      */
     private final List<List<NameChange>> unforcedNameChanges = new ArrayList<>();
 
@@ -90,26 +91,28 @@
         this.capacityBytes = capacity;
     }
 
-    /** Injects a fault at one of the following calls that change the disk, counted from 0. */
+    /** Injects a fault at a later call that changes the disk; 0 is the next such call. */
     public void injectFaultAt(long callIndex, Fault newFault) {
         faultCallIndex = changingCallCount + callIndex;
         fault = newFault;
     }
 
-    /** Returns the number of calls so far that change the disk. */
+    /** Returns the number of calls so far that were to change the disk. */
     public long changingCallCount() {
         return changingCallCount;
     }
 
     /**
-     * Sets whether forcing has no effect although it reports success, to check that a test notices
-     * an omitted force.
+     * Sets whether a force has no effect although it reports success, to check that a test notices
+     * a missing force.
      */
     public void ignoreForce(boolean ignore) {
         forceIgnored = ignore;
     }
 
-    /** Returns a new disk with what survives a power loss, drawn from a random stream. */
+    /**
+     * Returns a new disk with the contents that survive a power loss, which are drawn at random.
+     */
     public FaultyDisk afterPowerLoss(UniformRandomProvider random) {
         Map<String, FileState> names = new HashMap<>(durableNames);
         int survivingChanges = random.nextInt(unforcedNameChanges.size() + 1);
@@ -131,8 +134,8 @@
         byte[] bytes = file.durableBytes;
         int mode = random.nextInt(4);
         for (ContentChange change : file.unforcedChanges) {
-            // All changes survive, none does, or each is drawn separately, as separate draws alone
-            // would hardly ever produce the two extremes.
+            // Either all changes survive, or none, or each is drawn separately: separate draws
+            // alone would hardly ever let all or none survive.
             boolean survives = mode == 0 || mode != 1 && random.nextBoolean();
             if (survives) {
                 int length =
@@ -152,7 +155,9 @@
         durableNames.put(name, file);
     }
 
-    /** Returns a new disk with the current contents, as if all of it had been forced. */
+    /**
+     * Returns a new disk with the current contents of this disk, as if all changes had been forced.
+     */
     public FaultyDisk copy() {
         FaultyDisk copy = new FaultyDisk(capacityBytes);
         files.forEach((name, file) -> copy.putDurable(name, file.currentBytes().clone()));
@@ -166,7 +171,7 @@
         putDurable(name, bytes);
     }
 
-    /** Replaces the contents of a file by the given bytes, which are durable at once. */
+    /** Replaces the contents of a file with the given bytes, which are durable at once. */
     public void overwrite(String name, byte[] bytes) {
         putDurable(name, bytes.clone());
     }
--- a/src/main/java/passhatch/lab/load/ClientChannel.java
+++ b/src/main/java/passhatch/lab/load/ClientChannel.java
@@ -23,7 +23,8 @@
 import passhatch.lab.standin.BackendServer;
 
 /**
- * A client's connection to a proxy; it carries one request at a time and is kept for the next one.
+ * A client's connection to a proxy. The connection carries one request at a time and is kept open
+ * for the next request.
  */
 final class ClientChannel extends SimpleChannelInboundHandler<FullHttpResponse> {
 
@@ -51,7 +52,7 @@
         channel.close();
     }
 
-    /** Closes the connection because its request has already completed without a response. */
+    /** Closes this connection because its request has already completed without a response. */
     void abandon() {
         pendingRequest = null;
         if (channel != null) {
--- a/src/main/java/passhatch/lab/load/LoadGenerator.java
+++ b/src/main/java/passhatch/lab/load/LoadGenerator.java
@@ -11,7 +11,10 @@
 import java.util.concurrent.atomic.LongAdder;
 import passhatch.lab.Seeds;
 
-/** Generates open-loop load: as with many clients, arrivals do not wait for earlier responses. */
+/**
+ * Generates open-loop load: new requests do not wait for earlier responses, as with many
+ * independent clients.
+ */
 public final class LoadGenerator implements AutoCloseable {
 
     private final MultiThreadIoEventLoopGroup group;
@@ -19,7 +22,7 @@
     private final LongAdder served = new LongAdder();
     private final LongAdder completed = new LongAdder();
 
-    /** Creates a generator that has not started. */
+    /** Creates a generator that sends nothing before {@link #start}. */
     public LoadGenerator(LoadPlan plan, ProxyPool proxies, Seeds seeds) {
         group =
                 new MultiThreadIoEventLoopGroup(
@@ -44,20 +47,21 @@
         }
     }
 
-    /** Starts; the first requests are due at this value of {@link System#nanoTime}. */
+    /**
+     * Starts the load; the first requests are due when {@link System#nanoTime} reaches this value.
+     */
     public void start(long startNs) {
         senders.forEach(s -> s.start(startNs));
     }
 
-    /**
-     * Returns the number of requests completed so far and, second, how many of them were served.
-     */
+    /** Returns two numbers: the requests completed so far, and how many of those were served. */
     public long[] completedAndServed() {
         return new long[] {completed.sum(), served.sum()};
     }
 
     /**
-     * Waits until all requests have completed, which is soon after the deadline of the last one.
+     * Waits until all requests have completed, which is soon after the last request's deadline, and
+     * returns the statistics.
      */
     public LoadStats await() throws InterruptedException {
         LoadStats total = new LoadStats();
--- a/src/main/java/passhatch/lab/load/LoadPlan.java
+++ b/src/main/java/passhatch/lab/load/LoadPlan.java
@@ -5,14 +5,15 @@
 /**
  * The load to generate.
  *
- * @param requestsPerSecond rate of all threads together
- * @param evenlySpaced whether requests arrive at equal intervals; otherwise as a Poisson process
- * @param durationMs how long requests arrive, in milliseconds
- * @param maxRetries how often a client retries at another proxy a request that was refused, failed
- *     or not answered
- * @param maxIdleConnections idle connections kept to each proxy, over all threads; further ones are
- *     opened when all are busy and closed after use
- * @param threads threads that send
+ * @param requestsPerSecond request rate of all threads together
+ * @param evenlySpaced whether requests are sent at equal intervals; otherwise they are sent as a
+ *     Poisson process
+ * @param durationMs how long new requests are sent, in milliseconds
+ * @param maxRetries maximum number of times that a client retries, at another proxy, a request that
+ *     was refused, failed or not answered
+ * @param maxIdleConnections maximum number of idle connections kept to each proxy, over all
+ *     threads; further connections are opened while all are busy, and closed after use
+ * @param threads number of threads that send requests
  * @param tickUs interval in microseconds at which a sender checks for due requests; a short
  *     interval keeps its thread busy all the time
  * @param requestClasses classes of requests with their weights
@@ -50,7 +51,7 @@
                 requestClasses);
     }
 
-    /** Whether a request may be repeated. */
+    /** Whether a request may run more than once. */
     public enum Effect {
         SAFE,
         KEYED,
@@ -61,8 +62,9 @@
      * A class of requests.
      *
      * @param path path of the requests, which is the name of the class in the settings
-     * @param weight its part of all requests, relative to the weights of the other classes
-     * @param deadlineUs how long the client waits, in microseconds
+     * @param weight relative frequency of requests of this class; their fraction of all requests is
+     *     this weight divided by the sum of all weights
+     * @param deadlineUs how long the client waits for a response, in microseconds
      */
     public record RequestClass(String path, Effect effect, double weight, long deadlineUs) {}
 }
--- a/src/main/java/passhatch/lab/load/LoadStats.java
+++ b/src/main/java/passhatch/lab/load/LoadStats.java
@@ -7,13 +7,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Outcomes and latency of requests, in total and by the time at which they were due. Latency counts
- * from the time at which a request was due, not from when it was sent, so that a stall raises the
- * latency of all requests that it delayed (no coordinated omission).
+ * Outcomes and latency of requests, in total and by the time at which the requests were due. The
+ * latency of a request counts from the time at which it was due, not from when it was sent, so that
+ * a stall raises the latency of all requests that it delayed (no coordinated omission).
  */
 public final class LoadStats {
 
-    /** Length of one step on the time axis, in milliseconds. */
+    /**
+     * Length in milliseconds of a step, the interval of due times for which results are summed up.
+     */
     public static final int STEP_MS = 250;
 
     private static final long MAX_RECORDED_US = 120_000_000;
@@ -23,17 +25,17 @@
         private final Map<Outcome, Integer> countsByOutcome = new EnumMap<>(Outcome.class);
         private final Histogram latencyUs = new Histogram(MAX_RECORDED_US, 2);
 
-        /** Returns the number of requests with an outcome. */
+        /** Returns the number of requests of this step that had an outcome. */
         public int count(Outcome outcome) {
             return countsByOutcome.getOrDefault(outcome, 0);
         }
 
-        /** Returns the number of all requests that were due. */
+        /** Returns the number of all requests that were due in this step. */
         public int offered() {
             return countsByOutcome.values().stream().mapToInt(Integer::intValue).sum();
         }
 
-        /** Returns the latency of the responses, in microseconds. */
+        /** Returns the latency of the responses to requests of this step, in microseconds. */
         public Histogram latencyUs() {
             return latencyUs;
         }
@@ -53,7 +55,9 @@
         }
     }
 
-    /** Records how much later than due a request was sent, in microseconds. */
+    /**
+     * Records the delay in microseconds between the time at which a request was due and its send.
+     */
     void recordSendDelay(long delayUs) {
         sendDelayUs.recordValue(Math.min(MAX_RECORDED_US, Math.max(0, delayUs)));
     }
@@ -83,7 +87,7 @@
         clientRetries += other.clientRetries;
     }
 
-    /** Returns the steps by the time at which requests were due, each {@link #STEP_MS} long. */
+    /** Returns the steps in order of time, each {@link #STEP_MS} long. */
     public List<Step> steps() {
         return List.copyOf(steps);
     }
@@ -93,17 +97,20 @@
         return latencyUs;
     }
 
-    /** Returns how much later than due requests were sent, in microseconds. */
+    /**
+     * Returns the delays in microseconds between the time at which each request was due and its
+     * send.
+     */
     public Histogram sendDelayUs() {
         return sendDelayUs;
     }
 
-    /** Returns the number of client retries. */
+    /** Returns the number of retries that clients sent. */
     public long clientRetries() {
         return clientRetries;
     }
 
-    /** Returns the number of requests with an outcome, over all steps. */
+    /** Returns the number of requests that had an outcome, over all steps. */
     public long count(Outcome outcome) {
         return steps.stream().mapToLong(s -> s.count(outcome)).sum();
     }
--- a/src/main/java/passhatch/lab/load/ProxyPool.java
+++ b/src/main/java/passhatch/lab/load/ProxyPool.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The proxies to which clients send: spreads requests over the admitted ones, as a load balancer in
- * front of them does. A failed proxy is removed only after a detection delay. The drill updates the
- * pool, and the load generator's threads read it.
+ * The proxies to which clients send requests. Requests are spread over the admitted proxies, as by
+ * a load balancer in front of the proxies, which stops sending to a failed proxy only after a
+ * detection delay. The drill updates the pool, and the load generator's threads read it.
  */
 public final class ProxyPool {
 
@@ -25,15 +25,19 @@
             return address;
         }
 
-        /** Returns whether a fault has stopped or killed its process at any time since then. */
-        boolean faultySince(long ns) {
-            return faulty || lastFaultChangeNs - ns >= 0 && lastFaultChangeNs != Long.MIN_VALUE;
+        /**
+         * Returns whether this proxy's process was stopped or killed by a fault at any time since
+         * the given time.
+         */
+        boolean faultySince(long sinceNs) {
+            return faulty
+                    || lastFaultChangeNs - sinceNs >= 0 && lastFaultChangeNs != Long.MIN_VALUE;
         }
     }
 
     private final List<ProxyEndpoint> endpoints;
 
-    /** Creates a pool of these proxies, none of which is admitted yet. */
+    /** Creates a pool of the given proxies, none of which is admitted yet. */
     public ProxyPool(List<InetSocketAddress> proxies) {
         this.endpoints = proxies.stream().map(ProxyEndpoint::new).toList();
     }
@@ -43,7 +47,7 @@
         endpoints.get(proxy).admitted = admitted;
     }
 
-    /** Marks a proxy as stopped or killed by a fault or, if false, as serving again. */
+    /** Sets whether a proxy is stopped or killed by a fault; if false, it serves again. */
     public void setFaulty(int proxy, boolean faulty) {
         ProxyEndpoint endpoint = endpoints.get(proxy);
         endpoint.lastFaultChangeNs = System.nanoTime();
@@ -51,8 +55,9 @@
     }
 
     /**
-     * Returns the next admitted proxy from an index on other than {@code except}; if there is no
-     * other, {@code except} if it is admitted, or else null.
+     * Returns the next admitted proxy, searching from an index on and leaving out {@code except}.
+     * If there is no other admitted proxy, returns {@code except} if that is admitted, or else
+     * null.
      */
     ProxyEndpoint nextAdmitted(int startIndex, ProxyEndpoint except) {
         for (int i = 0; i < endpoints.size(); i++) {
--- a/src/main/java/passhatch/lab/load/Sender.java
+++ b/src/main/java/passhatch/lab/load/Sender.java
@@ -11,16 +11,16 @@
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** Sends one thread's part of the load, with connections and statistics of its own. */
+/** Sends one thread's part of the load. Each sender has its own connections and statistics. */
 final class Sender {
 
     /**
-     * Open connections per thread; requests beyond that wait, and the wait counts towards their
-     * latency.
+     * Maximum number of open connections per thread. A request that needs a further connection
+     * waits, and this wait counts towards its latency.
      */
     private static final int MAX_OPEN_CONNECTIONS = 2_000;
 
-    /** A request still without a response this long after its deadline counts as lost. */
+    /** A request without a response counts as lost this long after its deadline. */
     private static final long RESPONSE_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final LoadPlan plan;
@@ -33,7 +33,7 @@
     private final Map<ProxyPool.ProxyEndpoint, ArrayDeque<ClientChannel>> idleChannels =
             new HashMap<>();
 
-    /** Requests that wait because no further connection may be opened, in order of arrival. */
+    /** Requests that wait because no further connection may be opened, oldest first. */
     private final ArrayDeque<ClientRequest> waitingForConnection = new ArrayDeque<>();
 
     private int openChannelCount;
@@ -142,7 +142,8 @@
         openChannelCount--;
         ClientRequest next = waitingForConnection.poll();
         if (next != null) {
-            // Deferred, as this method may run while another request is being completed.
+            // The attempt is deferred, as this method may run while another request is being
+            // completed.
             loop.execute(() -> next.startAttempt(proxies.nextAdmitted(nextProxyIndex++, null)));
         }
     }
@@ -201,7 +202,7 @@
             return id;
         }
 
-        /** Returns the idempotency key, which is the same for all attempts. */
+        /** Returns the idempotency key, which is the same for all attempts of this request. */
         String idempotencyKey() {
             return idempotencyKey;
         }
@@ -244,7 +245,7 @@
             channel.send(this);
         }
 
-        /** Handles a complete response. */
+        /** Handles a complete response to this request. */
         void onResponse(int status, boolean bodyIsCorrect) {
             if (status == 200) {
                 complete(
@@ -259,11 +260,11 @@
         }
 
         /**
-         * Handles the end of the connection before a response.
+         * Handles the end of this request's connection before a response.
          *
          * @param connected whether the connection had been established
-         * @param reused whether it had carried a response before, so that the proxy may have closed
-         *     it before this request reached it
+         * @param reused whether the connection had carried a response before, so that the proxy may
+         *     have closed the connection before this request arrived
          */
         void onConnectionEnded(boolean connected, boolean reused) {
             if (proxy.faultySince(sentNs)) {
@@ -278,8 +279,8 @@
         }
 
         /**
-         * Retries if that is allowed, harmless and before the deadline; otherwise completes with
-         * this outcome.
+         * Retries this request if a retry is allowed, harmless and before the deadline; otherwise
+         * completes this request with the outcome.
          */
         private void retryOrComplete(Outcome outcome, boolean repeatable) {
             ProxyPool.ProxyEndpoint target = proxies.nextAdmitted(nextProxyIndex++, proxy);
--- a/src/main/java/passhatch/lab/load/package-info.java
+++ b/src/main/java/passhatch/lab/load/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Load generator: sends open-loop load over real sockets and records the outcome of each request.
+ * Load generator, which sends open-loop load over real sockets and records the outcome of each
+ * request.
  */
 package passhatch.lab.load;
--- a/src/main/java/passhatch/lab/sim/EventQueue.java
+++ b/src/main/java/passhatch/lab/sim/EventQueue.java
@@ -4,11 +4,11 @@
 
 /**
  * Event queue and clock of a discrete-event simulation. Events are polled in order of time, and
- * those of the same time in the order in which they were scheduled. The order depends on nothing
- * else, so a simulation that draws from seeded streams is reproducible.
+ * events of the same time in the order in which they were scheduled. As nothing else affects the
+ * order, a simulation that draws from seeded streams is reproducible.
  *
  * <p>The queue is a binary heap over arrays of primitive keys; scheduling allocates memory only
- * when these arrays grow. Not thread-safe.
+ * when these arrays grow. The queue is not thread-safe.
  *
  * @param <E> the type of events, for instance {@link Runnable}
  */
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Returns the simulated time in microseconds: that of the last polled event, or a later one
-     * set.
+     * Returns the simulated time in microseconds: the time of the last polled event, or a later
+     * time set by {@link #advanceTo}.
      */
     public long nowUs() {
         return nowUs;
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Schedules an event.
+     * Schedules an event at a given time.
      *
-     * @param timeUs when it takes place, in microseconds; not before now
+     * @param timeUs when the event takes place, in microseconds; not before now
      */
     public void scheduleAt(long timeUs, E event) {
         if (timeUs < nowUs) {
@@ -68,9 +68,9 @@
     }
 
     /**
-     * Schedules an event.
+     * Schedules an event after a delay.
      *
-     * @param delayUs how long after now it takes place, in microseconds; not negative
+     * @param delayUs how long after now the event takes place, in microseconds; not negative
      */
     public void scheduleAfter(long delayUs, E event) {
         scheduleAt(Math.addExact(nowUs, delayUs), event);
@@ -79,8 +79,9 @@
     /**
      * Removes the next event and sets the clock to its time.
      *
-     * @param limitUs the latest time in microseconds, inclusive
-     * @return the event, or null if none takes place up to that time; the clock is then unchanged
+     * @param limitUs the latest time in microseconds, inclusive, of an event to poll
+     * @return the event, or null if no event takes place up to that time; the clock is then
+     *     unchanged
      */
     public E pollUntil(long limitUs) {
         if (size == 0 || timesUs[0] > limitUs) {
@@ -94,7 +95,7 @@
     }
 
     /**
-     * Advances the clock to a time before or at the next event.
+     * Advances the clock to a time not after the next event.
      *
      * @param timeUs the new time in microseconds; neither before now nor after the next event
      */
@@ -121,7 +122,9 @@
         events[size] = null;
     }
 
-    /** Places an event at the free end of the heap and moves it towards the root as needed. */
+    /**
+     * Places an event at the free end of the heap and moves the event towards the root as needed.
+     */
     private void siftUp(long timeUs, long sequenceNumber, Object event) {
         int hole = size;
         while (hole > 0) {
@@ -135,7 +138,9 @@
         place(hole, timeUs, sequenceNumber, event);
     }
 
-    /** Places an event at the free root of the heap and moves it towards the end as needed. */
+    /**
+     * Places an event at the free root of the heap and moves the event towards the end as needed.
+     */
     private void siftDown(long timeUs, long sequenceNumber, Object event) {
         int hole = 0;
         while (2 * hole + 1 < size) {
--- a/src/main/java/passhatch/lab/standin/BackendServer.java
+++ b/src/main/java/passhatch/lab/standin/BackendServer.java
@@ -30,14 +30,15 @@
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 
 /**
- * Stand-in for a backend as the protocol describes it, with cores, slots, a bounded queue, a limit
- * on connections, a cold start and injected faults. All of its state belongs to one event loop.
+ * Stand-in for a backend that behaves as the protocol describes. It models cores, slots, a bounded
+ * queue, a limit on connections, a cold start and injected faults. All of its state belongs to one
+ * event loop.
  */
 public final class BackendServer {
 
     /**
-     * How long after the notification a send to a draining backend is allowed: the protocol's grace
-     * of 750 ms and its margin of 50 ms.
+     * How long after proxies are deemed notified of a drain they may still send requests to the
+     * backend: the protocol's grace of 750 ms and its margin of 50 ms.
      */
     private static final long DRAIN_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(750 + 50);
 
@@ -48,12 +49,14 @@
      *
      * @param cores number of requests that run at full speed; more requests share the cores
      * @param slots maximum number of requests that run at the same time
-     * @param maxQueuedRequests maximum number of requests that wait for a slot; further ones are
-     *     rejected
-     * @param maxConnections maximum number of open connections; further ones are reset at once
-     * @param serviceTime time that a request takes on a core of its own
+     * @param maxQueuedRequests maximum number of requests that wait for a slot; further requests
+     *     are rejected
+     * @param maxConnections maximum number of open connections; further connections are reset at
+     *     once
+     * @param serviceTime time that a request takes if it has a core for itself
      * @param coldCapacityFraction fraction of the full capacity right after a start
-     * @param warmUpUs time in microseconds from a start to full capacity; it grows linearly
+     * @param warmUpUs time in microseconds from a start to full capacity; the capacity grows
+     *     linearly
      */
     public record Capacity(
             int cores,
@@ -106,7 +109,7 @@
         this.serviceTimeUs = capacity.serviceTime().sampler(random);
     }
 
-    /** Starts to listen on a port chosen by the system, at full capacity. */
+    /** Starts the backend on a port chosen by the system, at full capacity. */
     public void start() throws IOException {
         bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
@@ -120,7 +123,8 @@
     }
 
     /**
-     * Returns the body of the response to a request, so that clients can check what they received.
+     * Returns the body of the response to a request; clients check the bodies that they receive
+     * against this one.
      */
     public static byte[] responseBodyFor(String id) {
         return ("answer to " + id).getBytes(StandardCharsets.US_ASCII);
@@ -131,8 +135,8 @@
     /**
      * Sets the health of the backend.
      *
-     * @param newSeverity for {@code SLOW} the factor on service times; for {@code FAILING} and
-     *     {@code RESETTING} the fraction of requests affected; otherwise unused
+     * @param newSeverity for {@code SLOW}, the factor by which service times grow; for {@code
+     *     FAILING} and {@code RESETTING}, the fraction of requests affected; otherwise unused
      */
     public void setHealth(Health newHealth, double newSeverity) {
         loop.execute(
@@ -143,16 +147,16 @@
     }
 
     /**
-     * Starts draining: the backend finishes the requests that it has and rejects all others.
+     * Starts draining: the backend finishes the requests that it already has and rejects new ones.
      *
-     * @param notifiedAfterMs when proxies are deemed notified of the drain, in milliseconds from
-     *     now; requests that arrive after that time and the grace violate the protocol
+     * @param notifiedAfterMs time in milliseconds from now at which proxies are deemed notified of
+     *     the drain; requests that arrive after that time plus the grace violate the protocol
      */
     public void drain(long notifiedAfterMs) {
         drain(notifiedAfterMs, false);
     }
 
-    /** Starts draining, but goes on accepting requests for as long as the backend runs. */
+    /** Starts draining, but the backend goes on accepting requests for as long as it runs. */
     public void drainWhileAccepting(long notifiedAfterMs) {
         drain(notifiedAfterMs, true);
     }
@@ -167,7 +171,9 @@
                 });
     }
 
-    /** Simulates a crash: resets connections, refuses new ones and abandons all requests. */
+    /**
+     * Simulates a crash: resets all connections, refuses new connections and abandons all requests.
+     */
     public void crash() {
         loop.submit(
                         () -> {
@@ -178,7 +184,7 @@
                 .syncUninterruptibly();
     }
 
-    /** Starts again at the same address with the capacity of a cold start. */
+    /** Starts the backend again at the same address, with the capacity of a cold start. */
     public void restart() throws IOException {
         loop.submit(
                         () -> {
@@ -237,7 +243,7 @@
 
     // ---- requests
 
-    /** A request that was received completely. */
+    /** A request that was received completely and waits for a slot. */
     private record QueuedRequest(Channel channel, String id) {}
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -294,10 +300,10 @@
                     serviceTimeUs.sample()
                             * Math.max(1, (double) runningRequestCount / capacity.cores())
                             / capacityFraction();
-            long startedNsAtBegin = startedNs;
+            long startedNsWhenScheduled = startedNs;
             loop.schedule(
                     () -> {
-                        if (startedNsAtBegin == startedNs) {
+                        if (startedNsWhenScheduled == startedNs) {
                             runningRequestCount--;
                             finishRequest(request);
                             startQueuedRequests();
@@ -308,7 +314,7 @@
         }
     }
 
-    /** Returns the fraction of the full capacity that is available now. */
+    /** Returns the fraction of its full capacity that this backend has now. */
     private double capacityFraction() {
         double uptimeUs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startedNs);
         return uptimeUs >= capacity.warmUpUs()
--- a/src/main/java/passhatch/lab/standin/DiscoveryServer.java
+++ b/src/main/java/passhatch/lab/standin/DiscoveryServer.java
@@ -40,15 +40,18 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Stand-in for discovery as the protocol describes it: serves the whole list, and watches with one
- * line per change. It can go down, stall or notify late. All of its state belongs to one event
- * loop.
+ * Stand-in for discovery that behaves as the protocol describes: it serves the whole list of
+ * backends, and watches that get one line per change. It can go down, stall or notify late. All of
+ * its state belongs to one event loop.
  */
 public final class DiscoveryServer {
 
     private static final long EMPTY_LINE_INTERVAL_MS = 2_000;
 
-    /** Time after an address change until connections to the old address are closed. */
+    /**
+     * Time between a change of the service's address and the close of connections to the old
+     * address.
+     */
     private static final long OLD_ADDRESS_CLOSE_DELAY_MS = 1_500;
 
     /** Time that a call waits in the queue of an overloaded service before it is rejected. */
@@ -57,9 +60,10 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * One backend in the list.
+     * One backend in the list of endpoints.
      *
-     * @param startedAtMs its last start in Unix milliseconds; 0 for long ago
+     * @param startedAtMs time of the backend's last start in Unix milliseconds; 0 if that was long
+     *     ago
      */
     public record Endpoint(
             String name, InetSocketAddress address, String status, long startedAtMs) {
@@ -110,7 +114,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Starts to listen on a port chosen by the system. */
+    /** Starts the service on a port chosen by the system. */
     public void start() throws IOException {
         bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
@@ -119,14 +123,17 @@
         return address;
     }
 
-    /** Returns the bytes sent so far in responses and watches, without the overhead of TCP. */
+    /**
+     * Returns the number of bytes sent so far in responses and watches, without the overhead of
+     * TCP.
+     */
     public long sentBytes() {
         return sentBytes.sum();
     }
 
     /**
-     * Adds endpoints to the list or changes them, all in one version; those with status {@code
-     * DELETED} are removed.
+     * Adds or changes endpoints in one new version of the list. Endpoints with status {@code
+     * DELETED} are removed from the list.
      */
     public void update(Collection<Endpoint> changed) {
         loop.submit(
@@ -155,7 +162,7 @@
     }
 
     /**
-     * Returns the number of calls answered so far; rejections by an overloaded service do not
+     * Returns the number of calls answered so far; calls rejected by an overloaded service do not
      * count.
      */
     public long answeredCalls() {
@@ -165,8 +172,8 @@
     // ---- faults
 
     /**
-     * Listens at another address from now on; the old one accepts no new connections, and its open
-     * ones are closed after a delay.
+     * Moves the service to a new address. The old address accepts no new connections, and open
+     * connections to the old address are closed after a delay.
      *
      * @return the new address
      */
@@ -183,13 +190,14 @@
         return address;
     }
 
-    /** Sends a line to all watches unchanged, whether or not it is a valid change. */
+    /** Sends a line to all watches unchanged, whether or not the line is a valid change. */
     public void sendLine(String line) {
         loop.submit(() -> sendToWatches(line + "\n")).syncUninterruptibly();
     }
 
     /**
-     * Takes the service down: closes all connections and refuses new ones until {@link #bringUp}.
+     * Takes the service down: closes all connections and refuses new connections until {@link
+     * #bringUp}.
      */
     public void takeDown() {
         loop.submit(
@@ -205,7 +213,7 @@
         bind(address);
     }
 
-    /** Closes all open watches; calls and new watches are still served. */
+    /** Closes all open watches; the service still answers calls and accepts new watches. */
     public void closeWatches() {
         loop.execute(() -> Set.copyOf(watches).forEach(Channel::close));
     }
@@ -222,22 +230,27 @@
                 });
     }
 
-    /** Sets the delay of further changes on watches, in milliseconds; 0 for none. */
+    /**
+     * Sets the delay in milliseconds with which later changes are sent to watches; 0 for no delay.
+     */
     public void setNotificationDelay(long delayMs) {
         loop.execute(() -> notificationDelayMs = delayMs);
     }
 
-    /** Sets whether each call is rejected after a wait; open watches are served as before. */
+    /**
+     * Sets whether the service is overloaded: it then rejects each call after a wait, and serves
+     * open watches as before.
+     */
     public void setOverloaded(boolean on) {
         loop.submit(() -> overloaded = on).syncUninterruptibly();
     }
 
-    /** Sets the delay of responses to further calls, in milliseconds; 0 for none. */
+    /** Sets the delay in milliseconds with which later calls are answered; 0 for no delay. */
     public void setResponseDelay(long delayMs) {
         loop.submit(() -> responseDelayMs = delayMs).syncUninterruptibly();
     }
 
-    /** Returns the current message with the whole list and its version. */
+    /** Returns the message that holds the whole current list and its version. */
     public Map<String, Object> snapshot() {
         return loop.submit(() -> createMessage(version, true, listedEndpoints()))
                 .syncUninterruptibly()
--- a/src/main/java/passhatch/lab/standin/RequestLedger.java
+++ b/src/main/java/passhatch/lab/standin/RequestLedger.java
@@ -5,14 +5,15 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Records the requests that reached any backend, to check the rules that every proxy must follow.
+ * Records the requests that reach any backend, to check whether the proxies follow the rules of the
+ * protocol.
  */
 public final class RequestLedger {
 
-    /** Maximum number of attempts per request id, over all backends. */
+    /** Maximum number of attempts that the protocol allows per request id, over all backends. */
     public static final int MAX_ATTEMPTS_PER_REQUEST = 3;
 
-    /** Number of attempts of one request, and how many of them may have been executed. */
+    /** Number of attempts of one request, and how many of these attempts may have been executed. */
     private record RequestCounts(int attempts, int executions, boolean atMostOnce) {}
 
     private final Map<String, RequestCounts> requests = new ConcurrentHashMap<>();
@@ -20,11 +21,11 @@
     private final LongAdder attemptsAfterDrain = new LongAdder();
 
     /**
-     * Records a request that was received completely.
+     * Records an attempt that a backend received completely.
      *
-     * @param atMostOnce whether it must never be executed twice, because it is neither safe to
-     *     repeat nor has an idempotency key
-     * @param accepted whether the backend accepts it; false if it is rejected
+     * @param atMostOnce whether the request must never be executed twice, because it is neither
+     *     safe to repeat nor has an idempotency key
+     * @param accepted whether the backend accepts the request; false if it rejects the request
      */
     void recordAttempt(String id, boolean atMostOnce, boolean accepted) {
         attempts.increment();
@@ -36,12 +37,14 @@
                                 a.attempts + b.attempts, a.executions + b.executions, atMostOnce));
     }
 
-    /** Records a request that reached a draining backend after the time allowed by the protocol. */
+    /**
+     * Records an attempt that reached a draining backend after the time allowed by the protocol.
+     */
     void recordAttemptAfterDrain() {
         attemptsAfterDrain.increment();
     }
 
-    /** Returns the number of complete requests received by all backends, each attempt counted. */
+    /** Returns the number of attempts that all backends received completely. */
     public long attempts() {
         return attempts.sum();
     }
@@ -51,14 +54,17 @@
         return requests.values().stream().filter(s -> s.atMostOnce && s.executions > 1).count();
     }
 
-    /** Returns the number of requests with more attempts than allowed. */
+    /** Returns the number of requests with more attempts than the protocol allows. */
     public long requestsOverMaxAttempts() {
         return requests.values().stream()
                 .filter(s -> s.attempts > MAX_ATTEMPTS_PER_REQUEST)
                 .count();
     }
 
-    /** Returns the number of requests that reached a draining backend too late. */
+    /**
+     * Returns the number of attempts that reached a draining backend after the time allowed by the
+     * protocol.
+     */
     public long attemptsAfterDrain() {
         return attemptsAfterDrain.sum();
     }
--- a/src/main/java/passhatch/lab/standin/ServiceTime.java
+++ b/src/main/java/passhatch/lab/standin/ServiceTime.java
@@ -9,13 +9,13 @@
 /**
  * Distribution of the time that a backend takes to execute a request.
  *
- * @param distribution distribution from which times are drawn
+ * @param distribution type of the distribution
  * @param meanUs mean in microseconds
  * @param sigma standard deviation of the logarithm, for {@code LOGNORMAL} only
  */
 public record ServiceTime(Distribution distribution, double meanUs, double sigma) {
 
-    /** Supported distributions. */
+    /** Supported types of distributions. */
     public enum Distribution {
         CONSTANT,
         EXPONENTIAL,
@@ -23,7 +23,7 @@
         UNIFORM
     }
 
-    /** Returns a sampler of times in microseconds. */
+    /** Returns a sampler of this distribution, in microseconds. */
     ContinuousSampler sampler(UniformRandomProvider random) {
         return switch (distribution) {
             case CONSTANT -> () -> meanUs;
--- a/src/main/java/passhatch/lab/standin/UdpRelay.java
+++ b/src/main/java/passhatch/lab/standin/UdpRelay.java
@@ -21,12 +21,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Simulates the network between the program's processes. Each process has one relay address for
- * every other; a datagram sent to it is delivered to that other process from the address that
- * stands for the sender there. Datagrams may be delayed, duplicated, reordered, truncated or lost.
+ * Simulates the network between the program's processes. For each process, the relay has one
+ * address that stands for each other process. A datagram sent to such an address is delivered to
+ * the process that the address stands for, from the address that stands for the sender. Datagrams
+ * may be delayed, duplicated, reordered, truncated or lost.
  *
- * <p>One thread carries all datagrams. A datagram over the platform's 256 bytes is counted and not
- * delivered.
+ * <p>One thread carries all datagrams. A datagram larger than the platform's maximum of 256 bytes
+ * is counted but not delivered.
  */
 public final class UdpRelay implements Closeable {
 
@@ -34,15 +35,17 @@
     public static final int MAX_DATAGRAM_BYTES = 256;
 
     /**
-     * Faults of the network. Rates are from 0 to 1 and apply to each datagram independently.
+     * Delays and faults of the network. Rates are from 0 to 1 and apply to each datagram
+     * independently.
      *
-     * @param lossRate fraction that never arrives
-     * @param duplicateRate fraction that arrives twice
-     * @param truncateRate fraction of which only the first half arrives
-     * @param reorderRate fraction that later datagrams overtake: it is delayed by ten times the
-     *     usual delay and 20 ms
+     * @param lossRate fraction of datagrams that never arrive
+     * @param duplicateRate fraction of datagrams that arrive twice
+     * @param truncateRate fraction of datagrams of which only the first half arrives
+     * @param reorderRate fraction of datagrams that later ones overtake: such a datagram is delayed
+     *     by ten times the usual delay plus 20 ms
      * @param delayUs delay of all datagrams, in microseconds
-     * @param jitterUs maximum of a further delay, uniformly distributed, in microseconds
+     * @param jitterUs maximum of a further random delay with a uniform distribution, in
+     *     microseconds
      */
     public record NetworkConditions(
             double lossRate,
@@ -79,8 +82,8 @@
     private long nextSequenceNumber;
 
     /**
-     * Opens a socket for each ordered pair of members; {@link #setListenAddress} sets the addresses
-     * at which members receive.
+     * Opens a socket for each ordered pair of members. {@link #setListenAddress} sets the address
+     * at which a member receives.
      *
      * @throws IOException if there are not enough file descriptors or ports
      */
@@ -108,7 +111,8 @@
     }
 
     /**
-     * Returns the relay addresses at which a member reaches all members, in order of their numbers.
+     * Returns the relay addresses at which a member reaches each member, in order of the numbers of
+     * those members.
      */
     public List<InetSocketAddress> relayAddressesOf(int member) throws IOException {
         List<InetSocketAddress> peers = new ArrayList<>();
@@ -118,12 +122,15 @@
         return peers;
     }
 
-    /** Sets the network conditions for further datagrams. */
+    /** Sets the network conditions for later datagrams. */
     public void setConditions(NetworkConditions newConditions) {
         conditions.set(newConditions);
     }
 
-    /** Sets which ordered pairs of members, sender first, are connected. */
+    /**
+     * Sets which members can send to which others. The predicate gets the sender first, then the
+     * receiver.
+     */
     public void setConnectivity(BiPredicate<Integer, Integer> newConnectivity) {
         connectivity.set(newConnectivity);
     }
@@ -133,7 +140,7 @@
         return delivered.sum();
     }
 
-    /** Returns the number of datagrams lost by a fault or because their receiver does not exist. */
+    /** Returns the number of datagrams lost by a fault or because their receiver is missing. */
     public long dropped() {
         return dropped.sum();
     }
@@ -173,7 +180,7 @@
                 route(link, Arrays.copyOf(buffer.array(), buffer.position()));
             }
         } catch (IOException socketError) {
-            // An error of one socket, such as that of a missing receiver, counts as a lost
+            // An error of one socket, for instance because a receiver is missing, counts as a lost
             // datagram.
             dropped.increment();
         }
@@ -215,7 +222,8 @@
     }
 
     /**
-     * Sends from the address that the receiver knows as the sender's, so that it can identify it.
+     * Sends a datagram from the address that stands for the sender, so that the receiver can
+     * identify the sender.
      */
     private void deliver(DelayedDatagram datagram) {
         InetSocketAddress to;
--- a/src/main/java/passhatch/package-info.java
+++ b/src/main/java/passhatch/package-info.java
@@ -1,2 +1,2 @@
-/** The balancer: decides to which server, when and how often each request is sent. */
+/** The balancer, which decides to which server, when and how often each request is sent. */
 package passhatch;
