--- a/src/main/java/passhatch/agent/AgentStore.java
+++ b/src/main/java/passhatch/agent/AgentStore.java
@@ -47,7 +47,7 @@
             // Written as a snapshot so that the log does not grow with each start.
             List<Entry> state = new ArrayList<>(List.of(toEntry(epoch)));
             promises.values().forEach(promise -> state.add(toEntry(promise)));
-            recordLog.snapshot(state);
+            recordLog.writeSnapshot(state);
         } catch (StoreException failed) {
             disk.close();
             throw failed;
--- a/src/main/java/passhatch/agent/ChangesCalls.java
+++ b/src/main/java/passhatch/agent/ChangesCalls.java
@@ -170,7 +170,7 @@
      * has not been known to be current since the start.
      */
     private long stateAgeMs() {
-        long ageMs = changesNode.participant().ageUs(FleetNode.nowUs()) / 1_000;
+        long ageMs = changesNode.participant().stateAgeUs(FleetNode.nowUs()) / 1_000;
         return ageMs < Long.MAX_VALUE / 8_000 ? ageMs : -1;
     }
 
--- a/src/main/java/passhatch/agent/ChangesNode.java
+++ b/src/main/java/passhatch/agent/ChangesNode.java
@@ -186,7 +186,7 @@
             return;
         }
         try {
-            store.snapshot(participant.snapshot());
+            store.snapshot(participant.snapshotRecords());
         } catch (StoreException failed) {
             // The participant learns of the failure at its next write, which fails as well.
             LOG.atError()
@@ -224,8 +224,8 @@
 
     private void receive(String from, byte[] bytes) {
         MessageCodec.Read read = MessageCodec.decode(fleet.name(), bytes);
-        if (read.fault() != null) {
-            dropped.merge(read.fault(), 1L, Long::sum);
+        if (read.dropReason() != null) {
+            dropped.merge(read.dropReason(), 1L, Long::sum);
         } else if (isUnknownSender(from, read.message())) {
             dropped.merge(DropReason.STRANGER, 1L, Long::sum);
         } else {
@@ -325,12 +325,12 @@
     }
 
     @Override
-    public void committed(long version) {
+    public void changeCommitted(long version) {
         submittedChanges.recordCommitted(version);
     }
 
     @Override
-    public void stepDown(long term, String reason) {
+    public void leaderSteppedDown(long term, String reason) {
         LOG.atWarn()
                 .addKeyValue("event", "changes")
                 .addKeyValue("term", term)
--- a/src/main/java/passhatch/agent/ChangesStore.java
+++ b/src/main/java/passhatch/agent/ChangesStore.java
@@ -201,7 +201,7 @@
         }
         state.forEach(
                 record -> entries.add(new Entry(KIND_SINGLE, DiskRecordCodec.encode(record))));
-        recordLog.snapshot(entries);
+        recordLog.writeSnapshot(entries);
     }
 
     @Override
--- a/src/main/java/passhatch/agent/DutyNode.java
+++ b/src/main/java/passhatch/agent/DutyNode.java
@@ -78,7 +78,7 @@
         }
 
         @Override
-        public void granted(long term) {
+        public void dutyAcquired(long term) {
             LOG.atInfo()
                     .addKeyValue("event", "duty")
                     .addKeyValue("duty", duty)
@@ -90,7 +90,7 @@
         }
 
         @Override
-        public void lost(long term) {
+        public void dutyLost(long term) {
             LOG.atInfo()
                     .addKeyValue("event", "duty")
                     .addKeyValue("duty", duty)
@@ -151,7 +151,7 @@
         if (voter != null && !voter.isVoting()) {
             config.voters().stream()
                     .filter(v -> !v.equals(self))
-                    .forEach(v -> send(v, voter.recall()));
+                    .forEach(v -> send(v, voter.createRecall()));
             loop.schedule(this::recallPromises, RECALL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
@@ -249,7 +249,7 @@
                     Map<String, Object> entry = new LinkedHashMap<>();
                     entry.put("duty", duty);
                     entry.put("term", wantedDuty.candidate.term());
-                    entry.put("left_ms", wantedDuty.candidate.remainingUs(nowUs) / 1_000);
+                    entry.put("left_ms", wantedDuty.candidate.remainingLeaseUs(nowUs) / 1_000);
                     wantedDuties.add(entry);
                 });
         List<Object> promised = new ArrayList<>();
@@ -261,8 +261,9 @@
                         duty -> {
                             Map<String, Object> entry = new LinkedHashMap<>();
                             entry.put("duty", duty);
-                            entry.put("term", voter == null ? 0 : voter.promised(duty).term());
-                            entry.put("holder", voter == null ? "" : voter.promised(duty).holder());
+                            entry.put("term", voter == null ? 0 : voter.promiseFor(duty).term());
+                            entry.put(
+                                    "holder", voter == null ? "" : voter.promiseFor(duty).holder());
                             entry.put(
                                     "bound_ms",
                                     voter == null ? 0 : voter.boundForUs(nowUs, duty) / 1_000);
--- a/src/main/java/passhatch/agent/FleetNode.java
+++ b/src/main/java/passhatch/agent/FleetNode.java
@@ -181,8 +181,8 @@
                 membership.countDropped(DropReason.STRANGER);
             } else if (dutyListener != null && bytes.length > 0 && bytes[0] == DutyCodec.FORMAT) {
                 DutyCodec.Read read = DutyCodec.decode(config.name(), bytes);
-                if (read.fault() != null) {
-                    membership.countDropped(read.fault());
+                if (read.dropReason() != null) {
+                    membership.countDropped(read.dropReason());
                 } else {
                     dutyListener.accept(read.from(), read.message());
                 }
--- a/src/main/java/passhatch/distribution/CommittedView.java
+++ b/src/main/java/passhatch/distribution/CommittedView.java
@@ -8,5 +8,5 @@
     ConfigState state();
 
     /** Returns the time since the state was known to be current, in microseconds. */
-    long ageUs(long nowUs);
+    long stateAgeUs(long nowUs);
 }
--- a/src/main/java/passhatch/distribution/ConfigState.java
+++ b/src/main/java/passhatch/distribution/ConfigState.java
@@ -13,13 +13,13 @@
  */
 final class ConfigState {
 
-    private final TreeMap<String, LogEntry> byKey = new TreeMap<>();
-    private final TreeMap<Long, LogEntry> byVersion = new TreeMap<>();
+    private final TreeMap<String, LogEntry> entriesByKey = new TreeMap<>();
+    private final TreeMap<Long, LogEntry> entriesByVersion = new TreeMap<>();
     private final TreeMap<Long, LogEntry> tombstones = new TreeMap<>();
     private final int maxTombstones;
     private long version;
     private long term;
-    private long floor;
+    private long minDeltaVersion;
 
     ConfigState(int maxTombstones) {
         this.maxTombstones = maxTombstones;
@@ -34,37 +34,37 @@
         return term;
     }
 
-    long floor() {
-        return floor;
+    long minDeltaVersion() {
+        return minDeltaVersion;
     }
 
     /** Clears the state and sets its version, term and floor. */
-    void reset(long newVersion, long newTerm, long newFloor) {
-        byKey.clear();
-        byVersion.clear();
+    void reset(long newVersion, long newTerm, long newMinDeltaVersion) {
+        entriesByKey.clear();
+        entriesByVersion.clear();
         tombstones.clear();
         version = newVersion;
         term = newTerm;
-        floor = newFloor;
+        minDeltaVersion = newMinDeltaVersion;
     }
 
     /**
      * Adds one entry, whatever the state's version is, unless a newer entry of its key is present.
      */
-    void put(LogEntry entry) {
+    void putIfNewer(LogEntry entry) {
         if (entry.isNoOperation()) {
             return;
         }
-        LogEntry previous = byKey.get(entry.key());
+        LogEntry previous = entriesByKey.get(entry.key());
         if (previous != null && previous.version() >= entry.version()) {
             return;
         }
         if (previous != null) {
-            byVersion.remove(previous.version());
+            entriesByVersion.remove(previous.version());
             tombstones.remove(previous.version());
         }
-        byKey.put(entry.key(), entry);
-        byVersion.put(entry.version(), entry);
+        entriesByKey.put(entry.key(), entry);
+        entriesByVersion.put(entry.version(), entry);
         if (entry.isTombstone()) {
             tombstones.put(entry.version(), entry);
             dropExcessTombstones();
@@ -74,14 +74,14 @@
     private void dropExcessTombstones() {
         while (tombstones.size() > maxTombstones) {
             LogEntry oldest = tombstones.pollFirstEntry().getValue();
-            byKey.remove(oldest.key());
-            byVersion.remove(oldest.version());
-            floor = Math.max(floor, oldest.version());
+            entriesByKey.remove(oldest.key());
+            entriesByVersion.remove(oldest.version());
+            minDeltaVersion = Math.max(minDeltaVersion, oldest.version());
         }
     }
 
     /** Sets the version that the state has reached. */
-    void advance(long newVersion, long newTerm) {
+    void advanceTo(long newVersion, long newTerm) {
         version = newVersion;
         term = newTerm;
     }
@@ -91,22 +91,24 @@
      * oldest first. Entries beyond the state's version, which a snapshot received during changes
      * may contain, are left out.
      */
-    Collection<LogEntry> after(long from) {
-        return from >= version ? List.of() : byVersion.subMap(from, false, version, true).values();
+    Collection<LogEntry> changesAfter(long afterVersion) {
+        return afterVersion >= version
+                ? List.of()
+                : entriesByVersion.subMap(afterVersion, false, version, true).values();
     }
 
     /** Returns the entries beyond a version, oldest first. */
-    Collection<LogEntry> beyond(long from) {
-        return byVersion.tailMap(from, false).values();
+    Collection<LogEntry> allEntriesAfter(long afterVersion) {
+        return entriesByVersion.tailMap(afterVersion, false).values();
     }
 
     /** Returns the entries after a key, in key order. */
-    NavigableMap<String, LogEntry> afterKey(String key) {
-        return byKey.tailMap(key, false);
+    NavigableMap<String, LogEntry> entriesAfterKey(String key) {
+        return entriesByKey.tailMap(key, false);
     }
 
     /** Returns the entries by key, including tombstones. */
     NavigableMap<String, LogEntry> entries() {
-        return Collections.unmodifiableNavigableMap(byKey);
+        return Collections.unmodifiableNavigableMap(entriesByKey);
     }
 }
--- a/src/main/java/passhatch/distribution/DatagramBudget.java
+++ b/src/main/java/passhatch/distribution/DatagramBudget.java
@@ -25,13 +25,13 @@
     }
 
     /** Returns the longest prefix of the entries that fits. */
-    static List<LogEntry> fitting(Iterable<LogEntry> entries) {
-        return fitting(entries, MAX_ENTRIES_BYTES);
+    static List<LogEntry> fittingPrefix(Iterable<LogEntry> entries) {
+        return fittingPrefix(entries, MAX_ENTRIES_BYTES);
     }
 
-    static List<LogEntry> fitting(Iterable<LogEntry> entries, int bytes) {
+    static List<LogEntry> fittingPrefix(Iterable<LogEntry> entries, int maxBytes) {
         List<LogEntry> fitting = new ArrayList<>();
-        int remaining = bytes;
+        int remaining = maxBytes;
         for (LogEntry entry : entries) {
             remaining -= sizeOf(entry);
             if (remaining < 0) {
--- a/src/main/java/passhatch/distribution/DiskRecord.java
+++ b/src/main/java/passhatch/distribution/DiskRecord.java
@@ -18,16 +18,17 @@
     record Committed(long epoch, long version) implements DiskRecord {}
 
     /** A follower has applied the committed changes up to a version. */
-    record Applied(long epoch, long upto, long uptoTerm, List<LogEntry> entries)
+    record Applied(long epoch, long uptoVersion, long uptoTerm, List<LogEntry> entries)
             implements DiskRecord {}
 
     /**
      * The committed state starts again at this version; the {@link Content} that follows completes
      * it.
      *
-     * @param floor version below which followers cannot be served by a delta
+     * @param minDeltaVersion version below which followers cannot be served by a delta
      */
-    record Reset(long epoch, long version, long versionTerm, long floor) implements DiskRecord {}
+    record Reset(long epoch, long version, long versionTerm, long minDeltaVersion)
+            implements DiskRecord {}
 
     /** Part of the state that a {@link Reset} begins. */
     record Content(List<LogEntry> entries) implements DiskRecord {}
--- a/src/main/java/passhatch/distribution/DiskRecordCodec.java
+++ b/src/main/java/passhatch/distribution/DiskRecordCodec.java
@@ -45,7 +45,7 @@
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
             cbor.writeStartArray();
             cbor.writeNumber(FORMAT_VERSION);
-            write(cbor, record);
+            writeRecord(cbor, record);
             cbor.writeEndArray();
         } catch (IOException impossible) {
             throw new IllegalStateException(impossible);
@@ -53,19 +53,20 @@
         return out.toByteArray();
     }
 
-    private static void write(CBORGenerator cbor, DiskRecord record) throws IOException {
+    private static void writeRecord(CBORGenerator cbor, DiskRecord record) throws IOException {
         if (record instanceof Promised promised) {
             writeNumbers(cbor, Kind.PROMISED, promised.epoch(), promised.term());
         } else if (record instanceof Initialized initialization) {
             writeNumbers(cbor, Kind.FOUNDED, initialization.epoch());
         } else if (record instanceof Appended appended) {
             writeNumbers(cbor, Kind.APPENDED, appended.epoch());
-            entries(cbor, List.of(appended.entry()));
+            readEntries(cbor, List.of(appended.entry()));
         } else if (record instanceof Committed committed) {
             writeNumbers(cbor, Kind.COMMITTED, committed.epoch(), committed.version());
         } else if (record instanceof Applied applied) {
-            writeNumbers(cbor, Kind.APPLIED, applied.epoch(), applied.upto(), applied.uptoTerm());
-            entries(cbor, applied.entries());
+            writeNumbers(
+                    cbor, Kind.APPLIED, applied.epoch(), applied.uptoVersion(), applied.uptoTerm());
+            readEntries(cbor, applied.entries());
         } else if (record instanceof Reset reset) {
             writeNumbers(
                     cbor,
@@ -73,10 +74,10 @@
                     reset.epoch(),
                     reset.version(),
                     reset.versionTerm(),
-                    reset.floor());
+                    reset.minDeltaVersion());
         } else if (record instanceof Content content) {
             writeNumbers(cbor, Kind.CONTENT);
-            entries(cbor, content.entries());
+            readEntries(cbor, content.entries());
         }
     }
 
@@ -88,7 +89,7 @@
         }
     }
 
-    private static void entries(CBORGenerator cbor, List<LogEntry> entries) throws IOException {
+    private static void readEntries(CBORGenerator cbor, List<LogEntry> entries) throws IOException {
         cbor.writeStartArray();
         for (LogEntry entry : entries) {
             cbor.writeStartArray();
@@ -115,13 +116,13 @@
                 throw new IOException("a record of format " + version + ", of a newer program");
             }
             Kind kind = Kind.values()[cbor.readInt(0, Kind.values().length - 1)];
-            DiskRecord record = read(cbor, kind);
+            DiskRecord record = readRecord(cbor, kind);
             cbor.skipToArrayEnd();
             return record;
         }
     }
 
-    private static DiskRecord read(CborReader cbor, Kind kind) throws IOException {
+    private static DiskRecord readRecord(CborReader cbor, Kind kind) throws IOException {
         return switch (kind) {
             case PROMISED -> new Promised(readNumber(cbor), readNumber(cbor));
             case FOUNDED -> new Initialized(readNumber(cbor));
@@ -129,17 +130,20 @@
             case COMMITTED -> new Committed(readNumber(cbor), readNumber(cbor));
             case APPLIED ->
                     new Applied(
-                            readNumber(cbor), readNumber(cbor), readNumber(cbor), entries(cbor));
+                            readNumber(cbor),
+                            readNumber(cbor),
+                            readNumber(cbor),
+                            readEntries(cbor));
             case RESET ->
                     new Reset(
                             readNumber(cbor), readNumber(cbor), readNumber(cbor), readNumber(cbor));
-            case CONTENT -> new Content(entries(cbor));
+            case CONTENT -> new Content(readEntries(cbor));
         };
     }
 
     private static Appended readAppended(CborReader cbor) throws IOException {
         long epoch = readNumber(cbor);
-        List<LogEntry> entries = entries(cbor);
+        List<LogEntry> entries = readEntries(cbor);
         CborReader.require(entries.size() == 1);
         return new Appended(epoch, entries.get(0));
     }
@@ -148,7 +152,7 @@
         return cbor.readLong(0, MAX_NUMBER);
     }
 
-    private static List<LogEntry> entries(CborReader cbor) throws IOException {
+    private static List<LogEntry> readEntries(CborReader cbor) throws IOException {
         List<LogEntry> entries = new ArrayList<>();
         cbor.beginArray();
         while (cbor.beginArrayOrEnd()) {
--- a/src/main/java/passhatch/distribution/DistributionActions.java
+++ b/src/main/java/passhatch/distribution/DistributionActions.java
@@ -19,8 +19,8 @@
     default void versionApplied(long epoch, long version) {}
 
     /** Reports that a change submitted at this leader is committed. */
-    default void committed(long version) {}
+    default void changeCommitted(long version) {}
 
     /** Reports that this leader cannot lead in this term any more and releases its lease. */
-    default void stepDown(long term, String reason) {}
+    default void leaderSteppedDown(long term, String reason) {}
 }
--- a/src/main/java/passhatch/distribution/Follower.java
+++ b/src/main/java/passhatch/distribution/Follower.java
@@ -26,7 +26,7 @@
     private final String name;
     private final List<String> sources;
     private final ServiceFilter filter;
-    private final Predicate<String> wanted;
+    private final Predicate<String> wantedKeys;
     private final RandomGenerator random;
     private final DistributionActions actions;
     private final ConfigState state = new ConfigState(MAX_TOMBSTONES);
@@ -35,7 +35,7 @@
     /** Deltas received too early to apply, by the version that they follow. */
     private final TreeMap<Long, Delta> earlyDeltas = new TreeMap<>();
 
-    private IncomingSnapshot snapshot;
+    private IncomingSnapshot incomingSnapshot;
     private int sourceIndex;
     private long pollAtUs;
     private long lastPollUs;
@@ -49,28 +49,28 @@
     /** The latest time at which the state here is known to have been current. */
     private long currentAsOfUs = Long.MIN_VALUE / 2;
 
-    private boolean sourceBehind;
+    private boolean sourceIsBehind;
 
     /** Number of consecutive switches because a source was stale. */
-    private int staleSwitches;
+    private int consecutiveStaleSources;
 
     /** Until this time the follower does not leave a source for being stale. */
-    private long staleRetryAtUs;
+    private long toleratesStaleUntilUs;
 
-    private long returnAtUs = Long.MAX_VALUE;
+    private long returnToPreferredAtUs = Long.MAX_VALUE;
     private boolean diskFailed;
 
     /**
      * Creates a follower from what its disk holds.
      *
-     * @param wanted the keys that it keeps; all of them pass the filter
+     * @param wantedKeys the keys that it keeps; all of them pass the filter
      * @param records contents of its disk, used until newer changes are received
      */
     Follower(
             String name,
             List<String> sources,
             ServiceFilter filter,
-            Predicate<String> wanted,
+            Predicate<String> wantedKeys,
             List<DiskRecord> records,
             long nowUs,
             RandomGenerator random,
@@ -78,7 +78,7 @@
         this.name = name;
         this.sources = sources;
         this.filter = filter;
-        this.wanted = wanted;
+        this.wantedKeys = wantedKeys;
         this.random = random;
         this.actions = actions;
         records.forEach(this::replay);
@@ -89,19 +89,21 @@
     private void replay(DiskRecord record) {
         if (record instanceof DiskRecord.Reset reset) {
             epoch = reset.epoch();
-            state.reset(reset.version(), reset.versionTerm(), reset.floor());
+            state.reset(reset.version(), reset.versionTerm(), reset.minDeltaVersion());
         } else if (record instanceof DiskRecord.Content content) {
-            content.entries().forEach(state::put);
+            content.entries().forEach(state::putIfNewer);
         } else if (record instanceof DiskRecord.Applied applied) {
             epoch = applied.epoch();
-            applied.entries().forEach(state::put);
-            state.advance(applied.upto(), applied.uptoTerm());
+            applied.entries().forEach(state::putIfNewer);
+            state.advanceTo(applied.uptoVersion(), applied.uptoTerm());
         }
     }
 
-    List<DiskRecord> snapshot() {
+    List<DiskRecord> snapshotRecords() {
         List<DiskRecord> records = new ArrayList<>();
-        records.add(new DiskRecord.Reset(epoch, state.version(), state.term(), state.floor()));
+        records.add(
+                new DiskRecord.Reset(
+                        epoch, state.version(), state.term(), state.minDeltaVersion()));
         state.entries().values().forEach(e -> records.add(new DiskRecord.Content(List.of(e))));
         return records;
     }
@@ -117,7 +119,7 @@
     }
 
     @Override
-    public long ageUs(long nowUs) {
+    public long stateAgeUs(long nowUs) {
         return nowUs - currentAsOfUs;
     }
 
@@ -143,19 +145,21 @@
 
     private void chooseSource(long nowUs) {
         boolean silent = nowUs - lastReplyUs > Timing.SOURCE_TIMEOUT_US;
-        boolean stale = sourceAgeUs > Timing.MAX_SOURCE_AGE_US || sourceBehind;
-        if (stale && nowUs >= staleRetryAtUs && ++staleSwitches >= sources.size()) {
+        boolean stale = sourceAgeUs > Timing.MAX_SOURCE_AGE_US || sourceIsBehind;
+        if (stale
+                && nowUs >= toleratesStaleUntilUs
+                && ++consecutiveStaleSources >= sources.size()) {
             // All sources are stale, for example because there is no leader: stop switching for a
             // while.
-            staleSwitches = 0;
-            staleRetryAtUs = nowUs + randomReturnDelayUs();
+            consecutiveStaleSources = 0;
+            toleratesStaleUntilUs = nowUs + randomPreferredRetryDelayUs();
             switchSource(nowUs, 0);
             return;
         }
-        boolean leaveSource = silent || stale && nowUs >= staleRetryAtUs;
+        boolean leaveSource = silent || stale && nowUs >= toleratesStaleUntilUs;
         if (sources.size() > 1 && leaveSource) {
             switchSource(nowUs, (sourceIndex + 1) % sources.size());
-        } else if (nowUs >= returnAtUs) {
+        } else if (nowUs >= returnToPreferredAtUs) {
             switchSource(nowUs, 0);
         }
     }
@@ -164,22 +168,27 @@
         sourceIndex = source;
         lastReplyUs = nowUs;
         sourceAgeUs = 0;
-        sourceBehind = false;
-        returnAtUs = source == 0 ? Long.MAX_VALUE : nowUs + randomReturnDelayUs();
+        sourceIsBehind = false;
+        returnToPreferredAtUs =
+                source == 0 ? Long.MAX_VALUE : nowUs + randomPreferredRetryDelayUs();
     }
 
-    private long randomReturnDelayUs() {
-        return (long) ((0.5 + random.nextDouble()) * Timing.PREFERRED_SOURCE_RETRY_US);
+    private long randomPreferredRetryDelayUs() {
+        return (long) ((0.5 + random.nextDouble()) * Timing.PREFERRED_SOURCE_RETRY_DELAY_US);
     }
 
     private void poll(long nowUs) {
         lastPollUs = nowUs;
         pollAtUs = nowUs + Timing.POLL_RETRY_DELAY_US;
-        boolean ofThisSource = snapshot != null && snapshot.source().equals(source());
+        boolean ofThisSource =
+                incomingSnapshot != null && incomingSnapshot.source().equals(source());
         if (!ofThisSource) {
-            snapshot = null;
+            incomingSnapshot = null;
         }
-        String cursor = snapshot == null || snapshot.cursor().isEmpty() ? null : snapshot.cursor();
+        String cursor =
+                incomingSnapshot == null || incomingSnapshot.cursor().isEmpty()
+                        ? null
+                        : incomingSnapshot.cursor();
         actions.send(source(), new Poll(epoch, state.version(), cursor, filter, name));
     }
 
@@ -196,10 +205,10 @@
             lastReplyUs = nowUs;
             pollAtUs = Math.max(pollAtUs, lastPollUs + Timing.POLL_INTERVAL_US);
             sourceAgeUs = ageUs;
-            sourceBehind = behind;
+            sourceIsBehind = behind;
             if (!behind && ageUs <= Timing.MAX_SOURCE_AGE_US) {
-                staleSwitches = 0;
-                staleRetryAtUs = 0;
+                consecutiveStaleSources = 0;
+                toleratesStaleUntilUs = 0;
             }
         }
     }
@@ -210,23 +219,24 @@
 
     private void onDelta(long nowUs, String from, Delta delta) {
         boolean behind =
-                delta.epoch() < epoch || delta.epoch() == epoch && delta.upto() < state.version();
-        onSourceReply(nowUs, from, delta.ageUs(), behind);
+                delta.epoch() < epoch
+                        || delta.epoch() == epoch && delta.uptoVersion() < state.version();
+        onSourceReply(nowUs, from, delta.stateAgeUs(), behind);
         if (delta.epoch() != epoch) {
             return;
         }
-        if (delta.after() > state.version()) {
+        if (delta.afterVersion() > state.version()) {
             addEarlyDelta(delta);
             return;
         }
-        if (delta.upto() > state.version()) {
-            apply(delta);
+        if (delta.uptoVersion() > state.version()) {
+            applyDelta(delta);
             applyEarlyDeltas();
-            snapshot = null;
+            incomingSnapshot = null;
             actions.versionApplied(epoch, state.version());
         }
         if (!behind) {
-            updateCurrentAsOf(nowUs, delta.ageUs());
+            updateCurrentAsOf(nowUs, delta.stateAgeUs());
         }
         if (!delta.entries().isEmpty()) {
             actions.send(from, new Ack(epoch, state.version()));
@@ -237,7 +247,7 @@
         if (earlyDeltas.size() >= MAX_EARLY_DELTAS) {
             earlyDeltas.clear();
         }
-        earlyDeltas.put(delta.after(), delta);
+        earlyDeltas.put(delta.afterVersion(), delta);
     }
 
     /** Applies the early deltas that follow the current version now. */
@@ -246,56 +256,56 @@
                 next != null;
                 next = earlyDeltas.pollFirstEntry()) {
             Delta delta = next.getValue();
-            if (delta.after() > state.version()) {
+            if (delta.afterVersion() > state.version()) {
                 earlyDeltas.put(next.getKey(), delta);
                 return;
             }
-            if (delta.epoch() == epoch && delta.upto() > state.version()) {
-                apply(delta);
+            if (delta.epoch() == epoch && delta.uptoVersion() > state.version()) {
+                applyDelta(delta);
             }
         }
     }
 
-    private void apply(Delta delta) {
+    private void applyDelta(Delta delta) {
         List<LogEntry> newer = new ArrayList<>();
         for (LogEntry entry : delta.entries()) {
-            if (entry.version() > state.version() && wanted.test(entry.key())) {
+            if (entry.version() > state.version() && wantedKeys.test(entry.key())) {
                 newer.add(entry);
             }
         }
-        force(List.of(new DiskRecord.Applied(epoch, delta.upto(), delta.uptoTerm(), newer)));
-        newer.forEach(state::put);
-        state.advance(delta.upto(), delta.uptoTerm());
+        force(List.of(new DiskRecord.Applied(epoch, delta.uptoVersion(), delta.uptoTerm(), newer)));
+        newer.forEach(state::putIfNewer);
+        state.advanceTo(delta.uptoVersion(), delta.uptoTerm());
     }
 
     private void onSnapshotPart(long nowUs, String from, SnapshotPart part) {
         boolean behind =
                 part.epoch() < epoch || part.epoch() == epoch && part.version() < state.version();
-        onSourceReply(nowUs, from, part.ageUs(), behind);
+        onSourceReply(nowUs, from, part.stateAgeUs(), behind);
         if (behind || part.epoch() == epoch && part.version() == state.version()) {
             return;
         }
-        if (snapshot == null || part.epoch() > snapshot.epoch()) {
-            snapshot = new IncomingSnapshot(from, part);
+        if (incomingSnapshot == null || part.epoch() > incomingSnapshot.epoch()) {
+            incomingSnapshot = new IncomingSnapshot(from, part);
         }
-        if (!snapshot.accepts(from, part)) {
+        if (!incomingSnapshot.accepts(from, part)) {
             return;
         }
-        boolean burstComplete = snapshot.addPart(part, wanted);
-        if (snapshot.isComplete()) {
-            install(snapshot);
+        boolean burstComplete = incomingSnapshot.addPart(part, wantedKeys);
+        if (incomingSnapshot.isComplete()) {
+            installSnapshot(incomingSnapshot);
         }
-        boolean gap = !burstComplete && !part.more() && from.equals(source());
+        boolean gap = !burstComplete && !part.moreInBurst() && from.equals(source());
         if (burstComplete || gap && nowUs - lastPollUs >= Timing.MIN_SNAPSHOT_RETRY_INTERVAL_US) {
             poll(nowUs);
         }
     }
 
-    private void install(IncomingSnapshot complete) {
-        snapshot = null;
+    private void installSnapshot(IncomingSnapshot complete) {
+        incomingSnapshot = null;
         if (complete.epoch() == epoch) {
             // An earlier snapshot may have brought entries newer than this snapshot's version.
-            complete.entries().addAll(state.beyond(complete.version()));
+            complete.entries().addAll(state.allEntriesAfter(complete.version()));
         }
         List<DiskRecord> records = new ArrayList<>();
         records.add(
@@ -311,7 +321,7 @@
         }
         epoch = complete.epoch();
         state.reset(complete.version(), complete.versionTerm(), complete.version());
-        complete.entries().forEach(state::put);
+        complete.entries().forEach(state::putIfNewer);
         actions.versionApplied(epoch, state.version());
     }
 
--- a/src/main/java/passhatch/distribution/IncomingSnapshot.java
+++ b/src/main/java/passhatch/distribution/IncomingSnapshot.java
@@ -72,10 +72,10 @@
     /**
      * Adds a part, and the early parts that follow it.
      *
-     * @param wanted the keys that are kept
+     * @param wantedKeys the keys that are kept
      * @return whether the last part of a burst was added, so that the next burst can be requested
      */
-    boolean addPart(SnapshotPart part, Predicate<String> wanted) {
+    boolean addPart(SnapshotPart part, Predicate<String> wantedKeys) {
         if (earlyParts.size() >= MAX_EARLY_PARTS) {
             earlyParts.clear();
         }
@@ -84,16 +84,16 @@
         for (SnapshotPart next = earlyParts.remove(Message.keyHash(cursor));
                 next != null;
                 next = earlyParts.remove(Message.keyHash(cursor))) {
-            append(next, wanted);
-            burstComplete |= !next.more();
+            appendPart(next, wantedKeys);
+            burstComplete |= !next.moreInBurst();
         }
         return burstComplete;
     }
 
-    private void append(SnapshotPart part, Predicate<String> wanted) {
+    private void appendPart(SnapshotPart part, Predicate<String> wantedKeys) {
         for (LogEntry entry : part.entries()) {
             cursor = entry.key();
-            if (wanted.test(entry.key())) {
+            if (wantedKeys.test(entry.key())) {
                 entries.add(entry);
             }
         }
--- a/src/main/java/passhatch/distribution/Leader.java
+++ b/src/main/java/passhatch/distribution/Leader.java
@@ -39,8 +39,8 @@
     private static final class Peer {
         private long matchingVersion;
         private long nextVersion;
-        private long sentUs;
-        private long confirmedUs = Long.MIN_VALUE / 2;
+        private long lastSendUs;
+        private long lastReplyUs = Long.MIN_VALUE / 2;
         private boolean voting;
 
         /** Whether the last entry that matches the leader's log is still unknown. */
@@ -103,7 +103,7 @@
         switch (phase) {
             case PREPARING -> sendPrepare(nowUs);
             case ADOPTING -> retryAdoption(nowUs);
-            case LEADING -> heartbeat(nowUs);
+            case LEADING -> sendHeartbeats(nowUs);
             case STOPPED -> wakeAtUs = Long.MAX_VALUE;
         }
     }
@@ -227,8 +227,8 @@
             peers.put(other, peer);
         }
         if (append(LogEntry.noOperation(lastVersion + 1, term))) {
-            heartbeat(nowUs);
-            commit(nowUs);
+            sendHeartbeats(nowUs);
+            commitUpToMajority(nowUs);
         }
     }
 
@@ -245,8 +245,8 @@
     }
 
     /**
-     * Appends a change. The change is made once {@link DistributionActions#committed} reports its
-     * version. If this leader loses its lease first, the change may or may not be made.
+     * Appends a change. The change is made once {@link DistributionActions#changeCommitted} reports
+     * its version. If this leader loses its lease first, the change may or may not be made.
      *
      * @param value null to delete the key
      * @param ifVersion expected version of the key's newest entry; negative for any, 0 for a key
@@ -274,7 +274,7 @@
             throw new InvalidChangeException("this replica no longer leads; ask another one");
         }
         peers.forEach((name, peer) -> replicate(nowUs, name, peer, false));
-        commit(nowUs);
+        commitUpToMajority(nowUs);
         return version;
     }
 
@@ -291,11 +291,11 @@
         return entry == null || entry.isTombstone() ? 0 : entry.version();
     }
 
-    private void heartbeat(long nowUs) {
+    private void sendHeartbeats(long nowUs) {
         wakeAtUs = nowUs + Timing.HEARTBEAT_INTERVAL_US;
         peers.forEach(
                 (name, peer) -> {
-                    boolean overdue = nowUs - peer.sentUs >= Timing.RETRY_DELAY_US;
+                    boolean overdue = nowUs - peer.lastSendUs >= Timing.RETRY_DELAY_US;
                     if (!peer.probing && peer.matchingVersion + 1 < peer.nextVersion && overdue) {
                         peer.nextVersion = peer.matchingVersion + 1;
                     }
@@ -316,7 +316,7 @@
                 // reports that it has.
                 peer.probing = true;
                 peer.nextVersion = log.baseVersion() + 1;
-                send(nowUs, name, peer, List.of());
+                sendAppend(nowUs, name, peer, List.of());
             }
             return;
         }
@@ -324,18 +324,19 @@
         while (!peer.probing
                 && peer.nextVersion <= log.lastVersion()
                 && peer.nextVersion - peer.matchingVersion <= MAX_UNCONFIRMED_ENTRIES) {
-            List<LogEntry> entries = DatagramBudget.fitting(log.after(peer.nextVersion - 1));
-            send(nowUs, name, peer, entries);
+            List<LogEntry> entries =
+                    DatagramBudget.fittingPrefix(log.entriesAfter(peer.nextVersion - 1));
+            sendAppend(nowUs, name, peer, entries);
             peer.nextVersion += entries.size();
-            peer.sentUs = nowUs;
+            peer.lastSendUs = nowUs;
             sent = true;
         }
         if (!sent && always) {
-            send(nowUs, name, peer, List.of());
+            sendAppend(nowUs, name, peer, List.of());
         }
     }
 
-    private void send(long nowUs, String name, Peer peer, List<LogEntry> entries) {
+    private void sendAppend(long nowUs, String name, Peer peer, List<LogEntry> entries) {
         long previous = peer.nextVersion - 1;
         actions.send(
                 name,
@@ -343,7 +344,7 @@
                         settings.epoch(),
                         term,
                         replica.state().version(),
-                        Math.max(0, replica.ageUs(nowUs)),
+                        Math.max(0, replica.stateAgeUs(nowUs)),
                         previous,
                         replica.log().termAt(previous),
                         List.copyOf(entries)));
@@ -358,14 +359,14 @@
         if (phase != Phase.LEADING || reply.term() < term || peer == null) {
             return;
         }
-        peer.confirmedUs = nowUs;
+        peer.lastReplyUs = nowUs;
         peer.voting = reply.voting();
-        updateConfirmation();
+        updateLeaderConfirmation();
         if (reply.accepted()) {
             peer.probing = false;
             peer.matchingVersion = Math.max(peer.matchingVersion, reply.version());
             peer.nextVersion = Math.max(peer.nextVersion, peer.matchingVersion + 1);
-            commit(nowUs);
+            commitUpToMajority(nowUs);
             if (phase == Phase.LEADING) {
                 replicate(nowUs, from, peer, false);
             }
@@ -388,17 +389,17 @@
         }
     }
 
-    private void updateConfirmation() {
+    private void updateLeaderConfirmation() {
         List<Long> times = new ArrayList<>();
-        peers.values().stream().filter(peer -> peer.voting).forEach(p -> times.add(p.confirmedUs));
+        peers.values().stream().filter(peer -> peer.voting).forEach(p -> times.add(p.lastReplyUs));
         int needed = settings.majority() - 1;
         if (needed > 0 && times.size() >= needed) {
             times.sort(null);
-            replica.leaderConfirmed(times.get(times.size() - needed));
+            replica.recordLeaderConfirmation(times.get(times.size() - needed));
         }
     }
 
-    private void commit(long nowUs) {
+    private void commitUpToMajority(long nowUs) {
         long before = replica.state().version();
         List<Long> matching = new ArrayList<>(List.of(replica.log().lastVersion()));
         peers.values().stream()
@@ -413,11 +414,11 @@
             return;
         }
         if (settings.majority() == 1) {
-            replica.leaderConfirmed(nowUs);
+            replica.recordLeaderConfirmation(nowUs);
         }
         replica.commit(onMajority);
         for (long version = before + 1; version <= onMajority; version++) {
-            actions.committed(version);
+            actions.changeCommitted(version);
         }
         // Sent immediately, so that followers of the other replicas need not wait for a heartbeat.
         peers.forEach((name, peer) -> replicate(nowUs, name, peer, true));
@@ -431,7 +432,7 @@
     private void stepDown(String reason) {
         if (phase != Phase.STOPPED) {
             phase = Phase.STOPPED;
-            actions.stepDown(term, reason);
+            actions.leaderSteppedDown(term, reason);
         }
     }
 }
--- a/src/main/java/passhatch/distribution/Message.java
+++ b/src/main/java/passhatch/distribution/Message.java
@@ -27,13 +27,13 @@
             long promisedTerm,
             long lastVersion,
             long lastTerm,
-            long committed)
+            long committedVersion)
             implements Message {}
 
     /**
      * New leader to the replica with the most complete log: requests the entries after a version.
      */
-    record LogRequest(long epoch, long term, long after) implements Message {}
+    record LogRequest(long epoch, long term, long afterVersion) implements Message {}
 
     /** Reply to a {@link LogRequest}, with as many entries as fit into a datagram. */
     record LogPart(
@@ -55,14 +55,14 @@
      * Leader to replica: entries to append after an entry that both have. Without entries it is a
      * heartbeat.
      *
-     * @param committed the newest version known to be on a majority
-     * @param ageUs time since a majority last confirmed this leader, in microseconds
+     * @param committedVersion the newest version known to be on a majority
+     * @param stateAgeUs time since a majority last confirmed this leader, in microseconds
      */
     record Append(
             long epoch,
             long term,
-            long committed,
-            long ageUs,
+            long committedVersion,
+            long stateAgeUs,
             long previousVersion,
             long previousTerm,
             List<LogEntry> entries)
@@ -111,10 +111,15 @@
      * to. A change that a newer one of the same key replaced is left out.
      *
      * @param uptoTerm term of the log entry at {@code upto}
-     * @param ageUs time since the source knew its state to be current, in microseconds
+     * @param stateAgeUs time since the source knew its state to be current, in microseconds
      */
     record Delta(
-            long epoch, long after, long upto, long uptoTerm, long ageUs, List<LogEntry> entries)
+            long epoch,
+            long afterVersion,
+            long uptoVersion,
+            long uptoTerm,
+            long stateAgeUs,
+            List<LogEntry> entries)
             implements Message {}
 
     /**
@@ -123,16 +128,16 @@
      * @param version of the source when it sent this part
      * @param afterKeyHash {@link #keyHash} of the key that precedes this part
      * @param last whether this part completes the state
-     * @param more whether the source sends the next part without a further poll
+     * @param moreInBurst whether the source sends the next part without a further poll
      */
     record SnapshotPart(
             long epoch,
             long version,
             long versionTerm,
-            long ageUs,
+            long stateAgeUs,
             int afterKeyHash,
             boolean last,
-            boolean more,
+            boolean moreInBurst,
             List<LogEntry> entries)
             implements Message {}
 
--- a/src/main/java/passhatch/distribution/MessageCodec.java
+++ b/src/main/java/passhatch/distribution/MessageCodec.java
@@ -52,7 +52,7 @@
     }
 
     /** A decoded message, or the reason why the datagram is dropped. */
-    public record Read(Message message, DropReason fault) {}
+    public record Read(Message message, DropReason dropReason) {}
 
     private MessageCodec() {}
 
@@ -62,7 +62,7 @@
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
             cbor.writeStartArray();
             cbor.writeString(fleet);
-            write(cbor, message);
+            writeMessage(cbor, message);
             cbor.writeEndArray();
         } catch (IOException impossible) {
             throw new IllegalStateException(impossible);
@@ -70,17 +70,18 @@
         return Frame.of(FORMAT, out.toByteArray());
     }
 
-    private static void write(CBORGenerator cbor, Message message) throws IOException {
+    private static void writeMessage(CBORGenerator cbor, Message message) throws IOException {
         if (message instanceof Prepare prepare) {
             writeKindAndEpoch(cbor, Kind.PREPARE, prepare.epoch());
             writeNumbers(cbor, prepare.term());
         } else if (message instanceof Prepared prepared) {
             writeKindAndEpoch(cbor, Kind.PREPARED, prepared.epoch());
             writeNumbers(cbor, prepared.term(), prepared.promisedTerm());
-            writeNumbers(cbor, prepared.lastVersion(), prepared.lastTerm(), prepared.committed());
+            writeNumbers(
+                    cbor, prepared.lastVersion(), prepared.lastTerm(), prepared.committedVersion());
         } else if (message instanceof LogRequest request) {
             writeKindAndEpoch(cbor, Kind.LOG_REQUEST, request.epoch());
-            writeNumbers(cbor, request.term(), request.after());
+            writeNumbers(cbor, request.term(), request.afterVersion());
         } else if (message instanceof LogPart part) {
             writeKindAndEpoch(cbor, Kind.LOG_PART, part.epoch());
             writeNumbers(
@@ -89,12 +90,16 @@
                     part.previousVersion(),
                     part.previousTerm(),
                     part.lastVersion());
-            entries(cbor, part.entries());
+            readEntries(cbor, part.entries());
         } else if (message instanceof Append append) {
             writeKindAndEpoch(cbor, Kind.APPEND, append.epoch());
-            writeNumbers(cbor, append.term(), append.committed(), age(append.ageUs()));
+            writeNumbers(
+                    cbor,
+                    append.term(),
+                    append.committedVersion(),
+                    readStateAge(append.stateAgeUs()));
             writeNumbers(cbor, append.previousVersion(), append.previousTerm());
-            entries(cbor, append.entries());
+            readEntries(cbor, append.entries());
         } else if (message instanceof Appended appended) {
             writeKindAndEpoch(cbor, Kind.APPENDED, appended.epoch());
             writeNumbers(cbor, appended.term(), appended.version());
@@ -121,19 +126,24 @@
             writeNumbers(cbor, ack.version());
         } else if (message instanceof Delta delta) {
             writeKindAndEpoch(cbor, Kind.DELTA, delta.epoch());
-            writeNumbers(cbor, delta.after(), delta.upto(), delta.uptoTerm(), age(delta.ageUs()));
-            entries(cbor, delta.entries());
+            writeNumbers(
+                    cbor,
+                    delta.afterVersion(),
+                    delta.uptoVersion(),
+                    delta.uptoTerm(),
+                    readStateAge(delta.stateAgeUs()));
+            readEntries(cbor, delta.entries());
         } else if (message instanceof SnapshotPart part) {
             writeKindAndEpoch(cbor, Kind.SNAPSHOT_PART, part.epoch());
             writeNumbers(
                     cbor,
                     part.version(),
                     part.versionTerm(),
-                    age(part.ageUs()),
+                    readStateAge(part.stateAgeUs()),
                     part.afterKeyHash());
             cbor.writeBoolean(part.last());
-            cbor.writeBoolean(part.more());
-            entries(cbor, part.entries());
+            cbor.writeBoolean(part.moreInBurst());
+            readEntries(cbor, part.entries());
         }
     }
 
@@ -143,7 +153,7 @@
         cbor.writeNumber(epoch);
     }
 
-    private static long age(long ageUs) {
+    private static long readStateAge(long ageUs) {
         return Math.max(0, Math.min(Integer.MAX_VALUE, ageUs));
     }
 
@@ -153,7 +163,7 @@
         }
     }
 
-    private static void entries(CBORGenerator cbor, List<LogEntry> entries) throws IOException {
+    private static void readEntries(CBORGenerator cbor, List<LogEntry> entries) throws IOException {
         cbor.writeStartArray(null, entries.size());
         for (LogEntry entry : entries) {
             cbor.writeStartArray(null, 4);
@@ -167,9 +177,9 @@
 
     /** Decodes any datagram to a message whose fields are within their bounds, or to a fault. */
     public static Read decode(String fleet, byte[] bytes) {
-        DropReason fault = Frame.dropReason(FORMAT, bytes);
-        if (fault != null) {
-            return new Read(null, fault);
+        DropReason dropReason = Frame.dropReason(FORMAT, bytes);
+        if (dropReason != null) {
+            return new Read(null, dropReason);
         }
         try (JsonParser parser =
                 CBOR.createParser(bytes, Frame.HEADER_BYTES, bytes.length - Frame.HEADER_BYTES)) {
@@ -179,7 +189,7 @@
                 return new Read(null, DropReason.FLEET);
             }
             Kind kind = Kind.values()[cbor.readInt(0, Kind.values().length - 1)];
-            Message message = read(cbor, kind, cbor.readLong(0, Integer.MAX_VALUE));
+            Message message = readMessage(cbor, kind, cbor.readLong(0, Integer.MAX_VALUE));
             cbor.skipToArrayEnd();
             return new Read(message, null);
         } catch (IOException | IllegalArgumentException malformed) {
@@ -187,66 +197,66 @@
         }
     }
 
-    private static Message read(CborReader cbor, Kind kind, long epoch) throws IOException {
+    private static Message readMessage(CborReader cbor, Kind kind, long epoch) throws IOException {
         return switch (kind) {
-            case PREPARE -> new Prepare(epoch, term(cbor));
+            case PREPARE -> new Prepare(epoch, readTerm(cbor));
             case PREPARED ->
                     new Prepared(
                             epoch,
-                            term(cbor),
-                            term(cbor),
-                            version(cbor),
-                            term(cbor),
-                            version(cbor));
-            case LOG_REQUEST -> new LogRequest(epoch, term(cbor), version(cbor));
+                            readTerm(cbor),
+                            readTerm(cbor),
+                            readVersion(cbor),
+                            readTerm(cbor),
+                            readVersion(cbor));
+            case LOG_REQUEST -> new LogRequest(epoch, readTerm(cbor), readVersion(cbor));
             case LOG_PART ->
                     new LogPart(
                             epoch,
-                            term(cbor),
-                            version(cbor),
-                            term(cbor),
-                            version(cbor),
-                            entries(cbor));
+                            readTerm(cbor),
+                            readVersion(cbor),
+                            readTerm(cbor),
+                            readVersion(cbor),
+                            readEntries(cbor));
             case APPEND ->
                     new Append(
                             epoch,
-                            term(cbor),
-                            version(cbor),
-                            age(cbor),
-                            version(cbor),
-                            term(cbor),
-                            entries(cbor));
+                            readTerm(cbor),
+                            readVersion(cbor),
+                            readStateAge(cbor),
+                            readVersion(cbor),
+                            readTerm(cbor),
+                            readEntries(cbor));
             case APPENDED -> {
-                long term = term(cbor);
-                long version = version(cbor);
+                long term = readTerm(cbor);
+                long version = readVersion(cbor);
                 yield new Appended(epoch, term, cbor.readBoolean(), version, cbor.readBoolean());
             }
-            case BEHIND -> new Behind(epoch, term(cbor));
+            case BEHIND -> new Behind(epoch, readTerm(cbor));
             case POLL -> readPoll(cbor, epoch);
-            case ACK -> new Ack(epoch, version(cbor));
+            case ACK -> new Ack(epoch, readVersion(cbor));
             case DELTA ->
                     new Delta(
                             epoch,
-                            version(cbor),
-                            version(cbor),
-                            term(cbor),
-                            age(cbor),
-                            entries(cbor));
+                            readVersion(cbor),
+                            readVersion(cbor),
+                            readTerm(cbor),
+                            readStateAge(cbor),
+                            readEntries(cbor));
             case SNAPSHOT_PART ->
                     new SnapshotPart(
                             epoch,
-                            version(cbor),
-                            term(cbor),
-                            age(cbor),
+                            readVersion(cbor),
+                            readTerm(cbor),
+                            readStateAge(cbor),
                             cbor.readInt(Integer.MIN_VALUE, Integer.MAX_VALUE),
                             cbor.readBoolean(),
                             cbor.readBoolean(),
-                            entries(cbor));
+                            readEntries(cbor));
         };
     }
 
     private static Message readPoll(CborReader cbor, long epoch) throws IOException {
-        long version = version(cbor);
+        long version = readVersion(cbor);
         String cursor = cbor.readTextOrNull();
         CborReader.require(cursor == null || ConfigKey.isKey(cursor));
         ServiceFilter filter = ServiceFilter.decode(cbor.readBytes());
@@ -255,19 +265,19 @@
         return new Poll(epoch, version, cursor, filter, name);
     }
 
-    private static long term(CborReader cbor) throws IOException {
+    private static long readTerm(CborReader cbor) throws IOException {
         return cbor.readLong(0, MAX_VERSION);
     }
 
-    private static long version(CborReader cbor) throws IOException {
+    private static long readVersion(CborReader cbor) throws IOException {
         return cbor.readLong(0, MAX_VERSION);
     }
 
-    private static long age(CborReader cbor) throws IOException {
+    private static long readStateAge(CborReader cbor) throws IOException {
         return cbor.readLong(0, Integer.MAX_VALUE);
     }
 
-    private static List<LogEntry> entries(CborReader cbor) throws IOException {
+    private static List<LogEntry> readEntries(CborReader cbor) throws IOException {
         List<LogEntry> entries = new ArrayList<>();
         cbor.beginArray();
         while (cbor.beginArrayOrEnd()) {
--- a/src/main/java/passhatch/distribution/Participant.java
+++ b/src/main/java/passhatch/distribution/Participant.java
@@ -23,7 +23,7 @@
      * Fetches the committed state for a replica that lacks entries which the leader no longer
      * retains; null otherwise.
      */
-    private Follower catchUp;
+    private Follower catchUpFollower;
 
     private final RandomGenerator random;
     private Leader leader;
@@ -47,7 +47,7 @@
         this.actions = actions;
         boolean isReplica = settings.role() == DistributionSettings.Role.REPLICA;
         replica = isReplica ? new Replica(settings.epoch(), records, actions) : null;
-        follower = isReplica ? null : follower(records, nowUs);
+        follower = isReplica ? null : createFollower(records, nowUs);
         view = isReplica ? replica : follower;
         boolean serves = settings.role() != DistributionSettings.Role.SUBSCRIBER;
         source = serves ? new Source(view, actions) : null;
@@ -55,13 +55,14 @@
         pushedVersion = view.state().version();
     }
 
-    private Follower follower(List<DiskRecord> records, long nowUs) {
-        boolean all = settings.role() == DistributionSettings.Role.RELAY;
-        ServiceFilter filter = all ? ServiceFilter.all() : ServiceFilter.of(settings.services());
+    private Follower createFollower(List<DiskRecord> records, long nowUs) {
+        boolean allKeys = settings.role() == DistributionSettings.Role.RELAY;
+        ServiceFilter filter =
+                allKeys ? ServiceFilter.all() : ServiceFilter.of(settings.services());
         Predicate<String> wanted =
                 key -> {
                     String service = ConfigKey.serviceOf(key);
-                    return all || service == null || settings.services().contains(service);
+                    return allKeys || service == null || settings.services().contains(service);
                 };
         return new Follower(
                 settings.name(),
@@ -79,7 +80,7 @@
         long at = follower == null ? flushAtUs : follower.wakeAtUs();
         at = leader == null ? at : Math.min(at, leader.wakeAtUs());
         at = source == null ? at : Math.min(at, source.wakeAtUs());
-        return catchUp == null ? at : Math.min(at, catchUp.wakeAtUs());
+        return catchUpFollower == null ? at : Math.min(at, catchUpFollower.wakeAtUs());
     }
 
     /** Performs all actions that are due. */
@@ -87,14 +88,14 @@
         if (follower != null) {
             follower.timer(nowUs);
         }
-        if (catchUp != null) {
-            catchUp.timer(nowUs);
+        if (catchUpFollower != null) {
+            catchUpFollower.timer(nowUs);
         }
         if (leader != null) {
             leader.timer(nowUs);
         }
         if (replica != null && nowUs >= flushAtUs) {
-            replica.flush();
+            replica.writeCommittedVersion();
             flushAtUs = nowUs + Timing.COMMIT_FLUSH_INTERVAL_US;
         }
         if (source != null) {
@@ -122,17 +123,17 @@
     private void onSourceMessage(long nowUs, String from, Message message) {
         if (follower != null && settings.sources().contains(from)) {
             follower.onMessage(nowUs, from, message);
-        } else if (catchUp != null && from.equals(catchUp.source())) {
-            catchUp.onMessage(nowUs, from, message);
-            if (catchUp.epoch() == settings.epoch()) {
-                replica.install(catchUp.state());
+        } else if (catchUpFollower != null && from.equals(catchUpFollower.source())) {
+            catchUpFollower.onMessage(nowUs, from, message);
+            if (catchUpFollower.epoch() == settings.epoch()) {
+                replica.installState(catchUpFollower.state());
             }
         }
     }
 
     private void onReplicaMessage(long nowUs, String from, Message message) {
         if (message instanceof Message.Append append && isWithinLog(append)) {
-            catchUp = null;
+            catchUpFollower = null;
         }
         replica.onMessage(nowUs, from, message);
         if (leader != null) {
@@ -148,7 +149,7 @@
     }
 
     private void catchUpFrom(long nowUs, String leaderAddress) {
-        if (catchUp != null && catchUp.source().equals(leaderAddress)) {
+        if (catchUpFollower != null && catchUpFollower.source().equals(leaderAddress)) {
             return;
         }
         // Its writes are skipped: the replica writes the state itself when it installs it.
@@ -164,7 +165,7 @@
                         return true;
                     }
                 };
-        catchUp =
+        catchUpFollower =
                 new Follower(
                         settings.name(),
                         List.of(leaderAddress),
@@ -212,8 +213,8 @@
      * @param value null to delete the key
      * @param ifVersion expected version of the key; negative for any, 0 for a key that does not
      *     exist
-     * @return its version, which {@link DistributionActions#committed} reports once the change is
-     *     made
+     * @return its version, which {@link DistributionActions#changeCommitted} reports once the
+     *     change is made
      * @throws InvalidChangeException if the change is not valid, or this process does not lead
      */
     public long submit(long nowUs, String key, String value, long ifVersion)
@@ -238,7 +239,7 @@
 
     /** Returns the address of the source currently followed; null if there is none. */
     public String source() {
-        Follower following = follower == null ? catchUp : follower;
+        Follower following = follower == null ? catchUpFollower : follower;
         return following == null ? null : following.source();
     }
 
@@ -253,8 +254,8 @@
     }
 
     /** Returns the time since the state was known to be current, in microseconds. */
-    public long ageUs(long nowUs) {
-        return view.ageUs(nowUs);
+    public long stateAgeUs(long nowUs) {
+        return view.stateAgeUs(nowUs);
     }
 
     /** Returns the applied values by key. */
@@ -290,7 +291,7 @@
     }
 
     /** Returns the records that replace everything written to disk so far. */
-    public List<DiskRecord> snapshot() {
-        return replica == null ? follower.snapshot() : replica.snapshot();
+    public List<DiskRecord> snapshotRecords() {
+        return replica == null ? follower.snapshotRecords() : replica.snapshotRecords();
     }
 }
--- a/src/main/java/passhatch/distribution/Replica.java
+++ b/src/main/java/passhatch/distribution/Replica.java
@@ -19,7 +19,7 @@
 final class Replica implements CommittedView {
 
     /** Committed entries retained so that a replica that was away can catch up from the log. */
-    private static final int RETAINED_ENTRIES = 1_024;
+    private static final int MIN_RETAINED_ENTRIES = 1_024;
 
     private static final int MAX_TOMBSTONES = 4_096;
 
@@ -30,9 +30,9 @@
     private boolean initialized;
     private boolean diskFailed;
     private long promisedTerm;
-    private long committedOnDisk;
+    private long committedVersionOnDisk;
     private long leaderConfirmedUs = Long.MIN_VALUE / 2;
-    private long reportedAgeUs;
+    private long reportedStateAgeUs;
 
     Replica(long epoch, List<DiskRecord> records, DistributionActions actions) {
         this.epoch = epoch;
@@ -49,7 +49,7 @@
                     "the disk has epoch " + epochOnDisk + ", the configuration " + epoch);
         }
         initialized = epochOnDisk == epoch;
-        committedOnDisk = state.version();
+        committedVersionOnDisk = state.version();
         if (epochOnDisk > 0 && !initialized) {
             // The disk is intact, so no promise is lost; the replica counts in the new epoch as
             // well.
@@ -66,23 +66,26 @@
         } else if (record instanceof DiskRecord.Committed committed) {
             applyUpTo(committed.version());
         } else if (record instanceof DiskRecord.Reset reset) {
-            state.reset(reset.version(), reset.versionTerm(), reset.floor());
+            state.reset(reset.version(), reset.versionTerm(), reset.minDeltaVersion());
             log.reset(reset.version(), reset.versionTerm());
         } else if (record instanceof DiskRecord.Content content) {
-            content.entries().forEach(state::put);
+            content.entries().forEach(state::putIfNewer);
         }
     }
 
     /** Returns the records that replace everything written to disk so far. */
-    List<DiskRecord> snapshot() {
+    List<DiskRecord> snapshotRecords() {
         List<DiskRecord> records = new ArrayList<>();
         if (initialized) {
             records.add(new DiskRecord.Initialized(epoch));
         }
         records.add(new DiskRecord.Promised(epoch, promisedTerm));
-        records.add(new DiskRecord.Reset(epoch, state.version(), state.term(), state.floor()));
+        records.add(
+                new DiskRecord.Reset(
+                        epoch, state.version(), state.term(), state.minDeltaVersion()));
         state.entries().values().forEach(e -> records.add(new DiskRecord.Content(List.of(e))));
-        log.after(state.version()).forEach(e -> records.add(new DiskRecord.Appended(epoch, e)));
+        log.entriesAfter(state.version())
+                .forEach(e -> records.add(new DiskRecord.Appended(epoch, e)));
         return records;
     }
 
@@ -127,14 +130,14 @@
     }
 
     @Override
-    public long ageUs(long nowUs) {
-        return nowUs - leaderConfirmedUs + reportedAgeUs;
+    public long stateAgeUs(long nowUs) {
+        return nowUs - leaderConfirmedUs + reportedStateAgeUs;
     }
 
     /** Records that a majority confirmed the leader that runs in this process. */
-    void leaderConfirmed(long atUs) {
+    void recordLeaderConfirmation(long atUs) {
         leaderConfirmedUs = atUs;
-        reportedAgeUs = 0;
+        reportedStateAgeUs = 0;
     }
 
     void onMessage(long nowUs, String from, Message message) {
@@ -175,18 +178,19 @@
         if (request.term() != promisedTerm) {
             return;
         }
-        if (request.after() < log.baseVersion()) {
+        if (request.afterVersion() < log.baseVersion()) {
             actions.send(from, new Behind(epoch, request.term()));
-        } else if (request.after() <= log.lastVersion()) {
+        } else if (request.afterVersion() <= log.lastVersion()) {
             actions.send(
                     from,
                     new LogPart(
                             epoch,
                             request.term(),
-                            request.after(),
-                            log.termAt(request.after()),
+                            request.afterVersion(),
+                            log.termAt(request.afterVersion()),
                             log.lastVersion(),
-                            DatagramBudget.fitting(log.after(request.after()))));
+                            DatagramBudget.fittingPrefix(
+                                    log.entriesAfter(request.afterVersion()))));
         }
     }
 
@@ -211,10 +215,10 @@
             return;
         }
         long matching = append.previousVersion() + append.entries().size();
-        commit(Math.min(append.committed(), matching));
-        if (state.version() >= append.committed()) {
+        commit(Math.min(append.committedVersion(), matching));
+        if (state.version() >= append.committedVersion()) {
             leaderConfirmedUs = nowUs;
-            reportedAgeUs = append.ageUs();
+            reportedStateAgeUs = append.stateAgeUs();
         }
         actions.send(from, new Appended(epoch, append.term(), true, matching, initialized));
     }
@@ -264,8 +268,8 @@
             return;
         }
         applyUpTo(version);
-        if (log.baseVersion() + 2 * RETAINED_ENTRIES < state.version()) {
-            log.trimTo(state.version() - RETAINED_ENTRIES);
+        if (log.baseVersion() + 2 * MIN_RETAINED_ENTRIES < state.version()) {
+            log.trimTo(state.version() - MIN_RETAINED_ENTRIES);
         }
         actions.versionApplied(epoch, version);
     }
@@ -273,8 +277,8 @@
     private void applyUpTo(long version) {
         for (long next = state.version() + 1; next <= version; next++) {
             LogEntry entry = log.get(next);
-            state.put(entry);
-            state.advance(next, entry.term());
+            state.putIfNewer(entry);
+            state.advanceTo(next, entry.term());
         }
     }
 
@@ -282,10 +286,10 @@
      * Writes the committed version to disk, so that a restarted replica can serve it without a
      * leader.
      */
-    void flush() {
-        if (committedOnDisk < state.version()
+    void writeCommittedVersion() {
+        if (committedVersionOnDisk < state.version()
                 && force(List.of(new DiskRecord.Committed(epoch, state.version())))) {
-            committedOnDisk = state.version();
+            committedVersionOnDisk = state.version();
         }
     }
 
@@ -295,7 +299,7 @@
      * identical; the entries after it may have been confirmed to a leader and are kept. A log with
      * another entry there is replaced.
      */
-    void install(ConfigState other) {
+    void installState(ConfigState other) {
         if (other.version() <= state.version()) {
             return;
         }
@@ -306,15 +310,17 @@
             return;
         }
         List<DiskRecord> records = new ArrayList<>();
-        records.add(new DiskRecord.Reset(epoch, other.version(), other.term(), other.floor()));
+        records.add(
+                new DiskRecord.Reset(
+                        epoch, other.version(), other.term(), other.minDeltaVersion()));
         other.entries().values().forEach(e -> records.add(new DiskRecord.Content(List.of(e))));
         if (!force(records)) {
             return;
         }
-        state.reset(other.version(), other.term(), other.floor());
-        other.entries().values().forEach(state::put);
+        state.reset(other.version(), other.term(), other.minDeltaVersion());
+        other.entries().values().forEach(state::putIfNewer);
         log.reset(other.version(), other.term());
-        committedOnDisk = other.version();
+        committedVersionOnDisk = other.version();
         actions.versionApplied(epoch, other.version());
     }
 
--- a/src/main/java/passhatch/distribution/ReplicatedLog.java
+++ b/src/main/java/passhatch/distribution/ReplicatedLog.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns the entries after a version that is at least {@link #baseVersion}. */
-    List<LogEntry> after(long version) {
+    List<LogEntry> entriesAfter(long version) {
         return entries.subList((int) (version - baseVersion), entries.size());
     }
 
--- a/src/main/java/passhatch/distribution/ServiceFilter.java
+++ b/src/main/java/passhatch/distribution/ServiceFilter.java
@@ -36,8 +36,8 @@
         ServiceFilter filter = new ServiceFilter(new byte[BYTES]);
         for (String service : services) {
             int hash = hash(service);
-            filter.set(hash);
-            filter.set(hash >>> SECOND_HASH_SHIFT);
+            filter.setBit(hash);
+            filter.setBit(hash >>> SECOND_HASH_SHIFT);
         }
         return filter;
     }
@@ -60,21 +60,21 @@
     }
 
     /** Returns whether a key may be subscribed to; never false for one that is. */
-    public boolean passes(String key) {
+    public boolean accepts(String key) {
         String service = ConfigKey.serviceOf(key);
         if (service == null) {
             return true;
         }
         int hash = hash(service);
-        return isSet(hash) && isSet(hash >>> SECOND_HASH_SHIFT);
+        return isBitSet(hash) && isBitSet(hash >>> SECOND_HASH_SHIFT);
     }
 
-    private void set(int hash) {
+    private void setBit(int hash) {
         int bit = hash & (BITS - 1);
         bits[bit / Byte.SIZE] |= (byte) (1 << bit % Byte.SIZE);
     }
 
-    private boolean isSet(int hash) {
+    private boolean isBitSet(int hash) {
         int bit = hash & (BITS - 1);
         return (bits[bit / Byte.SIZE] & 1 << bit % Byte.SIZE) != 0;
     }
--- a/src/main/java/passhatch/distribution/Setting.java
+++ b/src/main/java/passhatch/distribution/Setting.java
@@ -17,12 +17,12 @@
     /** Whether calls are sent at all: 0 or 1. */
     ENABLED(0, 1);
 
-    private final long min;
-    private final long max;
+    private final long minValue;
+    private final long maxValue;
 
-    Setting(long min, long max) {
-        this.min = min;
-        this.max = max;
+    Setting(long minValue, long maxValue) {
+        this.minValue = minValue;
+        this.maxValue = maxValue;
     }
 
     /** Returns its name as the last part of a key. */
@@ -62,11 +62,17 @@
     private void checkValue(String key, String value) throws InvalidChangeException {
         boolean valid =
                 value.matches("\\d{1,9}")
-                        && Long.parseLong(value) >= min
-                        && Long.parseLong(value) <= max;
+                        && Long.parseLong(value) >= minValue
+                        && Long.parseLong(value) <= maxValue;
         if (!valid) {
             throw new InvalidChangeException(
-                    key + ": '" + value + "': expected a whole number, " + min + " to " + max);
+                    key
+                            + ": '"
+                            + value
+                            + "': expected a whole number, "
+                            + minValue
+                            + " to "
+                            + maxValue);
         }
     }
 
--- a/src/main/java/passhatch/distribution/Source.java
+++ b/src/main/java/passhatch/distribution/Source.java
@@ -29,10 +29,10 @@
         private String name = "";
         private long confirmedVersion;
         private long sentVersion;
-        private long sentUs;
+        private long lastSendUs;
         private int unconfirmedDatagrams;
         private long lastPollUs;
-        private boolean inSnapshot;
+        private boolean receivesSnapshot;
         private ServiceFilter filter = ServiceFilter.all();
     }
 
@@ -63,7 +63,7 @@
             FollowerState follower = followers.get(from);
             if (follower != null) {
                 confirm(follower, ack.version());
-                push(nowUs, from, follower);
+                pushChanges(nowUs, from, follower);
             }
         }
     }
@@ -83,20 +83,20 @@
         follower.name = poll.name();
         follower.filter = poll.filter();
         boolean sameEpoch = poll.epoch() == view.epoch();
-        follower.inSnapshot = !sameEpoch || poll.version() < view.state().floor();
+        follower.receivesSnapshot = !sameEpoch || poll.version() < view.state().minDeltaVersion();
         if (poll.epoch() > view.epoch()) {
             // The follower is ahead of this source; an empty delta reports that.
-            follower.inSnapshot = false;
+            follower.receivesSnapshot = false;
             follower.confirmedVersion = view.state().version();
             sendDelta(nowUs, from, follower.confirmedVersion, follower.confirmedVersion, List.of());
-        } else if (follower.inSnapshot || poll.cursor() != null) {
-            follower.inSnapshot = true;
+        } else if (follower.receivesSnapshot || poll.cursor() != null) {
+            follower.receivesSnapshot = true;
             sendSnapshot(nowUs, from, poll);
         } else {
             follower.confirmedVersion = poll.version();
             follower.sentVersion = poll.version();
             follower.unconfirmedDatagrams = 0;
-            if (!push(nowUs, from, follower)) {
+            if (!pushChanges(nowUs, from, follower)) {
                 long lastVersion = view.state().version();
                 long after = Math.min(poll.version(), lastVersion);
                 sendDelta(nowUs, from, after, lastVersion, List.of());
@@ -117,33 +117,33 @@
 
     /** Pushes new changes to all followers, after the state has reached a newer version. */
     void onStateAdvanced(long nowUs) {
-        followers.forEach((peer, follower) -> push(nowUs, peer, follower));
+        followers.forEach((peer, follower) -> pushChanges(nowUs, peer, follower));
     }
 
     /**
      * Sends the changes that a follower subscribes to and lacks; returns whether there were any.
      */
-    private boolean push(long nowUs, String peer, FollowerState follower) {
+    private boolean pushChanges(long nowUs, String peer, FollowerState follower) {
         ConfigState state = view.state();
-        if (follower.inSnapshot || follower.sentVersion < state.floor()) {
+        if (follower.receivesSnapshot || follower.sentVersion < state.minDeltaVersion()) {
             return false;
         }
         List<LogEntry> entriesToSend = new ArrayList<>();
-        for (LogEntry entry : state.after(follower.sentVersion)) {
-            if (follower.filter.passes(entry.key())) {
+        for (LogEntry entry : state.changesAfter(follower.sentVersion)) {
+            if (follower.filter.accepts(entry.key())) {
                 entriesToSend.add(entry);
             }
         }
         boolean hasEntries = !entriesToSend.isEmpty();
         while (!entriesToSend.isEmpty()
                 && follower.unconfirmedDatagrams < MAX_UNCONFIRMED_DATAGRAMS) {
-            List<LogEntry> entries = DatagramBudget.fitting(entriesToSend);
+            List<LogEntry> entries = DatagramBudget.fittingPrefix(entriesToSend);
             entriesToSend = entriesToSend.subList(entries.size(), entriesToSend.size());
             LogEntry newest = entries.get(entries.size() - 1);
             long upto = entriesToSend.isEmpty() ? state.version() : newest.version();
             sendDelta(nowUs, peer, follower.sentVersion, upto, entries);
             follower.sentVersion = upto;
-            follower.sentUs = nowUs;
+            follower.lastSendUs = nowUs;
             follower.unconfirmedDatagrams++;
         }
         return hasEntries;
@@ -154,16 +154,17 @@
         long uptoTerm =
                 upto == state.version() ? state.term() : entries.get(entries.size() - 1).term();
         actions.send(
-                peer, new Delta(view.epoch(), after, upto, uptoTerm, view.ageUs(nowUs), entries));
+                peer,
+                new Delta(view.epoch(), after, upto, uptoTerm, view.stateAgeUs(nowUs), entries));
     }
 
     private void sendSnapshot(long nowUs, String peer, Poll poll) {
         String after = poll.cursor() == null ? "" : poll.cursor();
-        NavigableMap<String, LogEntry> rest = view.state().afterKey(after);
+        NavigableMap<String, LogEntry> rest = view.state().entriesAfterKey(after);
         List<LogEntry> entriesToSend = new ArrayList<>();
         int remainingBytes = MAX_PARTS_PER_BURST * DatagramBudget.MAX_ENTRIES_BYTES;
         for (LogEntry entry : rest.values()) {
-            if (poll.filter().passes(entry.key())) {
+            if (poll.filter().accepts(entry.key())) {
                 entriesToSend.add(entry);
                 remainingBytes -= DatagramBudget.sizeOf(entry);
                 if (remainingBytes < 0) {
@@ -173,7 +174,7 @@
         }
         boolean complete = remainingBytes >= 0;
         do {
-            List<LogEntry> entries = DatagramBudget.fitting(entriesToSend);
+            List<LogEntry> entries = DatagramBudget.fittingPrefix(entriesToSend);
             entriesToSend = entriesToSend.subList(entries.size(), entriesToSend.size());
             boolean more = !entriesToSend.isEmpty();
             actions.send(
@@ -182,7 +183,7 @@
                             view.epoch(),
                             view.state().version(),
                             view.state().term(),
-                            view.ageUs(nowUs),
+                            view.stateAgeUs(nowUs),
                             Message.keyHash(after),
                             complete && !more,
                             more,
@@ -206,10 +207,10 @@
                 all.remove();
             } else if (follower.unconfirmedDatagrams > 0
                     && follower.confirmedVersion < follower.sentVersion
-                    && nowUs - follower.sentUs >= Timing.RETRY_DELAY_US) {
+                    && nowUs - follower.lastSendUs >= Timing.RETRY_DELAY_US) {
                 follower.sentVersion = follower.confirmedVersion;
                 follower.unconfirmedDatagrams = 0;
-                push(nowUs, next.getKey(), follower);
+                pushChanges(nowUs, next.getKey(), follower);
             }
         }
         wakeAtUs = followers.isEmpty() ? Long.MAX_VALUE : nowUs + Timing.RETRY_DELAY_US;
--- a/src/main/java/passhatch/distribution/Timing.java
+++ b/src/main/java/passhatch/distribution/Timing.java
@@ -34,7 +34,7 @@
      * Time from leaving the preferred source to trying it again, randomized by half of it in both
      * directions.
      */
-    static final long PREFERRED_SOURCE_RETRY_US = 30_000_000;
+    static final long PREFERRED_SOURCE_RETRY_DELAY_US = 30_000_000;
 
     /** Time without a poll after which a source removes a follower. */
     static final long FOLLOWER_EXPIRY_US = 10_000_000;
--- a/src/main/java/passhatch/duty/Candidate.java
+++ b/src/main/java/passhatch/duty/Candidate.java
@@ -43,13 +43,13 @@
     private long term;
     private long maxSeenTerm;
     private int round;
-    private long requestedUs;
-    private final Set<String> granted = new HashSet<>();
-    private final Set<String> refused = new HashSet<>();
+    private long lastRequestUs;
+    private final Set<String> grantedBy = new HashSet<>();
+    private final Set<String> refusedBy = new HashSet<>();
     private long leaseUntilUs;
     private long wakeAtUs = Long.MAX_VALUE;
     private long backoffUs;
-    private long votersBoundUs;
+    private long maxRefusalWaitUs;
     private int acquireAttemptsLeft;
 
     /**
@@ -117,7 +117,7 @@
     }
 
     /** Returns how long it may act without another reply, in microseconds. */
-    public long remainingUs(long nowUs) {
+    public long remainingLeaseUs(long nowUs) {
         return mayAct(nowUs) ? leaseUntilUs - nowUs : 0;
     }
 
@@ -138,7 +138,7 @@
     private void requestTerm(long nowUs, long newTerm) {
         phase = Phase.ASKING;
         term = newTerm;
-        votersBoundUs = 0;
+        maxRefusalWaitUs = 0;
         sendRequest(nowUs);
         wakeAtUs = nowUs + settings.leaseUs() / REQUESTS_PER_LEASE;
     }
@@ -150,18 +150,18 @@
 
     private void sendRequest(long nowUs) {
         round++;
-        requestedUs = nowUs;
-        granted.clear();
-        refused.clear();
+        lastRequestUs = nowUs;
+        grantedBy.clear();
+        refusedBy.clear();
         sendToVoters(DutyMessage.Kind.REQUEST);
     }
 
     private void sendToVoters(DutyMessage.Kind kind) {
-        DutyMessage message = message(kind);
+        DutyMessage message = createMessage(kind);
         settings.voters().forEach(v -> actions.send(v, message));
     }
 
-    private DutyMessage message(DutyMessage.Kind kind) {
+    private DutyMessage createMessage(DutyMessage.Kind kind) {
         return new DutyMessage(kind, settings.epoch(), duty, term, round, holder, 0);
     }
 
@@ -187,9 +187,9 @@
         if (phase != Phase.ASKING && phase != Phase.HOLDING || !settings.voters().contains(from)) {
             return;
         }
-        granted.add(from);
-        long until = leaseStartUs(requestedUs, nowUs) + settings.holderLeaseUs();
-        if (granted.size() < majority() || nowUs >= until) {
+        grantedBy.add(from);
+        long until = leaseStartUs(lastRequestUs, nowUs) + settings.holderLeaseUs();
+        if (grantedBy.size() < majority() || nowUs >= until) {
             return;
         }
         if (phase == Phase.HOLDING && nowUs >= leaseUntilUs) {
@@ -197,21 +197,21 @@
             return;
         }
         leaseUntilUs = Math.max(until, phase == Phase.HOLDING ? leaseUntilUs : 0);
-        wakeAtUs = Math.min(leaseUntilUs, requestedUs + settings.leaseUs() / REQUESTS_PER_LEASE);
+        wakeAtUs = Math.min(leaseUntilUs, lastRequestUs + settings.leaseUs() / REQUESTS_PER_LEASE);
         if (phase == Phase.ASKING) {
             phase = Phase.HOLDING;
             backoffUs = settings.leaseUs() / MIN_BACKOFF_DIVISOR;
             acquireAttemptsLeft = 0;
-            actions.granted(term);
+            actions.dutyAcquired(term);
         }
     }
 
     private void onRefusal(long nowUs, String from, DutyMessage refusal) {
         maxSeenTerm = Math.max(maxSeenTerm, refusal.term());
         if (phase == Phase.ASKING) {
-            refused.add(from);
-            votersBoundUs = Math.max(votersBoundUs, refusal.waitUs());
-            if (settings.voters().size() - refused.size() < majority()) {
+            refusedBy.add(from);
+            maxRefusalWaitUs = Math.max(maxRefusalWaitUs, refusal.waitUs());
+            if (settings.voters().size() - refusedBy.size() < majority()) {
                 onRequestFailed(nowUs);
             }
         }
@@ -228,10 +228,10 @@
             // If another process holds the duty, the voters report when its lease ends; only a
             // split vote needs a longer backoff.
             backoffUs =
-                    votersBoundUs > 0
+                    maxRefusalWaitUs > 0
                             ? settings.leaseUs() / MIN_BACKOFF_DIVISOR
                             : Math.min(2 * backoffUs, settings.leaseUs());
-            scheduleRequest(nowUs, votersBoundUs);
+            scheduleRequest(nowUs, maxRefusalWaitUs);
         }
     }
 
@@ -243,7 +243,7 @@
     private void loseLease(long nowUs) {
         long lostTerm = term;
         scheduleRequest(nowUs, 0);
-        actions.lost(lostTerm);
+        actions.dutyLost(lostTerm);
     }
 
     private void onTake(long nowUs, DutyMessage message) {
@@ -265,26 +265,26 @@
         wakeAtUs = Long.MAX_VALUE;
         if (before == Phase.HOLDING) {
             // Stop acting before any other process learns that the duty is free.
-            actions.lost(term);
+            actions.dutyLost(term);
         }
         if (before == Phase.HOLDING || before == Phase.ASKING) {
             sendToVoters(DutyMessage.Kind.RELEASE);
         }
         if (before == Phase.HOLDING && to != null) {
-            actions.send(to, message(DutyMessage.Kind.TAKE));
+            actions.send(to, createMessage(DutyMessage.Kind.TAKE));
         }
     }
 
     /** Returns the time of its last request. */
-    public long requestedUs() {
-        return requestedUs;
+    public long lastRequestUs() {
+        return lastRequestUs;
     }
 
     /** Returns the reply of a voter to the last request; null if there is none. */
-    public DutyMessage.Kind replyOf(String voter) {
-        return granted.contains(voter)
+    public DutyMessage.Kind lastReplyOf(String voter) {
+        return grantedBy.contains(voter)
                 ? DutyMessage.Kind.GRANT
-                : refused.contains(voter) ? DutyMessage.Kind.REFUSAL : null;
+                : refusedBy.contains(voter) ? DutyMessage.Kind.REFUSAL : null;
     }
 
     @Override
@@ -295,12 +295,12 @@
                 + " round "
                 + round
                 + " granted "
-                + granted.size()
+                + grantedBy.size()
                 + " seen "
                 + maxSeenTerm
                 + " tries "
                 + acquireAttemptsLeft
                 + " bound "
-                + votersBoundUs;
+                + maxRefusalWaitUs;
     }
 }
--- a/src/main/java/passhatch/duty/DutyActions.java
+++ b/src/main/java/passhatch/duty/DutyActions.java
@@ -10,8 +10,8 @@
      * Reports that this process holds the duty, for as long as {@link Candidate#mayAct} returns
      * true.
      */
-    void granted(long term);
+    void dutyAcquired(long term);
 
     /** Reports that this process no longer holds the duty. */
-    void lost(long term);
+    void dutyLost(long term);
 }
--- a/src/main/java/passhatch/duty/DutyCodec.java
+++ b/src/main/java/passhatch/duty/DutyCodec.java
@@ -22,12 +22,12 @@
     /** Maximum length of a holder: a member's name, a colon and its incarnation. */
     private static final int MAX_HOLDER_LENGTH = Names.MAX_NAME_LENGTH + 20;
 
-    private static final int FIELDS = 9;
+    private static final int FIELD_COUNT = 9;
     private static final DutyMessage.Kind[] KINDS = DutyMessage.Kind.values();
     private static final CBORFactory CBOR = new CBORFactory();
 
     /** A decoded message and its sender, or the reason why the datagram is dropped. */
-    public record Read(String from, DutyMessage message, DropReason fault) {}
+    public record Read(String from, DutyMessage message, DropReason dropReason) {}
 
     private DutyCodec() {}
 
@@ -35,7 +35,7 @@
     public static byte[] encode(String fleet, String from, DutyMessage message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MAX_BYTES);
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
-            cbor.writeStartArray(null, FIELDS);
+            cbor.writeStartArray(null, FIELD_COUNT);
             cbor.writeString(fleet);
             cbor.writeString(from);
             cbor.writeNumber(message.kind().ordinal());
@@ -54,9 +54,9 @@
 
     /** Decodes any datagram to a message whose fields are within their bounds, or to a fault. */
     public static Read decode(String fleet, byte[] bytes) {
-        DropReason fault = Frame.dropReason(FORMAT, bytes);
-        if (fault != null) {
-            return new Read(null, null, fault);
+        DropReason dropReason = Frame.dropReason(FORMAT, bytes);
+        if (dropReason != null) {
+            return new Read(null, null, dropReason);
         }
         try (JsonParser parser =
                 CBOR.createParser(bytes, Frame.HEADER_BYTES, bytes.length - Frame.HEADER_BYTES)) {
--- a/src/main/java/passhatch/duty/DutyMessage.java
+++ b/src/main/java/passhatch/duty/DutyMessage.java
@@ -35,7 +35,7 @@
         TERMS
     }
 
-    DutyMessage reply(Kind replyKind, long answerTerm, long replyWaitUs) {
-        return new DutyMessage(replyKind, epoch, duty, answerTerm, round, holder, replyWaitUs);
+    DutyMessage createReply(Kind replyKind, long replyTerm, long replyWaitUs) {
+        return new DutyMessage(replyKind, epoch, duty, replyTerm, round, holder, replyWaitUs);
     }
 }
--- a/src/main/java/passhatch/duty/Fence.java
+++ b/src/main/java/passhatch/duty/Fence.java
@@ -12,31 +12,31 @@
  */
 public final class Fence {
 
-    private final Map<String, Long> highest;
-    private final BiPredicate<String, Long> disk;
+    private final Map<String, Long> highestTokens;
+    private final BiPredicate<String, Long> tokenWriter;
 
     /**
      * Creates a fence from what its disk holds.
      *
-     * @param highest the highest token of each duty on its disk
-     * @param disk writes a duty's token and returns true once it is durable
+     * @param highestTokens the highest token of each duty on its disk
+     * @param tokenWriter writes a duty's token and returns true once it is durable
      */
-    public Fence(Map<String, Long> highest, BiPredicate<String, Long> disk) {
-        this.highest = new HashMap<>(highest);
-        this.disk = disk;
+    public Fence(Map<String, Long> highestTokens, BiPredicate<String, Long> tokenWriter) {
+        this.highestTokens = new HashMap<>(highestTokens);
+        this.tokenWriter = tokenWriter;
     }
 
     /** Returns whether a request with this token may be executed. */
     public boolean admits(String duty, long token) {
-        long known = highest.getOrDefault(duty, 0L);
+        long known = highestTokens.getOrDefault(duty, 0L);
         if (token < known || token < 1) {
             return false;
         }
         if (token > known) {
-            if (!disk.test(duty, token)) {
+            if (!tokenWriter.test(duty, token)) {
                 return false;
             }
-            highest.put(duty, token);
+            highestTokens.put(duty, token);
         }
         return true;
     }
--- a/src/main/java/passhatch/duty/Promise.java
+++ b/src/main/java/passhatch/duty/Promise.java
@@ -11,10 +11,10 @@
      * Returns the record which states that a voter votes. Without it on its disk the voter may have
      * lost promises.
      *
-     * @param floor the voter may have granted terms up to this, of any duty; 0 or more
+     * @param maxForgottenTerm the voter may have granted terms up to this, of any duty; 0 or more
      */
-    public static Promise votingMarker(long floor) {
-        return new Promise("", floor, "");
+    public static Promise votingMarker(long maxForgottenTerm) {
+        return new Promise("", maxForgottenTerm, "");
     }
 
     boolean isVotingMarker() {
--- a/src/main/java/passhatch/duty/Voter.java
+++ b/src/main/java/passhatch/duty/Voter.java
@@ -29,14 +29,14 @@
     private static final String PLACEHOLDER = "-";
 
     private final DutySettings settings;
-    private final Predicate<Promise> disk;
+    private final Predicate<Promise> promiseWriter;
     private final Map<String, Lease> leases = new HashMap<>();
 
     /** The maximum terms that other voters have reported while this one does not vote. */
     private final Map<String, Long> reportedTerms = new HashMap<>();
 
     private boolean voting;
-    private long floorTerm;
+    private long maxForgottenTerm;
     private long votingFromUs = Long.MAX_VALUE;
 
     /**
@@ -45,23 +45,23 @@
      * the other voters have reported which terms may have been granted.
      *
      * @param promises the last promise of each duty on its disk
-     * @param disk writes a promise and returns true once it is durable; false if it may not be on
-     *     disk
+     * @param promiseWriter writes a promise and returns true once it is durable; false if it may
+     *     not be on disk
      */
     public Voter(
             DutySettings settings,
             long nowUs,
             Collection<Promise> promises,
-            Predicate<Promise> disk) {
+            Predicate<Promise> promiseWriter) {
         this.settings = settings;
-        this.disk = disk;
+        this.promiseWriter = promiseWriter;
         for (Promise promise : promises) {
             if (promise.isVotingMarker()) {
                 voting = true;
-                floorTerm = promise.term();
+                maxForgottenTerm = promise.term();
                 continue;
             }
-            leases.put(promise.duty(), new Lease(promise, boundAfterStartUs(nowUs)));
+            leases.put(promise.duty(), new Lease(promise, boundUntilAfterStartUs(nowUs)));
         }
     }
 
@@ -69,7 +69,7 @@
      * Returns until when the voter is bound to the holder on its disk, since renewals before a
      * restart are not recorded.
      */
-    protected long boundAfterStartUs(long nowUs) {
+    protected long boundUntilAfterStartUs(long nowUs) {
         return nowUs + settings.leaseUs();
     }
 
@@ -80,7 +80,7 @@
 
     /** Writes a promise to disk; returns false if it may not be there. */
     protected boolean persist(Promise promise) {
-        return disk.test(promise);
+        return promiseWriter.test(promise);
     }
 
     /**
@@ -93,11 +93,11 @@
         return !voting && startVoting(0);
     }
 
-    private boolean startVoting(long newFloor) {
-        if (!persist(Promise.votingMarker(newFloor))) {
+    private boolean startVoting(long newMaxForgottenTerm) {
+        if (!persist(Promise.votingMarker(newMaxForgottenTerm))) {
             return false;
         }
-        floorTerm = newFloor;
+        maxForgottenTerm = newMaxForgottenTerm;
         voting = true;
         return true;
     }
@@ -110,7 +110,7 @@
     /**
      * Returns the message to send to all other voters periodically while this one does not vote.
      */
-    public DutyMessage recall() {
+    public DutyMessage createRecall() {
         return new DutyMessage(
                 DutyMessage.Kind.RECALL, settings.epoch(), PLACEHOLDER, 1, 0, PLACEHOLDER, 0);
     }
@@ -126,7 +126,7 @@
         }
         reportedTerms.merge(from, term, Math::max);
         if (reportedTerms.size() > settings.voters().size() / 2 && votingFromUs == Long.MAX_VALUE) {
-            votingFromUs = boundAfterStartUs(nowUs);
+            votingFromUs = boundUntilAfterStartUs(nowUs);
         }
         if (nowUs >= votingFromUs) {
             startVoting(
@@ -134,9 +134,9 @@
         }
     }
 
-    private long maxTerm() {
+    private long maxPromisedTerm() {
         return Math.max(
-                floorTerm,
+                maxForgottenTerm,
                 leases.values().stream().mapToLong(l -> l.promise.term()).max().orElse(0));
     }
 
@@ -156,7 +156,7 @@
         }
         return switch (message.kind()) {
             case REQUEST -> message.term() < 1 ? null : onRequest(nowUs, message);
-            case RECALL -> message.reply(DutyMessage.Kind.TERMS, maxTerm(), 0);
+            case RECALL -> message.createReply(DutyMessage.Kind.TERMS, maxPromisedTerm(), 0);
             case RELEASE -> {
                 onRelease(message);
                 yield null;
@@ -173,28 +173,28 @@
                     promised.term() == request.term() && promised.holder().equals(request.holder());
             if (renewal) {
                 if (lease.released) {
-                    return request.reply(DutyMessage.Kind.REFUSAL, promised.term(), 0);
+                    return request.createReply(DutyMessage.Kind.REFUSAL, promised.term(), 0);
                 }
                 lease.untilUs = Math.max(lease.untilUs, nowUs + settings.leaseUs());
-                return request.reply(DutyMessage.Kind.GRANT, request.term(), 0);
+                return request.createReply(DutyMessage.Kind.GRANT, request.term(), 0);
             }
             boolean bound = !lease.released && nowUs < lease.untilUs;
             if (bound || !isNewer(request.term(), promised)) {
-                return request.reply(
+                return request.createReply(
                         DutyMessage.Kind.REFUSAL,
                         promised.term(),
                         bound ? lease.untilUs - nowUs : 0);
             }
         }
-        if (request.term() <= floorTerm) {
-            return request.reply(DutyMessage.Kind.REFUSAL, floorTerm, 0);
+        if (request.term() <= maxForgottenTerm) {
+            return request.createReply(DutyMessage.Kind.REFUSAL, maxForgottenTerm, 0);
         }
         Promise promise = new Promise(request.duty(), request.term(), request.holder());
         if (!persist(promise)) {
             return null;
         }
         leases.put(request.duty(), new Lease(promise, nowUs + settings.leaseUs()));
-        return request.reply(DutyMessage.Kind.GRANT, request.term(), 0);
+        return request.createReply(DutyMessage.Kind.GRANT, request.term(), 0);
     }
 
     private void onRelease(DutyMessage message) {
@@ -207,13 +207,13 @@
     }
 
     /** Returns the promise for a duty, or null. */
-    public Promise promised(String duty) {
+    public Promise promiseFor(String duty) {
         Lease lease = leases.get(duty);
         return lease == null ? null : lease.promise;
     }
 
     /** Returns whether the promised holder has released the duty. */
-    public boolean released(String duty) {
+    public boolean isReleased(String duty) {
         Lease lease = leases.get(duty);
         return lease != null && lease.released;
     }
--- a/src/main/java/passhatch/lab/Main.java
+++ b/src/main/java/passhatch/lab/Main.java
@@ -23,7 +23,7 @@
     static CommandLine commandLine() {
         return Commands.useOneLineErrors(
                 Commands.commandLine()
-                        .addSubcommand(DrillCommand.line())
+                        .addSubcommand(DrillCommand.createCommandLine())
                         .addSubcommand(FleetCommand.commandLine())
                         .addSubcommand(DutyCommand.createCommandLine())
                         .addSubcommand(new DistributionCommand())
--- a/src/main/java/passhatch/lab/distribution/Node.java
+++ b/src/main/java/passhatch/lab/distribution/Node.java
@@ -152,7 +152,7 @@
      */
     public void compact() {
         if (participant != null && diskMode == DiskMode.WORKING && !participant.diskFailed()) {
-            disk = new ArrayList<>(participant.snapshot());
+            disk = new ArrayList<>(participant.snapshotRecords());
         }
     }
 
@@ -248,12 +248,12 @@
     }
 
     @Override
-    public void committed(long version) {
+    public void changeCommitted(long version) {
         simulation.observer().commitReported(this, version);
     }
 
     @Override
-    public void stepDown(long term, String reason) {
+    public void leaderSteppedDown(long term, String reason) {
         simulation.steppedDown(this, term);
     }
 
--- a/src/main/java/passhatch/lab/distribution/SimulatedLease.java
+++ b/src/main/java/passhatch/lab/distribution/SimulatedLease.java
@@ -85,7 +85,7 @@
         return holder.isUp()
                 && !holder.isPaused()
                 && holder.participant().isLeading()
-                && holder.participant().ageUs(nowUs) < leaseUs;
+                && holder.participant().stateAgeUs(nowUs) < leaseUs;
     }
 
     private void revoke() {
--- a/src/main/java/passhatch/lab/distribution/Simulation.java
+++ b/src/main/java/passhatch/lab/distribution/Simulation.java
@@ -180,7 +180,7 @@
         }
         MessageCodec.Read read = MessageCodec.decode(FLEET_NAME, bytes);
         if (read.message() == null) {
-            throw new BrokenPromise("cannot be decoded, " + read.fault() + ": " + message);
+            throw new BrokenPromise("cannot be decoded, " + read.dropReason() + ": " + message);
         }
         return read.message();
     }
--- a/src/main/java/passhatch/lab/drill/AgentProcess.java
+++ b/src/main/java/passhatch/lab/drill/AgentProcess.java
@@ -20,16 +20,16 @@
 
     private final String name;
     private final Path folder;
-    private final InetSocketAddress listen;
-    private final InetSocketAddress control;
+    private final InetSocketAddress listenAddress;
+    private final InetSocketAddress controlAddress;
     private final ChildProcess process;
 
     /** Creates the agent's folder and chooses its ports; the agent is not started yet. */
     public AgentProcess(Path jar, Path folder, String name) throws IOException {
         this.name = name;
         this.folder = Files.createDirectories(folder);
-        this.control = LocalNetwork.freeTcpAddress();
-        this.listen = LocalNetwork.freeUdpAddress();
+        this.controlAddress = LocalNetwork.freeTcpAddress();
+        this.listenAddress = LocalNetwork.freeUdpAddress();
         this.process =
                 new ChildProcess(
                         folder.getFileName().toString(),
@@ -52,17 +52,17 @@
     }
 
     /** Returns the folder of the agent's persistent store. */
-    Path store() {
+    Path storeFolder() {
         return folder.resolve("store");
     }
 
     /** Returns the address at which the agent receives datagrams. */
-    public InetSocketAddress listen() {
-        return listen;
+    public InetSocketAddress listenAddress() {
+        return listenAddress;
     }
 
-    InetSocketAddress control() {
-        return control;
+    InetSocketAddress controlAddress() {
+        return controlAddress;
     }
 
     /** Returns the child process. */
@@ -95,10 +95,10 @@
                 %s
                 """
                         .formatted(
-                                LocalNetwork.format(control),
-                                store(),
+                                LocalNetwork.format(controlAddress),
+                                storeFolder(),
                                 name,
-                                LocalNetwork.format(listen),
+                                LocalNetwork.format(listenAddress),
                                 LocalNetwork.format(ownAddress),
                                 members.stream()
                                         .map(m -> '"' + LocalNetwork.format(m) + '"')
@@ -128,7 +128,7 @@
 
     /** Returns the agent's JSON answer to a control call; empty if there is none. */
     Optional<JsonNode> queryJson(String call) {
-        String text = LocalNetwork.ask(control, call);
+        String text = LocalNetwork.ask(controlAddress, call);
         try {
             return text.startsWith("{") ? Optional.of(JSON.readTree(text)) : Optional.empty();
         } catch (IOException cut) {
@@ -138,10 +138,10 @@
 
     /** Sends a control call to the agent and returns its answer; empty if there is none. */
     public String ask(String call) {
-        return LocalNetwork.ask(control, call);
+        return LocalNetwork.ask(controlAddress, call);
     }
 
-    String log() throws IOException {
+    String readLog() throws IOException {
         return Files.readString(folder.resolve("log"));
     }
 }
--- a/src/main/java/passhatch/lab/drill/AgentTestbed.java
+++ b/src/main/java/passhatch/lab/drill/AgentTestbed.java
@@ -40,7 +40,7 @@
         this.relay = new UdpRelay(names.size(), new Seeds(seed).stream("relay"));
         for (int i = 0; i < names.size(); i++) {
             agents.add(new AgentProcess(jar, folder.resolve("agent-" + i), names.get(i)));
-            relay.setListenAddress(i, agents.get(i).listen());
+            relay.setListenAddress(i, agents.get(i).listenAddress());
         }
         for (int i = 0; i < names.size(); i++) {
             agents.get(i)
--- a/src/main/java/passhatch/lab/drill/ChangesTestbed.java
+++ b/src/main/java/passhatch/lab/drill/ChangesTestbed.java
@@ -23,17 +23,17 @@
  */
 final class ChangesTestbed implements Closeable {
 
-    static final int REPLICAS = 3;
-    static final int RELAYS = 2;
+    static final int REPLICA_COUNT = 3;
+    static final int RELAY_COUNT = 2;
     static final long LEASE_MS = 1_000;
 
     /** The services; subscribers are assigned to them in turn. */
     static final List<String> SERVICES = List.of("claims", "rates");
 
     private static final long POLL_INTERVAL_MS = 20;
-    private static final long MAX_CURRENT_AGE_MS = 2_000;
+    private static final long MAX_STATE_AGE_MS = 2_000;
 
-    private final int size;
+    private final int agentCount;
     private final AgentTestbed agents;
     private final Path folder;
     private final UdpRelay changesRelay;
@@ -42,13 +42,13 @@
     /** Creates the agents without starting them. */
     ChangesTestbed(Path jar, Path folder, int subscribers, long seed) throws IOException {
         this.folder = folder;
-        size = REPLICAS + RELAYS + subscribers;
-        changesRelay = new UdpRelay(size, new Seeds(seed).stream("changes"));
-        for (int i = 0; i < size; i++) {
+        agentCount = REPLICA_COUNT + RELAY_COUNT + subscribers;
+        changesRelay = new UdpRelay(agentCount, new Seeds(seed).stream("changes"));
+        for (int i = 0; i < agentCount; i++) {
             listenAddresses.add(LocalNetwork.freeUdpAddress());
             changesRelay.setListenAddress(i, listenAddresses.get(i));
         }
-        List<String> names = IntStream.range(0, size).mapToObj(i -> "m" + i).toList();
+        List<String> names = IntStream.range(0, agentCount).mapToObj(i -> "m" + i).toList();
         agents = new AgentTestbed(jar, folder, names, seed, this::configuration);
     }
 
@@ -70,13 +70,15 @@
                     .formatted(LEASE_MS, changes, addresses(index, List.of(0, 1, 2)));
         }
         if (isRelay(index)) {
-            int first = index % REPLICAS;
-            List<Integer> sources = List.of(first, (first + 1) % REPLICAS, (first + 2) % REPLICAS);
+            int first = index % REPLICA_COUNT;
+            List<Integer> sources =
+                    List.of(first, (first + 1) % REPLICA_COUNT, (first + 2) % REPLICA_COUNT);
             return "%srole = \"relay\"\nsources = [%s]\n"
                     .formatted(changes, addresses(index, sources));
         }
-        int first = index % RELAYS;
-        List<Integer> sources = List.of(REPLICAS + first, REPLICAS + (first + 1) % RELAYS);
+        int first = index % RELAY_COUNT;
+        List<Integer> sources =
+                List.of(REPLICA_COUNT + first, REPLICA_COUNT + (first + 1) % RELAY_COUNT);
         return """
         %srole = "subscriber"
         services = ["%s"]
@@ -98,12 +100,12 @@
                                         + LocalNetwork.format(
                                                 n == observer
                                                         ? listenAddresses.get(n)
-                                                        : peer(observer, n))
+                                                        : peerAddress(observer, n))
                                         + '"')
                 .collect(Collectors.joining(", "));
     }
 
-    private InetSocketAddress peer(int observer, int target) {
+    private InetSocketAddress peerAddress(int observer, int target) {
         try {
             return changesRelay.relayAddressesOf(observer).get(target);
         } catch (IOException failed) {
@@ -112,11 +114,11 @@
     }
 
     static boolean isReplica(int index) {
-        return index < REPLICAS;
+        return index < REPLICA_COUNT;
     }
 
     static boolean isRelay(int index) {
-        return index >= REPLICAS && index < REPLICAS + RELAYS;
+        return index >= REPLICA_COUNT && index < REPLICA_COUNT + RELAY_COUNT;
     }
 
     /** Returns the service that a subscriber subscribes to. */
@@ -125,11 +127,11 @@
     }
 
     List<Integer> subscribers() {
-        return IntStream.range(REPLICAS + RELAYS, size).boxed().toList();
+        return IntStream.range(REPLICA_COUNT + RELAY_COUNT, agentCount).boxed().toList();
     }
 
-    List<Integer> all() {
-        return IntStream.range(0, size).boxed().toList();
+    List<Integer> allAgents() {
+        return IntStream.range(0, agentCount).boxed().toList();
     }
 
     /** Returns the file to which a subscriber publishes the values in force. */
@@ -153,25 +155,28 @@
 
     /** Starts all agents and initializes the duties and the log of changes. */
     void start(long timeoutMs) throws IOException, InterruptedException {
-        for (int i = 0; i < size; i++) {
+        for (int i = 0; i < agentCount; i++) {
             agent(i).process().start();
         }
-        for (int i = 0; i < REPLICAS; i++) {
+        for (int i = 0; i < REPLICA_COUNT; i++) {
             AgentProcess replica = agent(i);
             await(
                     () -> tryInitialize(replica),
                     timeoutMs,
                     () -> "not initialized: " + replica.process().logTail());
         }
-        await(() -> leader() >= 0, timeoutMs, "no replica leads");
-        await(() -> all().stream().allMatch(this::isCurrent), timeoutMs, "not all are current");
+        await(() -> leaderIndex() >= 0, timeoutMs, "no replica leads");
+        await(
+                () -> allAgents().stream().allMatch(this::isCurrent),
+                timeoutMs,
+                "not all are current");
     }
 
     /** Returns whether an agent knows that its state was the newest one a short time ago. */
     private boolean isCurrent(int index) {
         long ageMs =
                 agent(index).queryJson("changes").map(a -> a.get("age_ms").asLong()).orElse(-1L);
-        return ageMs >= 0 && ageMs <= MAX_CURRENT_AGE_MS;
+        return ageMs >= 0 && ageMs <= MAX_STATE_AGE_MS;
     }
 
     /**
@@ -186,8 +191,8 @@
     }
 
     /** Returns the index of the leading replica, or -1 if none leads. */
-    int leader() {
-        return IntStream.range(0, REPLICAS).filter(this::isLeading).findFirst().orElse(-1);
+    int leaderIndex() {
+        return IntStream.range(0, REPLICA_COUNT).filter(this::isLeading).findFirst().orElse(-1);
     }
 
     private boolean isLeading(int index) {
@@ -198,12 +203,12 @@
     }
 
     /** Returns the version in force at an agent, or -1 if it does not answer. */
-    long version(int index) {
+    long versionInForce(int index) {
         return agent(index).queryJson("changes").map(a -> a.get("version").asLong()).orElse(-1L);
     }
 
     /** Returns the values in force at an agent as VALUE@VERSION, by key. */
-    Map<String, String> values(int index) {
+    Map<String, String> valuesInForce(int index) {
         Map<String, String> values = new TreeMap<>();
         agent(index)
                 .queryJson("change-get")
--- a/src/main/java/passhatch/lab/drill/ChangesWriter.java
+++ b/src/main/java/passhatch/lab/drill/ChangesWriter.java
@@ -21,16 +21,16 @@
     private static final long POLL_INTERVAL_MS = 10;
     private static final long COMMIT_TIMEOUT_MS = 3_000;
     private static final long IN_FORCE_TIMEOUT_MS = 30_000;
-    private static final String ACCEPTED = "accepted ";
+    private static final String ACCEPTED_PREFIX = "accepted ";
 
     /** A committed change. */
     record Committed(long version, String value) {}
 
     private final ChangesTestbed testbed;
-    private final Set<Integer> disturbed = ConcurrentHashMap.newKeySet();
-    private final Map<String, Committed> committed = new TreeMap<>();
-    private final List<Long> inForceMs = new ArrayList<>();
-    private int submitted;
+    private final Set<Integer> disturbedSubscribers = ConcurrentHashMap.newKeySet();
+    private final Map<String, Committed> committedChanges = new TreeMap<>();
+    private final List<Long> inForceDelaysMs = new ArrayList<>();
+    private int submittedCount;
     private int unknownOutcomes;
     private volatile boolean stopped;
 
@@ -41,18 +41,18 @@
     /**
      * Returns the subscribers that are not waited for because they are killed, stopped or cut off.
      */
-    Set<Integer> disturbed() {
-        return disturbed;
+    Set<Integer> disturbedSubscribers() {
+        return disturbedSubscribers;
     }
 
     /** Returns the newest committed change of each key; to be called after the writer has ended. */
-    Map<String, Committed> committed() {
-        return committed;
+    Map<String, Committed> committedChanges() {
+        return committedChanges;
     }
 
     /** Returns the time from the submission of each committed change until it was in force. */
-    List<Long> inForceMs() {
-        return inForceMs;
+    List<Long> inForceDelaysMs() {
+        return inForceDelaysMs;
     }
 
     /** Returns the number of accepted changes whose outcome is not known. */
@@ -68,7 +68,7 @@
     public void run() {
         try {
             while (!stopped) {
-                int leader = testbed.leader();
+                int leader = testbed.leaderIndex();
                 if (leader >= 0) {
                     submitChange(leader);
                 }
@@ -80,21 +80,23 @@
     }
 
     private void submitChange(int leader) throws InterruptedException {
-        String service = ChangesTestbed.SERVICES.get(submitted % ChangesTestbed.SERVICES.size());
-        String key = "service/" + service + "/" + SETTINGS.get(submitted % SETTINGS.size()).label();
-        String value = Integer.toString(submitted % MAX_VALUE + 1);
-        submitted++;
+        String service =
+                ChangesTestbed.SERVICES.get(submittedCount % ChangesTestbed.SERVICES.size());
+        String key =
+                "service/" + service + "/" + SETTINGS.get(submittedCount % SETTINGS.size()).label();
+        String value = Integer.toString(submittedCount % MAX_VALUE + 1);
+        submittedCount++;
         long startNs = System.nanoTime();
         String answer = testbed.agent(leader).ask("change-put " + key + " " + value).strip();
-        if (!answer.startsWith(ACCEPTED)) {
+        if (!answer.startsWith(ACCEPTED_PREFIX)) {
             return;
         }
         String[] words = answer.split(" ");
         if (awaitCommitted(leader, words[1] + " " + words[2])) {
             long version = Long.parseLong(words[1]);
-            committed.put(key, new Committed(version, value));
+            committedChanges.put(key, new Committed(version, value));
             awaitInForce(service, version);
-            inForceMs.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs));
+            inForceDelaysMs.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs));
         } else {
             unknownOutcomes++;
         }
@@ -117,8 +119,8 @@
             if (ChangesTestbed.serviceOf(subscriber).equals(service)) {
                 ChangesTestbed.await(
                         () ->
-                                disturbed.contains(subscriber)
-                                        || testbed.version(subscriber) >= version,
+                                disturbedSubscribers.contains(subscriber)
+                                        || testbed.versionInForce(subscriber) >= version,
                         IN_FORCE_TIMEOUT_MS,
                         "version " + version + " is not in force at m" + subscriber);
             }
--- a/src/main/java/passhatch/lab/drill/ChildProcess.java
+++ b/src/main/java/passhatch/lab/drill/ChildProcess.java
@@ -16,15 +16,15 @@
     private final String name;
     private final List<String> command;
     private final Map<String, String> environment;
-    private final Path log;
+    private final Path logFile;
     private Process process;
 
     /** Creates a process without starting it; its two output streams are appended to the log. */
-    ChildProcess(String name, List<String> command, Map<String, String> environment, Path log) {
+    ChildProcess(String name, List<String> command, Map<String, String> environment, Path logFile) {
         this.name = name;
         this.command = command;
         this.environment = environment;
-        this.log = log;
+        this.logFile = logFile;
     }
 
     /** Starts the process, also again after it has ended. */
@@ -35,7 +35,7 @@
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().putAll(environment);
         builder.redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()));
         process = builder.start();
     }
 
@@ -114,7 +114,7 @@
     /** Returns the last lines of the log. */
     public String logTail() {
         try {
-            List<String> lines = Files.readAllLines(log, StandardCharsets.ISO_8859_1);
+            List<String> lines = Files.readAllLines(logFile, StandardCharsets.ISO_8859_1);
             return String.join(
                     "\n", lines.subList(Math.max(0, lines.size() - LOG_TAIL_LINES), lines.size()));
         } catch (IOException unreadable) {
--- a/src/main/java/passhatch/lab/drill/Comparison.java
+++ b/src/main/java/passhatch/lab/drill/Comparison.java
@@ -21,32 +21,38 @@
     /**
      * The comparison of one measure.
      *
-     * @param low lower bound of the confidence interval of the difference B - A; NaN without
-     *     repeats
+     * @param intervalLow lower bound of the confidence interval of the difference B - A; NaN
+     *     without repeats
      */
-    record Row(String measure, double a, double b, double difference, double low, double high) {
+    record Row(
+            String measure,
+            double meanA,
+            double meanB,
+            double difference,
+            double intervalLow,
+            double intervalHigh) {
         /** Returns whether the confidence interval excludes zero. */
         boolean differs() {
-            return low > 0 || high < 0;
+            return intervalLow > 0 || intervalHigh < 0;
         }
     }
 
     private Comparison() {}
 
-    static List<Row> of(List<Result> a, List<Result> b) {
-        Map<String, double[]> left = measures(a);
-        Map<String, double[]> right = measures(b);
+    static List<Row> compare(List<Result> a, List<Result> b) {
+        Map<String, double[]> left = valuesByMeasure(a);
+        Map<String, double[]> right = valuesByMeasure(b);
         List<Row> rows = new ArrayList<>();
         left.forEach(
                 (name, values) -> {
                     if (right.containsKey(name)) {
-                        rows.add(row(name, values, right.get(name)));
+                        rows.add(compareMeasure(name, values, right.get(name)));
                     }
                 });
         return rows;
     }
 
-    private static Map<String, double[]> measures(List<Result> results) {
+    private static Map<String, double[]> valuesByMeasure(List<Result> results) {
         Map<String, double[]> all = new LinkedHashMap<>();
         all.put("served share", results.stream().mapToDouble(Result::servedShare).toArray());
         for (String name : results.get(0).counts().keySet()) {
@@ -74,7 +80,7 @@
         return all;
     }
 
-    static Row row(String name, double[] a, double[] b) {
+    static Row compareMeasure(String name, double[] a, double[] b) {
         double meanA = mean(a);
         double meanB = mean(b);
         if (a.length < 2 || b.length < 2) {
@@ -112,7 +118,7 @@
         return Variance.of(values).getAsDouble();
     }
 
-    static String text(List<Row> rows) {
+    static String formatTable(List<Row> rows) {
         StringBuilder text =
                 new StringBuilder(
                         String.format(
@@ -125,21 +131,21 @@
                                 "95 % interval"));
         for (Row row : rows) {
             String interval =
-                    Double.isNaN(row.low())
+                    Double.isNaN(row.intervalLow())
                             ? "(needs repeats)"
                             : String.format(
                                     Locale.ROOT,
                                     "%.4f to %.4f%s",
-                                    row.low(),
-                                    row.high(),
+                                    row.intervalLow(),
+                                    row.intervalHigh(),
                                     row.differs() ? "  differs" : "");
             text.append(
                     String.format(
                             Locale.ROOT,
                             "%-40s %12.4f %12.4f %12.4f   %s%n",
                             row.measure(),
-                            row.a(),
-                            row.b(),
+                            row.meanA(),
+                            row.meanB(),
                             row.difference(),
                             interval));
         }
--- a/src/main/java/passhatch/lab/drill/Drill.java
+++ b/src/main/java/passhatch/lab/drill/Drill.java
@@ -93,23 +93,24 @@
                 "all-ready",
                 "after_ms",
                 TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - processStartNs));
-        ProxyPool front =
-                new ProxyPool(testbed.proxies.stream().map(ProxyProcess::listen).toList());
+        ProxyPool proxyPool =
+                new ProxyPool(testbed.proxies.stream().map(ProxyProcess::listenAddress).toList());
         for (ProxyProcess proxy : testbed.proxies) {
-            front.setAdmitted(proxy.index(), true);
+            proxyPool.setAdmitted(proxy.index(), true);
             events.add("started", "target", proxy.name(), "pid", proxy.process().pid());
         }
-        List<FaultPlan.Step> steps = FaultPlan.of(scenario);
+        List<FaultPlan.Step> steps = FaultPlan.stepsOf(scenario);
         LOG.info(
                 "load begins: {} requests a second for {}, {} faults",
                 scenario.load().rate(),
                 scenario.duration(),
                 steps.size());
-        try (LoadGenerator load = new LoadGenerator(loadPlan(), front, seeds)) {
+        try (LoadGenerator load = new LoadGenerator(createLoadPlan(), proxyPool, seeds)) {
             long loadStartNs =
                     System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LOAD_START_DELAY_MS);
             events.setLoadStart(loadStartNs);
-            new FaultRunner(scenario, testbed, front, events, timer).schedule(steps, loadStartNs);
+            new FaultRunner(scenario, testbed, proxyPool, events, timer)
+                    .schedule(steps, loadStartNs);
             load.start(loadStartNs);
             var progressTask =
                     timer.scheduleAtFixedRate(
@@ -121,23 +122,23 @@
                             0,
                             PROGRESS_INTERVAL_MS,
                             TimeUnit.MILLISECONDS);
-            LoadStats tally = load.await();
+            LoadStats loadStats = load.await();
             progressTask.cancel(false);
-            events.add("load-ended", "offered", tally.offered());
+            events.add("load-ended", "offered", loadStats.offered());
             for (ProxyProcess proxy : testbed.proxies) {
                 events.add("figures", "target", proxy.name(), "vars", proxy.ask("vars"));
             }
             Result result =
                     ResultEvaluator.evaluate(
-                            scenario, tally, testbed.ledger, steps, readyTimes(events));
+                            scenario, loadStats, testbed.ledger, steps, readyTimesMs(events));
             JSON.writeValue(folder.resolve("result.json").toFile(), result);
             ReportPage.write(
-                    folder.resolve("report.html"), scenario, result, tally, events.events());
+                    folder.resolve("report.html"), scenario, result, loadStats, events.events());
             return result;
         }
     }
 
-    private static Map<String, Double> readyTimes(EventFile events) {
+    private static Map<String, Double> readyTimesMs(EventFile events) {
         Map<String, Double> times = new LinkedHashMap<>();
         for (EventFile.Event event : events.events()) {
             if (event.type().equals("ready")) {
@@ -149,7 +150,7 @@
         return times;
     }
 
-    private LoadPlan loadPlan() {
+    private LoadPlan createLoadPlan() {
         Scenario.LoadShape load = scenario.load();
         return new LoadPlan(
                 load.rate(),
--- a/src/main/java/passhatch/lab/drill/DrillCommand.java
+++ b/src/main/java/passhatch/lab/drill/DrillCommand.java
@@ -32,12 +32,12 @@
 public final class DrillCommand extends CommandGroup {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String RESULT = "result.json";
+    private static final String RESULT_FILE = "result.json";
 
     private DrillCommand() {}
 
     /** Returns the command with its subcommands. */
-    public static CommandLine line() {
+    public static CommandLine createCommandLine() {
         return new CommandLine(new DrillCommand())
                 .addSubcommand(new Run())
                 .addSubcommand(new Check())
@@ -63,7 +63,7 @@
                 description =
                         "Where all files go (default: ${DEFAULT-VALUE}); one folder for each"
                                 + " repeat.")
-        private Path out;
+        private Path outputFolder;
 
         @Option(
                 names = "--repeat",
@@ -82,7 +82,7 @@
                 names = "--jvm",
                 paramLabel = "OPTION",
                 description = "An additional option for the program's JVMs.")
-        private List<String> options = new ArrayList<>();
+        private List<String> jvmOptions = new ArrayList<>();
 
         @Option(names = "--quiet", description = "Shows no progress bar.")
         private boolean quiet;
@@ -97,18 +97,22 @@
             boolean holds = true;
             for (int i = 1; i <= repeat; i++) {
                 Path folder =
-                        out.resolve(scenario.name()).resolve(String.valueOf(i)).toAbsolutePath();
-                clear(folder);
+                        outputFolder
+                                .resolve(scenario.name())
+                                .resolve(String.valueOf(i))
+                                .toAbsolutePath();
+                recreateFolder(folder);
                 LabLog.redirectTo(folder.resolve("lab.jsonl"));
                 holds &=
-                        report(
-                                run(new Drill(scenario, program, folder, options), scenario),
+                        printResult(
+                                runWithProgressBar(
+                                        new Drill(scenario, program, folder, jvmOptions), scenario),
                                 folder);
             }
             return holds ? 0 : 1;
         }
 
-        private Result run(Drill drill, Scenario scenario)
+        private Result runWithProgressBar(Drill drill, Scenario scenario)
                 throws IOException, InterruptedException {
             if (quiet) {
                 return drill.run((ms, ended) -> {});
@@ -128,7 +132,7 @@
             }
         }
 
-        private boolean report(Result result, Path folder) {
+        private boolean printResult(Result result, Path folder) {
             PrintWriter text = spec.commandLine().getOut();
             result.counts().forEach((name, n) -> text.printf(Locale.ROOT, "%-18s %10d%n", name, n));
             text.printf(Locale.ROOT, "%-18s %10.4f%n", "served share", result.servedShare());
@@ -160,11 +164,11 @@
                 text.println("VOID: " + result.invalid());
             }
             text.println(
-                    (result.holds() ? "All that was expected holds. " : "")
+                    (result.meetsExpectations() ? "All that was expected holds. " : "")
                             + "Report: "
                             + folder.resolve("report.html"));
             text.flush();
-            return result.holds();
+            return result.meetsExpectations();
         }
     }
 
@@ -187,7 +191,11 @@
                     Scenario scenario = ScenarioReader.read(file);
                     spec.commandLine()
                             .getOut()
-                            .println(file + ": good, " + FaultPlan.of(scenario).size() + " steps");
+                            .println(
+                                    file
+                                            + ": good, "
+                                            + FaultPlan.stepsOf(scenario).size()
+                                            + " steps");
                 } catch (InvalidInputException invalid) {
                     spec.commandLine().getErr().println("passhatch: " + invalid.getMessage());
                     invalidFiles++;
@@ -208,32 +216,35 @@
         @Spec private CommandSpec spec;
 
         @Parameters(index = "0", paramLabel = "A", description = "Folder of a drill's repeats.")
-        private Path a;
+        private Path folderA;
 
         @Parameters(
                 index = "1",
                 paramLabel = "B",
                 description = "Folder of another drill's repeats.")
-        private Path b;
+        private Path folderB;
 
         @Override
         public Integer call() throws IOException {
             spec.commandLine()
                     .getOut()
-                    .print(Comparison.text(Comparison.of(results(a), results(b))));
+                    .print(
+                            Comparison.formatTable(
+                                    Comparison.compare(
+                                            readResults(folderA), readResults(folderB))));
             return 0;
         }
 
-        private static List<Result> results(Path folder) throws IOException {
+        private static List<Result> readResults(Path folder) throws IOException {
             List<Path> files;
             try (Stream<Path> below = Files.walk(folder, 2)) {
-                files = below.filter(p -> p.endsWith(RESULT)).sorted().toList();
+                files = below.filter(p -> p.endsWith(RESULT_FILE)).sorted().toList();
             } catch (IOException unreadable) {
                 throw new InvalidInputException(folder + ": cannot be read: " + unreadable);
             }
             if (files.isEmpty()) {
                 throw new InvalidInputException(
-                        folder + ": expected a folder with results (" + RESULT + ")");
+                        folder + ": expected a folder with results (" + RESULT_FILE + ")");
             }
             List<Result> all = new ArrayList<>();
             for (Path file : files) {
@@ -243,7 +254,7 @@
         }
     }
 
-    private static void clear(Path folder) throws IOException {
+    private static void recreateFolder(Path folder) throws IOException {
         if (Files.exists(folder)) {
             try (Stream<Path> below = Files.walk(folder)) {
                 for (Path old : below.sorted(java.util.Comparator.reverseOrder()).toList()) {
--- a/src/main/java/passhatch/lab/drill/DutyHolderLog.java
+++ b/src/main/java/passhatch/lab/drill/DutyHolderLog.java
@@ -22,7 +22,7 @@
         observations.add(observation);
     }
 
-    synchronized List<Observation> all() {
+    synchronized List<Observation> observations() {
         return List.copyOf(observations);
     }
 
--- a/src/main/java/passhatch/lab/drill/EventFile.java
+++ b/src/main/java/passhatch/lab/drill/EventFile.java
@@ -30,8 +30,8 @@
     }
 
     /** Sets the start of the load, as a value of {@link System#nanoTime}. */
-    synchronized void setLoadStart(long ns) {
-        loadStartNs = ns;
+    synchronized void setLoadStart(long startNs) {
+        loadStartNs = startNs;
     }
 
     /** Records an event; keys and values of its details alternate. */
--- a/src/main/java/passhatch/lab/drill/FaultPlan.java
+++ b/src/main/java/passhatch/lab/drill/FaultPlan.java
@@ -31,7 +31,7 @@
 
     private FaultPlan() {}
 
-    static List<Step> of(Scenario scenario) {
+    static List<Step> stepsOf(Scenario scenario) {
         List<Step> steps = new ArrayList<>();
         for (Scenario.Fault fault : scenario.faults()) {
             for (int target : targetIndices(scenario, fault)) {
@@ -53,8 +53,10 @@
 
     private static int[] targetIndices(Scenario scenario, Scenario.Fault fault) {
         return switch (fault.type().targetType()) {
-            case PROXY -> indices(fault.target(), "proxies", scenario.proxies().count());
-            case BACKEND -> indices(fault.target(), "backends", scenario.backends().count());
+            case PROXY ->
+                    targetIndicesByName(fault.target(), "proxies", scenario.proxies().count());
+            case BACKEND ->
+                    targetIndicesByName(fault.target(), "backends", scenario.backends().count());
             default -> new int[] {-1};
         };
     }
@@ -63,7 +65,7 @@
      * Returns the indices, from 0, of names like proxy-1. The names may include the word for all
      * targets.
      */
-    static int[] indices(List<String> names, String all, int count) {
+    static int[] targetIndicesByName(List<String> names, String all, int count) {
         return names.stream()
                 .flatMapToInt(
                         name ->
--- a/src/main/java/passhatch/lab/drill/FaultRunner.java
+++ b/src/main/java/passhatch/lab/drill/FaultRunner.java
@@ -16,7 +16,7 @@
 
     private final Scenario scenario;
     private final Testbed testbed;
-    private final ProxyPool front;
+    private final ProxyPool proxyPool;
     private final EventFile events;
     private final ScheduledExecutorService timer;
     private NetworkConditions networkConditions = NetworkConditions.UNIMPAIRED;
@@ -28,12 +28,12 @@
     FaultRunner(
             Scenario scenario,
             Testbed testbed,
-            ProxyPool front,
+            ProxyPool proxyPool,
             EventFile events,
             ScheduledExecutorService timer) {
         this.scenario = scenario;
         this.testbed = testbed;
-        this.front = front;
+        this.proxyPool = proxyPool;
         this.events = events;
         this.timer = timer;
     }
@@ -42,13 +42,13 @@
     void schedule(List<FaultPlan.Step> steps, long startNs) {
         for (FaultPlan.Step step : steps) {
             timer.schedule(
-                    () -> run(step),
+                    () -> runStep(step),
                     startNs + step.at().toNanos() - System.nanoTime(),
                     TimeUnit.NANOSECONDS);
         }
     }
 
-    void run(FaultPlan.Step step) {
+    void runStep(FaultPlan.Step step) {
         try {
             switch (step.type().targetType()) {
                 case PROXY -> applyToProxy(step.type(), testbed.proxies.get(step.targetIndex()));
@@ -78,30 +78,30 @@
         int index = proxy.index();
         switch (type) {
             case KILL -> {
-                front.setFaulty(index, true);
+                proxyPool.setFaulty(index, true);
                 proxy.setKnownServers(testbed.discovery.snapshot());
-                signal(proxy, "KILL");
+                sendSignal(proxy, "KILL");
                 scheduleFailureDetection(index);
             }
             case TERM -> {
-                signal(proxy, "TERM");
+                sendSignal(proxy, "TERM");
                 scheduleFailureDetection(index);
             }
             case STOP -> {
-                front.setFaulty(index, true);
-                signal(proxy, "STOP");
+                proxyPool.setFaulty(index, true);
+                sendSignal(proxy, "STOP");
                 scheduleFailureDetection(index);
             }
             case CONT -> {
-                signal(proxy, "CONT");
-                front.setFaulty(index, false);
-                front.setAdmitted(index, true);
+                sendSignal(proxy, "CONT");
+                proxyPool.setFaulty(index, false);
+                proxyPool.setAdmitted(index, true);
             }
-            default -> start(proxy);
+            default -> startProxy(proxy);
         }
     }
 
-    private static void signal(ProxyProcess proxy, String name)
+    private static void sendSignal(ProxyProcess proxy, String name)
             throws IOException, InterruptedException {
         if (!proxy.process().signal(name)) {
             throw new IOException(proxy.name() + " does not run");
@@ -111,7 +111,7 @@
     /** Stops the clients from sending to a proxy once the detection time has passed. */
     private void scheduleFailureDetection(int index) {
         timer.schedule(
-                () -> front.setAdmitted(index, false),
+                () -> proxyPool.setAdmitted(index, false),
                 scenario.load().detect().toNanos(),
                 TimeUnit.NANOSECONDS);
     }
@@ -119,13 +119,13 @@
     /**
      * Starts a proxy without blocking the steps that follow; clients send to it once it is ready.
      */
-    private void start(ProxyProcess proxy) throws IOException {
+    private void startProxy(ProxyProcess proxy) throws IOException {
         if (proxy.process().isAlive()) {
             // The process is still shutting down; retry until it has ended.
             timer.schedule(
                     () -> {
                         try {
-                            start(proxy);
+                            startProxy(proxy);
                         } catch (IOException failed) {
                             events.add(
                                     "fault-failed",
@@ -156,8 +156,8 @@
                                             "after_ms",
                                             TimeUnit.NANOSECONDS.toMillis(
                                                     System.nanoTime() - startedNs));
-                                    front.setFaulty(proxy.index(), false);
-                                    front.setAdmitted(proxy.index(), true);
+                                    proxyPool.setFaulty(proxy.index(), false);
+                                    proxyPool.setAdmitted(proxy.index(), true);
                                 } else {
                                     events.add(
                                             "not-ready",
@@ -275,7 +275,7 @@
                                     current.reorderRate(),
                                     delayUs,
                                     delayUs / 2);
-            case ONE_WAY, PARTITION -> testbed.relay.setConnectivity(connectivity(step));
+            case ONE_WAY, PARTITION -> testbed.relay.setConnectivity(connectivityOf(step));
             default -> {
                 networkConditions = NetworkConditions.UNIMPAIRED;
                 testbed.relay.setConnectivity((a, b) -> true);
@@ -284,12 +284,14 @@
         testbed.relay.setConditions(networkConditions);
     }
 
-    private BiPredicate<Integer, Integer> connectivity(FaultPlan.Step step) {
+    private BiPredicate<Integer, Integer> connectivityOf(FaultPlan.Step step) {
         int count = scenario.proxies().count();
         int[] groupOf = new int[count];
         for (int g = 0; g < step.fault().groups().size(); g++) {
             int group = g + 1;
-            Arrays.stream(FaultPlan.indices(step.fault().groups().get(g), "proxies", count))
+            Arrays.stream(
+                            FaultPlan.targetIndicesByName(
+                                    step.fault().groups().get(g), "proxies", count))
                     .forEach(n -> groupOf[n] = group);
         }
         return step.type() == FaultType.ONE_WAY
--- a/src/main/java/passhatch/lab/drill/GaugeCommand.java
+++ b/src/main/java/passhatch/lab/drill/GaugeCommand.java
@@ -64,7 +64,7 @@
                         NioIoHandler.newFactory());
         RequestLedger ledger = new RequestLedger();
         Seeds seeds = new Seeds(1);
-        var shape =
+        var capacity =
                 new BackendServer.Capacity(
                         CONNECTIONS,
                         CONNECTIONS,
@@ -79,7 +79,7 @@
                                 i ->
                                         new BackendServer(
                                                 "backend-" + i,
-                                                shape,
+                                                capacity,
                                                 eventLoops.next(),
                                                 ledger,
                                                 seeds.stream("b" + i)))
@@ -87,26 +87,26 @@
         for (BackendServer backend : backends) {
             backend.start();
         }
-        ProxyPool front = new ProxyPool(backends.stream().map(BackendServer::address).toList());
-        backends.forEach(b -> front.setAdmitted(backends.indexOf(b), true));
+        ProxyPool proxyPool = new ProxyPool(backends.stream().map(BackendServer::address).toList());
+        backends.forEach(b -> proxyPool.setAdmitted(backends.indexOf(b), true));
         try {
             // A JVM that has just started is slow, so a warm-up run comes before the measurement.
-            runLoad(WARM_UP_RATE, 3, front, seeds);
-            LoadStats tally = runLoad(rate, seconds, front, seeds);
+            runLoad(WARM_UP_RATE, 3, proxyPool, seeds);
+            LoadStats loadStats = runLoad(rate, seconds, proxyPool, seeds);
             spec.commandLine()
                     .getOut()
                     .printf(
                             Locale.ROOT,
                             "%d offered in %d s, %d served, latency median %.2f ms, p99 %.2f ms;"
                                     + " sent later than due: median %.2f ms, p99 %.2f ms%n",
-                            tally.offered(),
+                            loadStats.offered(),
                             seconds,
-                            tally.count(Outcome.SERVED),
-                            tally.latencyUs().getValueAtPercentile(50) / 1e3,
-                            tally.latencyUs().getValueAtPercentile(99) / 1e3,
-                            tally.sendDelayUs().getValueAtPercentile(50) / 1e3,
-                            tally.sendDelayUs().getValueAtPercentile(99) / 1e3);
-            return tally.count(Outcome.SERVED) == tally.offered() ? 0 : 1;
+                            loadStats.count(Outcome.SERVED),
+                            loadStats.latencyUs().getValueAtPercentile(50) / 1e3,
+                            loadStats.latencyUs().getValueAtPercentile(99) / 1e3,
+                            loadStats.sendDelayUs().getValueAtPercentile(50) / 1e3,
+                            loadStats.sendDelayUs().getValueAtPercentile(99) / 1e3);
+            return loadStats.count(Outcome.SERVED) == loadStats.offered() ? 0 : 1;
         } finally {
             backends.forEach(BackendServer::close);
             eventLoops.shutdownGracefully();
@@ -114,7 +114,7 @@
     }
 
     private LoadStats runLoad(
-            double requestsPerSecond, int durationSeconds, ProxyPool front, Seeds seeds)
+            double requestsPerSecond, int durationSeconds, ProxyPool proxyPool, Seeds seeds)
             throws InterruptedException {
         LoadPlan plan =
                 new LoadPlan(
@@ -127,7 +127,7 @@
                         List.of(
                                 new LoadPlan.RequestClass(
                                         "look", LoadPlan.Effect.SAFE, 1, 1_000_000)));
-        try (LoadGenerator load = new LoadGenerator(plan, front, seeds)) {
+        try (LoadGenerator load = new LoadGenerator(plan, proxyPool, seeds)) {
             load.start(System.nanoTime());
             return load.await();
         }
--- a/src/main/java/passhatch/lab/drill/ProxyProcess.java
+++ b/src/main/java/passhatch/lab/drill/ProxyProcess.java
@@ -27,7 +27,7 @@
             Path folder,
             Scenario scenario,
             InetSocketAddress discovery,
-            List<String> options) {
+            List<String> jvmOptions) {
 
         /**
          * Returns the configuration of proxies that run without a scenario: one balancer with
@@ -39,7 +39,7 @@
                 long seed,
                 int memoryMb,
                 InetSocketAddress discovery,
-                List<String> options) {
+                List<String> jvmOptions) {
             String scenario =
                     """
                     name = "alone"
@@ -49,18 +49,18 @@
                     """
                             .formatted(seed, memoryMb);
             return new SharedConfig(
-                    jar, folder, ScenarioReader.read("alone", scenario), discovery, options);
+                    jar, folder, ScenarioReader.read("alone", scenario), discovery, jvmOptions);
         }
     }
 
     private final int index;
-    private final SharedConfig shared;
-    private final List<InetSocketAddress> peers;
-    private final InetSocketAddress peerListen;
+    private final SharedConfig sharedConfig;
+    private final List<InetSocketAddress> peerAddresses;
+    private final InetSocketAddress peerListenAddress;
     private final Path folder;
-    private InetSocketAddress discovery;
-    private InetSocketAddress listen;
-    private InetSocketAddress control;
+    private InetSocketAddress discoveryAddress;
+    private InetSocketAddress listenAddress;
+    private InetSocketAddress controlAddress;
     private ChildProcess process;
 
     /** The server list in the proxy's configuration; null if it starts without one. */
@@ -69,16 +69,16 @@
     /** Creates the proxy's folder and configuration; the proxy is not started yet. */
     public ProxyProcess(
             int index,
-            SharedConfig shared,
-            List<InetSocketAddress> peers,
-            InetSocketAddress peerListen)
+            SharedConfig sharedConfig,
+            List<InetSocketAddress> peerAddresses,
+            InetSocketAddress peerListenAddress)
             throws IOException {
         this.index = index;
-        this.shared = shared;
-        this.peers = peers;
-        this.discovery = shared.discovery();
-        this.peerListen = peerListen;
-        this.folder = Files.createDirectories(shared.folder().resolve(name()));
+        this.sharedConfig = sharedConfig;
+        this.peerAddresses = peerAddresses;
+        this.discoveryAddress = sharedConfig.discovery();
+        this.peerListenAddress = peerListenAddress;
+        this.folder = Files.createDirectories(sharedConfig.folder().resolve(name()));
         choosePorts();
     }
 
@@ -92,8 +92,8 @@
     }
 
     /** Returns the address at which the proxy accepts requests; final after the start. */
-    public InetSocketAddress listen() {
-        return listen;
+    public InetSocketAddress listenAddress() {
+        return listenAddress;
     }
 
     /** Returns the child process. */
@@ -102,8 +102,8 @@
     }
 
     private void choosePorts() throws IOException {
-        listen = LocalNetwork.freeTcpAddress();
-        control = LocalNetwork.freeTcpAddress();
+        listenAddress = LocalNetwork.freeTcpAddress();
+        controlAddress = LocalNetwork.freeTcpAddress();
         prepareProcess();
     }
 
@@ -116,7 +116,7 @@
     /** Writes a new address of discovery to the configuration and sends SIGHUP to the proxy. */
     void changeDiscoveryAddress(InetSocketAddress address)
             throws IOException, InterruptedException {
-        discovery = address;
+        discoveryAddress = address;
         writeConfiguration();
         if (!process.signal("HUP")) {
             throw new IOException(name() + " does not run");
@@ -125,7 +125,7 @@
 
     private Path writeConfiguration() throws IOException {
         return Files.writeString(
-                folder.resolve("config.json"), JSON.writeValueAsString(configuration()));
+                folder.resolve("config.json"), JSON.writeValueAsString(buildConfiguration()));
     }
 
     private void prepareProcess() throws IOException {
@@ -136,23 +136,23 @@
                         "PROXY_NAME",
                         name(),
                         "PROXY_LISTEN",
-                        LocalNetwork.format(listen),
+                        LocalNetwork.format(listenAddress),
                         "PROXY_CONTROL",
-                        LocalNetwork.format(control),
+                        LocalNetwork.format(controlAddress),
                         "PROXY_DISCOVERY",
-                        LocalNetwork.format(discovery),
+                        LocalNetwork.format(discoveryAddress),
                         "PROXY_CONFIG",
                         config.toString(),
                         "TMPDIR",
                         tmp.toString());
-        process = new ChildProcess(name(), command(), env, folder.resolve("log"));
+        process = new ChildProcess(name(), buildCommand(), env, folder.resolve("log"));
     }
 
     /** Returns the command line that {@code deploy/serve.sh} uses. */
-    private List<String> command() {
-        int heap = Math.max(24, Math.min(48, shared.scenario().proxies().memoryMb() / 3));
+    private List<String> buildCommand() {
+        int heap = Math.max(24, Math.min(48, sharedConfig.scenario().proxies().memoryMb() / 3));
         List<String> command =
-                new ArrayList<>(openFilesPrefix(shared.scenario().proxies().openFiles()));
+                new ArrayList<>(openFilesPrefix(sharedConfig.scenario().proxies().openFiles()));
         command.addAll(
                 List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -167,8 +167,8 @@
                         "-XX:ReservedCodeCacheSize=24m",
                         "-XX:MaxDirectMemorySize=" + heap / 3 + "m",
                         "-Dio.netty.jfr.enabled=false"));
-        command.addAll(shared.options());
-        command.addAll(List.of("-jar", shared.jar().toString(), "serve"));
+        command.addAll(sharedConfig.jvmOptions());
+        command.addAll(List.of("-jar", sharedConfig.jar().toString(), "serve"));
         return command;
     }
 
@@ -182,11 +182,12 @@
                 : List.of("/bin/sh", "-c", "ulimit -n " + maxOpenFiles + " && exec \"$@\"", "sh");
     }
 
-    private Map<String, Object> configuration() {
-        Scenario scenario = shared.scenario();
+    private Map<String, Object> buildConfiguration() {
+        Scenario scenario = sharedConfig.scenario();
         Map<String, Object> settings = new HashMap<>();
         settings.put(
-                "categories", scenario.classes().stream().map(ProxyProcess::category).toList());
+                "categories",
+                scenario.classes().stream().map(ProxyProcess::buildCategory).toList());
         settings.put("dcs", List.of("a"));
         settings.put("machineTypes", List.of("m"));
         settings.put("balancers", scenario.proxies().count());
@@ -240,11 +241,11 @@
                         scenario.proxies().memoryMb(),
                         "sockets",
                         scenario.proxies().sockets()));
-        config.put("listen", LocalNetwork.format(listen));
-        config.put("control", LocalNetwork.format(control));
-        config.put("discovery", LocalNetwork.format(discovery));
-        config.put("peer_listen", LocalNetwork.format(peerListen));
-        config.put("peers", peers.stream().map(LocalNetwork::format).toList());
+        config.put("listen", LocalNetwork.format(listenAddress));
+        config.put("control", LocalNetwork.format(controlAddress));
+        config.put("discovery", LocalNetwork.format(discoveryAddress));
+        config.put("peer_listen", LocalNetwork.format(peerListenAddress));
+        config.put("peers", peerAddresses.stream().map(LocalNetwork::format).toList());
         config.put("settings", settings);
         if (knownServers != null) {
             config.put("known", knownServers);
@@ -252,7 +253,7 @@
         return config;
     }
 
-    private static Map<String, Object> category(Scenario.RequestClass requestClass) {
+    private static Map<String, Object> buildCategory(Scenario.RequestClass requestClass) {
         String effect =
                 switch (requestClass.effect()) {
                     case SAFE -> "pure";
@@ -316,6 +317,6 @@
 
     /** Sends a control call to the proxy and returns its answer; empty if there is none. */
     String ask(String call) {
-        return LocalNetwork.ask(control, call);
+        return LocalNetwork.ask(controlAddress, call);
     }
 }
--- a/src/main/java/passhatch/lab/drill/ReportPage.java
+++ b/src/main/java/passhatch/lab/drill/ReportPage.java
@@ -25,8 +25,8 @@
  */
 final class ReportPage {
 
-    private static final int WIDTH = 1000;
-    private static final int HEIGHT = 260;
+    private static final int CHART_WIDTH = 1000;
+    private static final int CHART_HEIGHT = 260;
 
     private ReportPage() {}
 
@@ -34,7 +34,7 @@
             Path file,
             Scenario scenario,
             Result result,
-            LoadStats tally,
+            LoadStats loadStats,
             List<EventFile.Event> events)
             throws IOException {
         StringBuilder page =
@@ -52,7 +52,7 @@
                         .append(escape(scenario.about()))
                         .append("</p><h2>")
                         .append(
-                                result.holds()
+                                result.meetsExpectations()
                                         ? "All that was expected holds"
                                         : "<span class=bad>Not as expected</span>")
                         .append("</h2><ul class=bad>");
@@ -66,7 +66,8 @@
                         .filter(e -> e.type().equals("fault"))
                         .map(e -> e.atMs() / 1e3)
                         .toList();
-        page.append(svg(rateChart(tally, faultTimes))).append(svg(latencyChart(tally, faultTimes)));
+        page.append(toSvg(rateChart(loadStats, faultTimes)))
+                .append(toSvg(latencyChart(loadStats, faultTimes)));
         appendTable(page, "Requests", result.counts());
         appendTable(page, "Latency from when they were due, ms", result.latencyMs());
         appendTable(page, "Sent later than due, ms", result.behindMs());
@@ -102,28 +103,32 @@
         page.append("</table>");
     }
 
-    private static XYChart rateChart(LoadStats tally, List<Double> faultTimes) {
-        XYChart chart = chart("requests a second");
+    private static XYChart rateChart(LoadStats loadStats, List<Double> faultTimes) {
+        XYChart chart = createChart("requests a second");
         double perSecond = 1_000.0 / LoadStats.STEP_MS;
-        addSeries(chart, "offered", tally, s -> s.offered() * perSecond, Color.LIGHT_GRAY);
+        addSeries(chart, "offered", loadStats, s -> s.offered() * perSecond, Color.LIGHT_GRAY);
         addSeries(
                 chart,
                 "served",
-                tally,
+                loadStats,
                 s -> s.count(Outcome.SERVED) * perSecond,
                 new Color(0x2a7f3f));
         addSeries(
-                chart, "late", tally, s -> s.count(Outcome.LATE) * perSecond, new Color(0xd9a400));
+                chart,
+                "late",
+                loadStats,
+                s -> s.count(Outcome.LATE) * perSecond,
+                new Color(0xd9a400));
         addSeries(
                 chart,
                 "refused or failed",
-                tally,
+                loadStats,
                 s -> (s.count(Outcome.REFUSED) + s.count(Outcome.FAILED)) * perSecond,
                 new Color(0xc04000));
         addSeries(
                 chart,
                 "cut, lost or spoilt",
-                tally,
+                loadStats,
                 s ->
                         (s.count(Outcome.CUT) + s.count(Outcome.LOST) + s.count(Outcome.SPOILT))
                                 * perSecond,
@@ -131,39 +136,42 @@
         addFaultLines(
                 chart,
                 faultTimes,
-                tally.steps().stream().mapToDouble(s -> s.offered() * perSecond).max().orElse(1));
+                loadStats.steps().stream()
+                        .mapToDouble(s -> s.offered() * perSecond)
+                        .max()
+                        .orElse(1));
         return chart;
     }
 
-    private static XYChart latencyChart(LoadStats tally, List<Double> faultTimes) {
-        XYChart chart = chart("latency, ms");
+    private static XYChart latencyChart(LoadStats loadStats, List<Double> faultTimes) {
+        XYChart chart = createChart("latency, ms");
         addSeries(
                 chart,
                 "median",
-                tally,
+                loadStats,
                 s -> s.latencyUs().getValueAtPercentile(50) / 1e3,
                 new Color(0x2a7f3f));
         addSeries(
                 chart,
                 "99th percentile",
-                tally,
+                loadStats,
                 s -> s.latencyUs().getValueAtPercentile(99) / 1e3,
                 new Color(0xc04000));
         addFaultLines(
                 chart,
                 faultTimes,
-                tally.steps().stream()
+                loadStats.steps().stream()
                         .mapToDouble(s -> s.latencyUs().getValueAtPercentile(99) / 1e3)
                         .max()
                         .orElse(1));
         return chart;
     }
 
-    private static XYChart chart(String title) {
+    private static XYChart createChart(String title) {
         XYChart chart =
                 new XYChartBuilder()
-                        .width(WIDTH)
-                        .height(HEIGHT)
+                        .width(CHART_WIDTH)
+                        .height(CHART_HEIGHT)
                         .title(title)
                         .xAxisTitle("seconds")
                         .build();
@@ -174,17 +182,17 @@
     private static void addSeries(
             XYChart chart,
             String name,
-            LoadStats tally,
+            LoadStats loadStats,
             ToDoubleFunction<LoadStats.Step> value,
             Color color) {
         List<Double> x = new ArrayList<>();
         List<Double> y = new ArrayList<>();
-        for (int i = 0; i < tally.steps().size(); i++) {
+        for (int i = 0; i < loadStats.steps().size(); i++) {
             x.add((i + 0.5) * LoadStats.STEP_MS / 1e3);
-            y.add(value.applyAsDouble(tally.steps().get(i)));
+            y.add(value.applyAsDouble(loadStats.steps().get(i)));
         }
         if (!x.isEmpty()) {
-            style(chart.addSeries(name, x, y), color);
+            applyStyle(chart.addSeries(name, x, y), color);
         }
     }
 
@@ -196,16 +204,16 @@
                             "fault " + (i + 1),
                             List.of(faultTimes.get(i), faultTimes.get(i)),
                             List.of(0.0, Math.max(top, 1e-3)));
-            style(line, new Color(0x3060c0));
+            applyStyle(line, new Color(0x3060c0));
             line.setShowInLegend(false);
         }
     }
 
-    private static void style(XYSeries series, Color color) {
+    private static void applyStyle(XYSeries series, Color color) {
         series.setMarker(SeriesMarkers.NONE).setLineColor(color).setLineWidth(1.5f);
     }
 
-    private static String svg(XYChart chart) throws IOException {
+    private static String toSvg(XYChart chart) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         VectorGraphicsEncoder.saveVectorGraphic(
                 chart, bytes, VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
--- a/src/main/java/passhatch/lab/drill/Result.java
+++ b/src/main/java/passhatch/lab/drill/Result.java
@@ -36,7 +36,7 @@
      */
     record Recovery(String fault, long atMs, Long ms) {}
 
-    boolean holds() {
+    boolean meetsExpectations() {
         return broken.isEmpty() && invalid == null;
     }
 }
--- a/src/main/java/passhatch/lab/drill/ResultEvaluator.java
+++ b/src/main/java/passhatch/lab/drill/ResultEvaluator.java
@@ -18,59 +18,61 @@
     private static final double RECOVERED_RATIO = 0.95;
 
     /** Steps per window; windows limit the effect of chance if a step has few requests. */
-    private static final int WINDOW_STEPS = 1_000 / LoadStats.STEP_MS;
+    private static final int STEPS_PER_WINDOW = 1_000 / LoadStats.STEP_MS;
 
-    private static final double[] QUANTILES = {50, 90, 99, 99.9, 100};
+    private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
     private ResultEvaluator() {}
 
     static Result evaluate(
             Scenario scenario,
-            LoadStats tally,
+            LoadStats loadStats,
             RequestLedger ledger,
             List<FaultPlan.Step> steps,
             Map<String, Double> readyMs) {
         Map<String, Long> counts = new LinkedHashMap<>();
-        counts.put("offered", tally.offered());
+        counts.put("offered", loadStats.offered());
         for (Outcome outcome : Outcome.values()) {
-            counts.put(outcome.name().toLowerCase(Locale.ROOT), tally.count(outcome));
+            counts.put(outcome.name().toLowerCase(Locale.ROOT), loadStats.count(outcome));
         }
-        counts.put("client_retries", tally.clientRetries());
+        counts.put("client_retries", loadStats.clientRetries());
         counts.put("attempts", ledger.attempts());
         counts.put("duplicates", ledger.duplicates());
         counts.put("too_often", ledger.requestsOverMaxAttempts());
         counts.put("after_drain", ledger.attemptsAfterDrain());
         double servedShare =
-                tally.offered() == 0 ? 0 : (double) tally.count(Outcome.SERVED) / tally.offered();
-        List<Result.Recovery> recoveries = recoveries(tally, steps, scenario.duration());
-        Map<String, Double> latency = quantiles(tally.latencyUs());
-        Map<String, Double> behind = quantiles(tally.sendDelayUs());
-        double boundMs = millis(scenario.load().behind());
+                loadStats.offered() == 0
+                        ? 0
+                        : (double) loadStats.count(Outcome.SERVED) / loadStats.offered();
+        List<Result.Recovery> recoveries = measureRecoveries(loadStats, steps, scenario.duration());
+        Map<String, Double> latencyMs = quantilesMs(loadStats.latencyUs());
+        Map<String, Double> sendDelayMs = quantilesMs(loadStats.sendDelayUs());
+        double maxSendDelayMs = toMillis(scenario.load().behind());
         String invalid =
-                behind.get("p99") <= boundMs
+                sendDelayMs.get("p99") <= maxSendDelayMs
                         ? null
                         : String.format(
                                 Locale.ROOT,
                                 "the machine is too busy: a hundredth of the requests went out over"
                                         + " %.1f ms late; %.1f ms is the bound",
-                                behind.get("p99"),
-                                boundMs);
+                                sendDelayMs.get("p99"),
+                                maxSendDelayMs);
         return new Result(
                 scenario.name(),
                 scenario.seed(),
                 servedShare,
                 counts,
-                latency,
+                latencyMs,
                 recoveries,
-                behind,
+                sendDelayMs,
                 readyMs,
-                violations(scenario.expect(), servedShare, counts, latency, recoveries),
+                violations(scenario.expect(), servedShare, counts, latencyMs, recoveries),
                 invalid);
     }
 
-    private static Map<String, Double> quantiles(Histogram histogramUs) {
+    private static Map<String, Double> quantilesMs(Histogram histogramUs) {
         Map<String, Double> all = new LinkedHashMap<>();
-        for (double q : QUANTILES) {
+        for (double q : PERCENTILES) {
             String name =
                     q == 100
                             ? "max"
@@ -83,12 +85,12 @@
         return all;
     }
 
-    private static double millis(Duration duration) {
+    private static double toMillis(Duration duration) {
         return duration.toNanos() / 1e6;
     }
 
-    private static List<Result.Recovery> recoveries(
-            LoadStats tally, List<FaultPlan.Step> steps, Duration end) {
+    private static List<Result.Recovery> measureRecoveries(
+            LoadStats loadStats, List<FaultPlan.Step> steps, Duration end) {
         List<Result.Recovery> all = new ArrayList<>();
         List<FaultPlan.Step> harmfulSteps =
                 steps.stream().filter(s -> !s.type().undoesFault()).toList();
@@ -106,7 +108,7 @@
                     new Result.Recovery(
                             fault.type().label() + " " + fault.targetName(),
                             atMs,
-                            recovery(tally.steps(), atMs, untilMs)));
+                            recoveryMs(loadStats.steps(), atMs, untilMs)));
         }
         return all;
     }
@@ -116,12 +118,12 @@
      * untilMs} in which too few requests were served; 0 if there is none, null if service has not
      * recovered by then.
      */
-    static Long recovery(List<LoadStats.Step> steps, long atMs, long untilMs) {
+    static Long recoveryMs(List<LoadStats.Step> steps, long atMs, long untilMs) {
         int first = (int) (atMs / LoadStats.STEP_MS);
         int last = (int) Math.min(steps.size(), untilMs / LoadStats.STEP_MS);
         int lastBad = -1;
         for (int i = first; i < last; i++) {
-            int from = Math.max(first, i - WINDOW_STEPS + 1);
+            int from = Math.max(first, i - STEPS_PER_WINDOW + 1);
             int offered = 0;
             int served = 0;
             for (LoadStats.Step step : steps.subList(from, i + 1)) {
@@ -140,30 +142,30 @@
     }
 
     private static List<String> violations(
-            Scenario.Expectations expect,
+            Scenario.Expectations expectations,
             double servedShare,
             Map<String, Long> counts,
-            Map<String, Double> latency,
+            Map<String, Double> latencyMs,
             List<Result.Recovery> recoveries) {
         List<String> violations = new ArrayList<>();
-        if (expect.served() != null && servedShare < expect.served()) {
+        if (expectations.served() != null && servedShare < expectations.served()) {
             violations.add(
                     String.format(
                             Locale.ROOT,
                             "served: %.4f of the requests, and at least %.4f is expected",
                             servedShare,
-                            expect.served()));
+                            expectations.served()));
         }
         Map<String, Long> limits = new LinkedHashMap<>();
-        limits.put("late", expect.late());
-        limits.put("refused", expect.refused());
-        limits.put("failed", expect.failed());
-        limits.put("cut", expect.cut());
-        limits.put("lost", expect.lost());
-        limits.put("spoilt", expect.spoilt());
-        limits.put("duplicates", expect.duplicates());
-        limits.put("too_often", expect.tooOften());
-        limits.put("after_drain", expect.afterDrain());
+        limits.put("late", expectations.late());
+        limits.put("refused", expectations.refused());
+        limits.put("failed", expectations.failed());
+        limits.put("cut", expectations.cut());
+        limits.put("lost", expectations.lost());
+        limits.put("spoilt", expectations.spoilt());
+        limits.put("duplicates", expectations.duplicates());
+        limits.put("too_often", expectations.tooOften());
+        limits.put("after_drain", expectations.afterDrain());
         limits.forEach(
                 (name, limit) -> {
                     if (limit != null && counts.get(name) > limit) {
@@ -176,9 +178,9 @@
                                         + " is expected");
                     }
                 });
-        if (expect.recovery() != null) {
+        if (expectations.recovery() != null) {
             recoveries.stream()
-                    .filter(r -> r.ms() == null || r.ms() > expect.recovery().toMillis())
+                    .filter(r -> r.ms() == null || r.ms() > expectations.recovery().toMillis())
                     .forEach(
                             r ->
                                     violations.add(
@@ -189,15 +191,15 @@
                                                     + " ms "
                                                     + (r.ms() == null ? "not back" : r.ms() + " ms")
                                                     + ", and at most "
-                                                    + expect.recovery().toMillis()
+                                                    + expectations.recovery().toMillis()
                                                     + " ms is expected"));
         }
-        if (expect.p99() != null && latency.get("p99") > millis(expect.p99())) {
+        if (expectations.p99() != null && latencyMs.get("p99") > toMillis(expectations.p99())) {
             violations.add(
                     "p99: "
-                            + latency.get("p99")
+                            + latencyMs.get("p99")
                             + " ms, and at most "
-                            + millis(expect.p99())
+                            + toMillis(expectations.p99())
                             + " is expected");
         }
         return violations;
--- a/src/main/java/passhatch/lab/drill/Testbed.java
+++ b/src/main/java/passhatch/lab/drill/Testbed.java
@@ -44,34 +44,36 @@
     private boolean closed;
 
     /** Starts the stand-ins and creates the proxy processes without starting them. */
-    Testbed(Scenario scenario, Seeds seeds, Path jar, Path folder, List<String> options)
+    Testbed(Scenario scenario, Seeds seeds, Path jar, Path folder, List<String> jvmOptions)
             throws IOException {
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
             discovery.start();
-            List<DiscoveryServer.Endpoint> list = new ArrayList<>();
+            List<DiscoveryServer.Endpoint> endpoints = new ArrayList<>();
             for (int i = 1; i <= scenario.backends().count(); i++) {
                 String name = "backend-" + i;
                 BackendServer backend =
                         new BackendServer(
                                 name,
-                                shape(scenario.backends()),
+                                capacityOf(scenario.backends()),
                                 eventLoops.next(),
                                 ledger,
                                 seeds.stream(name));
                 backend.start();
                 backends.add(backend);
-                list.add(new DiscoveryServer.Endpoint(name, backend.address(), "SERVING", 0));
+                endpoints.add(new DiscoveryServer.Endpoint(name, backend.address(), "SERVING", 0));
             }
-            discovery.update(list);
+            discovery.update(endpoints);
             relay = new UdpRelay(scenario.proxies().count(), seeds.stream("relay"));
-            var shared =
+            var sharedConfig =
                     new ProxyProcess.SharedConfig(
-                            jar, folder, scenario, discovery.address(), options);
+                            jar, folder, scenario, discovery.address(), jvmOptions);
             for (int i = 0; i < scenario.proxies().count(); i++) {
-                InetSocketAddress peerListen = freeUdpAddress();
-                relay.setListenAddress(i, peerListen);
-                proxies.add(new ProxyProcess(i, shared, relay.relayAddressesOf(i), peerListen));
+                InetSocketAddress peerListenAddress = freeUdpAddress();
+                relay.setListenAddress(i, peerListenAddress);
+                proxies.add(
+                        new ProxyProcess(
+                                i, sharedConfig, relay.relayAddressesOf(i), peerListenAddress));
             }
         } catch (IOException | RuntimeException failed) {
             close();
@@ -79,7 +81,7 @@
         }
     }
 
-    private static BackendServer.Capacity shape(Scenario.Backends backends) {
+    private static BackendServer.Capacity capacityOf(Scenario.Backends backends) {
         return new BackendServer.Capacity(
                 backends.cores(),
                 backends.slots(),
--- a/src/main/java/passhatch/lab/duty/DutyModel.java
+++ b/src/main/java/passhatch/lab/duty/DutyModel.java
@@ -131,7 +131,7 @@
                             }
 
                             @Override
-                            public void granted(long term) {
+                            public void dutyAcquired(long term) {
                                 if (term <= maxGrantedTerm) {
                                     violation =
                                             "term "
@@ -143,7 +143,7 @@
                             }
 
                             @Override
-                            public void lost(long term) {}
+                            public void dutyLost(long term) {}
                         });
         candidates[candidate].campaign(nowUs);
     }
@@ -172,7 +172,7 @@
             }
             candidate.timer(nowUs);
         } else if (step < FIRST_CANDIDATE_CRASH_STEP) {
-            boolean granted = voters[step - FIRST_VOTER_CRASH_STEP].promised(DUTY) != null;
+            boolean granted = voters[step - FIRST_VOTER_CRASH_STEP].promiseFor(DUTY) != null;
             startVoter(step - FIRST_VOTER_CRASH_STEP);
             return granted && ++crashes <= bounds.crashes();
         } else if (step < FIRST_DELIVERY_STEP) {
@@ -228,13 +228,13 @@
         String[] byVoter = new String[VOTERS];
         for (int voter = 0; voter < VOTERS; voter++) {
             StringBuilder text = new StringBuilder();
-            Promise promise = voters[voter].promised(DUTY);
+            Promise promise = voters[voter].promiseFor(DUTY);
             if (promise != null) {
                 text.append(promise.term())
                         .append(canonicalHolder(promise.holder(), order))
                         .append('/')
                         .append(voters[voter].boundForUs(nowUs, DUTY))
-                        .append(voters[voter].released(DUTY) ? 'r' : '-');
+                        .append(voters[voter].isReleased(DUTY) ? 'r' : '-');
             }
             Promise onDisk = disks.get(voter).get(DUTY);
             if (onDisk != null && !onDisk.equals(promise)) {
@@ -276,9 +276,9 @@
                                     ? "-"
                                     : Math.max(-1, candidate.wakeAtUs() - nowUs))
                     .append('/')
-                    .append(candidate.remainingUs(nowUs))
+                    .append(candidate.remainingLeaseUs(nowUs))
                     .append('/')
-                    .append(Math.max(-2 * LEASE_US, candidate.requestedUs() - nowUs))
+                    .append(Math.max(-2 * LEASE_US, candidate.lastRequestUs() - nowUs))
                     .append('/')
                     .append(incarnations[i]);
         }
@@ -295,7 +295,7 @@
     private String formatReplies(int voter, int[] order) {
         StringBuilder text = new StringBuilder();
         for (int i : order) {
-            text.append(candidates[i].replyOf(SENDER_NAMES.get(voter)));
+            text.append(candidates[i].lastReplyOf(SENDER_NAMES.get(voter)));
         }
         return text.toString();
     }
--- a/src/main/java/passhatch/lab/duty/DutySim.java
+++ b/src/main/java/passhatch/lab/duty/DutySim.java
@@ -119,7 +119,7 @@
             if (!asking.isVoting()) {
                 settings.voters().stream()
                         .filter(v -> voters.get(v) != this)
-                        .forEach(v -> send(name, v, asking.recall()));
+                        .forEach(v -> send(name, v, asking.createRecall()));
                 scheduleAfter(
                         SECOND_US / 2,
                         () ->
@@ -227,7 +227,7 @@
         }
 
         @Override
-        public void granted(long term) {
+        public void dutyAcquired(long term) {
             if (term <= maxGrantedTerm) {
                 recordViolation("term " + term + " was granted after " + maxGrantedTerm);
             }
@@ -239,7 +239,7 @@
         }
 
         @Override
-        public void lost(long term) {}
+        public void dutyLost(long term) {}
 
         /**
          * Checks the lease and sends an action to the fence, where it arrives later; the host may
--- a/src/main/java/passhatch/lab/scale/AgentMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/AgentMeasurement.java
@@ -77,10 +77,11 @@
                                 "agent-" + i));
             }
             List<InetSocketAddress> addresses = new ArrayList<>();
-            agents.forEach(agent -> addresses.add(agent.listen()));
+            agents.forEach(agent -> addresses.add(agent.listenAddress()));
             addresses.addAll(otherMembers.addresses());
             for (AgentProcess agent : agents) {
-                agent.configure(addresses, agent.listen(), duties ? createDutiesSection() : "");
+                agent.configure(
+                        addresses, agent.listenAddress(), duties ? createDutiesSection() : "");
                 agent.process().start();
             }
             otherMembers.start(FLEET, addresses, new Seeds(options.seed()));
--- a/src/main/java/passhatch/lab/scale/ProxyChain.java
+++ b/src/main/java/passhatch/lab/scale/ProxyChain.java
@@ -95,7 +95,7 @@
             discovery.update(
                     List.of(
                             new DiscoveryServer.Endpoint(
-                                    "next-of-" + i, proxy.listen(), "SERVING", 0)));
+                                    "next-of-" + i, proxy.listenAddress(), "SERVING", 0)));
         }
     }
 
@@ -124,7 +124,9 @@
      * proxies it is the address of a backend.
      */
     InetSocketAddress entryAddress(int proxyCount) {
-        return proxyCount == 0 ? backends.get(0).address() : proxies.get(proxyCount - 1).listen();
+        return proxyCount == 0
+                ? backends.get(0).address()
+                : proxies.get(proxyCount - 1).listenAddress();
     }
 
     /**
--- a/src/main/java/passhatch/store/FolderDisk.java
+++ b/src/main/java/passhatch/store/FolderDisk.java
@@ -80,7 +80,7 @@
         Files.createFile(folder.resolve(name));
     }
 
-    private FileChannel channel(String name) throws IOException {
+    private FileChannel openChannel(String name) throws IOException {
         FileChannel channel = openFiles.get(name);
         if (channel == null) {
             channel =
@@ -102,7 +102,7 @@
 
     @Override
     public void append(String name, ByteBuffer bytes) throws IOException {
-        FileChannel channel = channel(name);
+        FileChannel channel = openChannel(name);
         while (bytes.hasRemaining()) {
             channel.write(bytes);
         }
@@ -110,7 +110,7 @@
 
     @Override
     public void force(String name) throws IOException {
-        channel(name).force(true);
+        openChannel(name).force(true);
     }
 
     @Override
@@ -133,7 +133,7 @@
 
     @Override
     public void truncate(String name, long size) throws IOException {
-        channel(name).truncate(size);
+        openChannel(name).truncate(size);
     }
 
     @Override
--- a/src/main/java/passhatch/store/Format.java
+++ b/src/main/java/passhatch/store/Format.java
@@ -24,7 +24,7 @@
     static final int MAX_OWNER_BYTES = 64;
 
     /** The kind of a mark; the kinds of users are above it. */
-    static final int MARK = 0;
+    static final int MARK_KIND = 0;
 
     private static final int SEGMENT_MAGIC = 0x4c57_5347;
     private static final int SNAPSHOT_MAGIC = 0x4c57_534e;
@@ -49,18 +49,18 @@
     record Header(boolean snapshot, int version, String owner, long epoch, long sequence) {}
 
     /** A decoded record, with the offset of the next one. */
-    record StoredRecord(long sequence, int kind, byte[] bytes, int next) {}
+    record StoredRecord(long sequence, int kind, byte[] bytes, int nextOffset) {}
 
-    static String segmentName(long first) {
-        return SEGMENT_PREFIX + String.format(Locale.ROOT, "%016x", first);
+    static String segmentName(long firstSequence) {
+        return SEGMENT_PREFIX + String.format(Locale.ROOT, "%016x", firstSequence);
     }
 
-    static String snapshotName(long upTo) {
-        return SNAPSHOT_PREFIX + String.format(Locale.ROOT, "%016x", upTo);
+    static String snapshotName(long lastSequence) {
+        return SNAPSHOT_PREFIX + String.format(Locale.ROOT, "%016x", lastSequence);
     }
 
     /** Returns the sequence number in a file name, or -1 for other files. */
-    static long fileNumber(String name, boolean ofSnapshot) {
+    static long sequenceInName(String name, boolean ofSnapshot) {
         String prefix = ofSnapshot ? SNAPSHOT_PREFIX : SEGMENT_PREFIX;
         String digits = name.startsWith(prefix) ? name.substring(prefix.length()) : "";
         return digits.matches("[0-7][0-9a-f]{15}") ? Long.parseLong(digits, 16) : -1;
@@ -75,7 +75,7 @@
                 .put(Arrays.copyOf(owner, MAX_OWNER_BYTES))
                 .putLong(header.epoch())
                 .putLong(header.sequence());
-        return out.putInt(crc(out.array(), 0, out.position())).flip();
+        return out.putInt(computeCrc(out.array(), 0, out.position())).flip();
     }
 
     /** Decodes the header of a file; null if there is no valid one. */
@@ -87,7 +87,7 @@
         int magic = in.getInt();
         int version = in.getShort();
         int ownerBytes = in.getShort();
-        if (in.getInt(HEADER_BYTES - 4) != crc(file, 0, HEADER_BYTES - 4)
+        if (in.getInt(HEADER_BYTES - 4) != computeCrc(file, 0, HEADER_BYTES - 4)
                 || ownerBytes < 0
                 || ownerBytes > MAX_OWNER_BYTES
                 || magic != SEGMENT_MAGIC && magic != SNAPSHOT_MAGIC) {
@@ -142,7 +142,7 @@
                         offset + RECORD_HEADER_BYTES + length);
     }
 
-    private static int crc(byte[] bytes, int from, int length) {
+    private static int computeCrc(byte[] bytes, int from, int length) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, from, length);
         return (int) crc.getValue();
--- a/src/main/java/passhatch/store/GroupCommit.java
+++ b/src/main/java/passhatch/store/GroupCommit.java
@@ -23,14 +23,14 @@
 
     private final RecordLog log;
     private final BlockingQueue<PendingRecord> queue = new ArrayBlockingQueue<>(MAX_QUEUED_RECORDS);
-    private final Thread thread;
+    private final Thread writerThread;
 
     /** Takes ownership of a log; no other code may use it from now on. */
     public GroupCommit(RecordLog log) {
         this.log = log;
-        this.thread = new Thread(this::run, "store");
-        thread.setDaemon(true);
-        thread.start();
+        this.writerThread = new Thread(this::writeGroups, "store");
+        writerThread.setDaemon(true);
+        writerThread.start();
     }
 
     /**
@@ -45,32 +45,32 @@
         return done;
     }
 
-    private void run() {
+    private void writeGroups() {
         List<PendingRecord> group = new ArrayList<>();
         boolean stopped = false;
         try {
             while (!stopped) {
                 group.clear();
                 group.add(queue.take());
-                long bytes = bytes(group.get(0));
+                long bytes = sizeOf(group.get(0));
                 while (bytes < MAX_GROUP_BYTES && queue.peek() != null) {
                     PendingRecord next = queue.poll();
-                    bytes += bytes(next);
+                    bytes += sizeOf(next);
                     group.add(next);
                 }
                 stopped = group.removeIf(w -> w.entry() == null);
-                write(group);
+                writeGroup(group);
             }
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static long bytes(PendingRecord waiting) {
-        return waiting.entry() == null ? 0 : Format.recordSize(waiting.entry().bytes());
+    private static long sizeOf(PendingRecord pending) {
+        return pending.entry() == null ? 0 : Format.recordSize(pending.entry().bytes());
     }
 
-    private void write(List<PendingRecord> group) {
+    private void writeGroup(List<PendingRecord> group) {
         if (group.isEmpty()) {
             return;
         }
@@ -84,7 +84,7 @@
                 group.get(0).result().completeExceptionally(tooLarge);
             } else {
                 // A record that is too large must not fail the others of its group.
-                group.forEach(w -> write(List.of(w)));
+                group.forEach(w -> writeGroup(List.of(w)));
             }
         } catch (StoreException | RuntimeException failed) {
             group.forEach(w -> w.result().completeExceptionally(failed));
@@ -99,9 +99,9 @@
     public void close() throws StoreException {
         try {
             queue.put(new PendingRecord(null, null));
-            thread.join();
+            writerThread.join();
         } catch (InterruptedException interrupted) {
-            thread.interrupt();
+            writerThread.interrupt();
             Thread.currentThread().interrupt();
         }
         log.close();
--- a/src/main/java/passhatch/store/Inspection.java
+++ b/src/main/java/passhatch/store/Inspection.java
@@ -8,7 +8,7 @@
 /** Reads a store without its owner, and copies what is readable to another folder. */
 public final class Inspection {
 
-    private static final int BATCH_RECORDS = 64;
+    private static final int RECORDS_PER_BATCH = 64;
 
     /**
      * Contents of a folder.
@@ -44,7 +44,7 @@
             List<String> warnings = new ArrayList<>();
             List<String> damage = new ArrayList<>();
             for (Reader.Fault fault : contents.faults()) {
-                (fault.acknowledged() ? damage : warnings).add(fault.text());
+                (fault.maybeAcknowledged() ? damage : warnings).add(fault.describe());
             }
             return new Report(
                     records[0], contents.lastSequence(), contents.epoch(), warnings, damage);
@@ -75,11 +75,11 @@
                             from,
                             entry -> {
                                 batch.add(entry);
-                                if (batch.size() == BATCH_RECORDS) {
-                                    failed[0] = write(log, batch, failed[0]);
+                                if (batch.size() == RECORDS_PER_BATCH) {
+                                    failed[0] = writeBatch(log, batch, failed[0]);
                                 }
                             });
-            failed[0] = write(log, batch, failed[0]);
+            failed[0] = writeBatch(log, batch, failed[0]);
             if (failed[0] != null) {
                 throw failed[0];
             }
@@ -87,7 +87,7 @@
         }
     }
 
-    private static StoreException write(
+    private static StoreException writeBatch(
             RecordLog log, List<Entry> batch, StoreException earlierFailure) {
         if (earlierFailure != null || batch.isEmpty()) {
             return earlierFailure;
--- a/src/main/java/passhatch/store/Reader.java
+++ b/src/main/java/passhatch/store/Reader.java
@@ -18,8 +18,8 @@
      * A fault at one place of a file; {@code acknowledged} if the data there may have been
      * acknowledged.
      */
-    record Fault(String file, long offset, String description, boolean acknowledged) {
-        String text() {
+    record Fault(String file, long offset, String description, boolean maybeAcknowledged) {
+        String describe() {
             return file + ", byte " + offset + ": " + description;
         }
     }
@@ -29,22 +29,22 @@
      *
      * @param lastSequence sequence number of the last valid record; 0 if there is none
      * @param epoch the maximum of all headers; 0 if there is none
-     * @param bytes size of the snapshot and the segments after it
+     * @param totalBytes size of the snapshot and the segments after it
      * @param snapshot name of the current snapshot, or null
      * @param segments names of the current segments, in their order
      * @param truncateAt size to which the last segment is to be truncated; -1 if its end is valid
-     * @param obsolete names of files that are not part of the state, or no longer
+     * @param obsoleteFiles names of files that are not part of the state, or no longer
      * @param faults in the order in which they were found; after a fault in acknowledged data the
      *     rest is not read, unless salvaging
      */
     record Contents(
             long lastSequence,
             long epoch,
-            long bytes,
+            long totalBytes,
             String snapshot,
             List<String> segments,
             long truncateAt,
-            List<String> obsolete,
+            List<String> obsoleteFiles,
             List<Fault> faults) {}
 
     private final Disk disk;
@@ -52,10 +52,10 @@
     private final boolean salvage;
     private final Consumer<Entry> replay;
     private final List<Fault> faults = new ArrayList<>();
-    private final List<String> obsolete = new ArrayList<>();
+    private final List<String> obsoleteFiles = new ArrayList<>();
     private long lastSequence;
     private long epoch;
-    private long bytes;
+    private long totalBytes;
     private long truncateAt = -1;
     private boolean stopped;
 
@@ -75,19 +75,19 @@
 
     Contents read() throws IOException, StoreException {
         List<String> names = disk.list();
-        List<String> snapshots = sorted(names, true);
-        List<String> segments = sorted(names, false);
-        names.stream().filter(n -> n.endsWith(".new")).forEach(obsolete::add);
+        List<String> snapshots = sortedFiles(names, true);
+        List<String> segments = sortedFiles(names, false);
+        names.stream().filter(n -> n.endsWith(".new")).forEach(obsoleteFiles::add);
         String snapshot = null;
         if (!snapshots.isEmpty()) {
             snapshot = snapshots.get(snapshots.size() - 1);
-            obsolete.addAll(snapshots.subList(0, snapshots.size() - 1));
+            obsoleteFiles.addAll(snapshots.subList(0, snapshots.size() - 1));
             readSnapshot(snapshot);
         }
         while (segments.size() > 1
-                && Format.fileNumber(segments.get(1), false) <= lastSequence + 1) {
+                && Format.sequenceInName(segments.get(1), false) <= lastSequence + 1) {
             readHeader(segments.get(0), disk.read(segments.get(0), Format.MAX_SEGMENT_BYTES));
-            obsolete.add(segments.remove(0));
+            obsoleteFiles.add(segments.remove(0));
         }
         if (snapshot != null && segments.isEmpty()) {
             addFault(snapshot, 0, "the segment after it is missing", true);
@@ -99,20 +99,27 @@
             }
         }
         return new Contents(
-                lastSequence, epoch, bytes, snapshot, current, truncateAt, obsolete, faults);
+                lastSequence,
+                epoch,
+                totalBytes,
+                snapshot,
+                current,
+                truncateAt,
+                obsoleteFiles,
+                faults);
     }
 
-    private static List<String> sorted(List<String> names, boolean ofSnapshot) {
+    private static List<String> sortedFiles(List<String> names, boolean ofSnapshot) {
         return new ArrayList<>(
                 names.stream()
-                        .filter(n -> Format.fileNumber(n, ofSnapshot) >= 0)
-                        .sorted(Comparator.comparingLong(n -> Format.fileNumber(n, ofSnapshot)))
+                        .filter(n -> Format.sequenceInName(n, ofSnapshot) >= 0)
+                        .sorted(Comparator.comparingLong(n -> Format.sequenceInName(n, ofSnapshot)))
                         .toList());
     }
 
-    private void addFault(String file, long offset, String description, boolean acknowledged) {
-        faults.add(new Fault(file, offset, description, acknowledged));
-        stopped |= acknowledged && !salvage;
+    private void addFault(String file, long offset, String description, boolean maybeAcknowledged) {
+        faults.add(new Fault(file, offset, description, maybeAcknowledged));
+        stopped |= maybeAcknowledged && !salvage;
     }
 
     /** Returns the header of a file and records its epoch; null if the header is not valid. */
@@ -140,11 +147,11 @@
 
     private void readSnapshot(String file) throws IOException, StoreException {
         byte[] content = disk.read(file, (int) Format.MAX_TOTAL_BYTES);
-        bytes += content.length;
+        totalBytes += content.length;
         Header header = readHeader(file, content);
         if (header == null
                 || !header.snapshot()
-                || header.sequence() != Format.fileNumber(file, true)) {
+                || header.sequence() != Format.sequenceInName(file, true)) {
             addFault(file, 0, "its header does not check", true);
             return;
         }
@@ -154,8 +161,8 @@
         for (StoredRecord stored = Format.readRecord(content, offset);
                 stored != null;
                 stored = Format.readRecord(content, offset)) {
-            offset = stored.next();
-            if (stored.kind() == Format.MARK) {
+            offset = stored.nextOffset();
+            if (stored.kind() == Format.MARK_KIND) {
                 if (stored.sequence() == count && offset == content.length) {
                     entries.forEach(replay);
                     lastSequence = header.sequence();
@@ -182,14 +189,14 @@
         Header header = readHeader(file, content);
         if (header == null
                 || header.snapshot()
-                || header.sequence() != Format.fileNumber(file, false)) {
+                || header.sequence() != Format.sequenceInName(file, false)) {
             if (isLast && content.length <= Format.HEADER_BYTES && header == null) {
                 addFault(
                         file,
                         0,
                         "its header is incomplete: the file was created and never used",
                         false);
-                obsolete.add(file);
+                obsoleteFiles.add(file);
                 return false;
             }
             addFault(file, 0, "its header does not check", true);
@@ -211,23 +218,23 @@
             }
             lastSequence = header.sequence() - 1;
         }
-        bytes += content.length;
+        totalBytes += content.length;
         readRecords(file, content, isLast, header == null ? lastSequence + 1 : header.sequence());
         return true;
     }
 
-    private void readRecords(String file, byte[] content, boolean isLast, long first) {
-        long expected = first;
+    private void readRecords(String file, byte[] content, boolean isLast, long firstSequence) {
+        long expectedSequence = firstSequence;
         int offset = Format.HEADER_BYTES;
         while (offset < content.length) {
             StoredRecord stored = Format.readRecord(content, offset);
             boolean valid =
                     stored != null
-                            && (stored.kind() == Format.MARK
-                                    ? stored.sequence() < expected
-                                    : stored.sequence() == expected);
+                            && (stored.kind() == Format.MARK_KIND
+                                    ? stored.sequence() < expectedSequence
+                                    : stored.sequence() == expectedSequence);
             if (!valid) {
-                StoredRecord next = findMark(content, offset, expected);
+                StoredRecord next = findMark(content, offset, expectedSequence);
                 if (isLast && next == null) {
                     addFault(
                             file,
@@ -237,24 +244,27 @@
                     truncateAt = offset;
                     return;
                 }
-                addFault(file, offset, "record " + expected + " does not check", true);
+                addFault(file, offset, "record " + expectedSequence + " does not check", true);
                 if (!salvage) {
                     return;
                 }
-                stored = findNextValid(content, offset, expected);
+                stored = findNextValid(content, offset, expectedSequence);
                 if (stored == null) {
                     return;
                 }
-                expected = stored.kind() == Format.MARK ? stored.sequence() + 1 : stored.sequence();
+                expectedSequence =
+                        stored.kind() == Format.MARK_KIND
+                                ? stored.sequence() + 1
+                                : stored.sequence();
             }
-            if (stored.kind() != Format.MARK) {
-                if (expected > lastSequence) {
+            if (stored.kind() != Format.MARK_KIND) {
+                if (expectedSequence > lastSequence) {
                     replay.accept(new Entry(stored.kind(), stored.bytes()));
-                    lastSequence = expected;
+                    lastSequence = expectedSequence;
                 }
-                expected++;
+                expectedSequence++;
             }
-            offset = stored.next();
+            offset = stored.nextOffset();
         }
     }
 
@@ -262,7 +272,7 @@
      * Finds a mark at or after an offset that confirms that the expected record was forced; null if
      * there is none.
      */
-    private static StoredRecord findMark(byte[] content, int from, long expected) {
+    private static StoredRecord findMark(byte[] content, int from, long expectedSequence) {
         for (int offset = from; offset <= content.length - Format.RECORD_HEADER_BYTES; offset++) {
             // A mark has no content: anything else is skipped without computing its checksum.
             boolean empty =
@@ -271,7 +281,9 @@
                             && content[offset + 2] == 0
                             && content[offset + 3] == 0;
             StoredRecord stored = empty ? Format.readRecord(content, offset) : null;
-            if (stored != null && stored.kind() == Format.MARK && stored.sequence() >= expected) {
+            if (stored != null
+                    && stored.kind() == Format.MARK_KIND
+                    && stored.sequence() >= expectedSequence) {
                 return stored;
             }
         }
@@ -279,12 +291,12 @@
     }
 
     /** Finds the next valid record or mark after damage that is not older than the expected one. */
-    private static StoredRecord findNextValid(byte[] content, int from, long expected) {
+    private static StoredRecord findNextValid(byte[] content, int from, long expectedSequence) {
         for (int offset = from; offset <= content.length - Format.RECORD_HEADER_BYTES; offset++) {
             StoredRecord stored = Format.readRecord(content, offset);
             if (stored != null
-                    && stored.sequence() >= expected
-                    && stored.sequence() - expected <= Format.MAX_SEGMENT_BYTES) {
+                    && stored.sequence() >= expectedSequence
+                    && stored.sequence() - expectedSequence <= Format.MAX_SEGMENT_BYTES) {
                 return stored;
             }
         }
