--- a/src/main/java/passhatch/store/RecordLog.java
+++ b/src/main/java/passhatch/store/RecordLog.java
@@ -31,11 +31,11 @@
     private final String owner;
     private final long epoch;
     private final List<String> warnings;
-    private final List<String> obsolete = new ArrayList<>();
+    private final List<String> obsoleteAfterSnapshot = new ArrayList<>();
     private long lastSequence;
-    private String segment;
+    private String currentSegment;
     private long segmentBytes;
-    private long logBytes;
+    private long bytesSinceSnapshot;
     private long totalBytes;
     private StoreException.Failed failure;
 
@@ -64,10 +64,10 @@
             Reader.Contents contents = new Reader(disk, owner, false, replay).read();
             List<String> warnings = new ArrayList<>();
             for (Reader.Fault fault : contents.faults()) {
-                if (fault.acknowledged()) {
-                    throw new StoreException.Damaged(fault.text());
+                if (fault.maybeAcknowledged()) {
+                    throw new StoreException.Damaged(fault.describe());
                 }
-                warnings.add(fault.text());
+                warnings.add(fault.describe());
             }
             if (contents.epoch() == Long.MAX_VALUE || contents.lastSequence() == Long.MAX_VALUE) {
                 throw new StoreException.Damaged(
@@ -124,55 +124,55 @@
             // segment.
             disk.force(tail);
         }
-        totalBytes = contents.bytes();
-        logBytes = contents.bytes();
-        for (String name : contents.obsolete()) {
+        totalBytes = contents.totalBytes();
+        bytesSinceSnapshot = contents.totalBytes();
+        for (String name : contents.obsoleteFiles()) {
             disk.delete(name);
         }
-        obsolete.addAll(contents.segments());
+        obsoleteAfterSnapshot.addAll(contents.segments());
         if (contents.snapshot() != null) {
-            obsolete.add(contents.snapshot());
+            obsoleteAfterSnapshot.add(contents.snapshot());
         }
         String reused = Format.segmentName(lastSequence + 1);
-        if (obsolete.remove(reused)) {
+        if (obsoleteAfterSnapshot.remove(reused)) {
             // The segment of this name holds no record. Its name is needed, and its epoch is below
             // the new one.
-            disk.replace(reused, segmentHeader());
-            disk.append(reused, mark());
-            segment = reused;
+            disk.replace(reused, encodeSegmentHeader());
+            disk.append(reused, encodeMark());
+            currentSegment = reused;
             segmentBytes = EMPTY_SEGMENT_BYTES;
         } else {
-            roll();
+            startSegment();
         }
     }
 
-    private ByteBuffer segmentHeader() {
+    private ByteBuffer encodeSegmentHeader() {
         return Format.encodeHeader(
                 new Format.Header(false, Format.VERSION, owner, epoch, lastSequence + 1));
     }
 
     /** Starts a segment; all data in the previous one has been forced. */
-    private void roll() throws IOException {
-        if (segment != null) {
-            disk.force(segment);
-            obsolete.add(segment);
+    private void startSegment() throws IOException {
+        if (currentSegment != null) {
+            disk.force(currentSegment);
+            obsoleteAfterSnapshot.add(currentSegment);
         }
         String next = Format.segmentName(lastSequence + 1);
         disk.create(next);
-        disk.append(next, segmentHeader());
+        disk.append(next, encodeSegmentHeader());
         disk.force(next);
         disk.forceFolder();
-        disk.append(next, mark());
-        segment = next;
+        disk.append(next, encodeMark());
+        currentSegment = next;
         segmentBytes = EMPTY_SEGMENT_BYTES;
         totalBytes += segmentBytes;
-        logBytes += segmentBytes;
+        bytesSinceSnapshot += segmentBytes;
     }
 
     /** Returns a mark, which confirms that all records so far have been forced. */
-    private ByteBuffer mark() {
+    private ByteBuffer encodeMark() {
         ByteBuffer out = ByteBuffer.allocate(Format.RECORD_HEADER_BYTES);
-        Format.putRecord(out, lastSequence, Format.MARK, new byte[0]);
+        Format.putRecord(out, lastSequence, Format.MARK_KIND, new byte[0]);
         return out.flip();
     }
 
@@ -193,7 +193,7 @@
 
     /** Returns whether enough was written since the last snapshot to justify a new one. */
     public boolean isSnapshotDue() {
-        return logBytes > SNAPSHOT_THRESHOLD_BYTES;
+        return bytesSinceSnapshot > SNAPSHOT_THRESHOLD_BYTES;
     }
 
     /**
@@ -225,22 +225,22 @@
         }
         try {
             if (segmentBytes + size > Format.MAX_SEGMENT_BYTES) {
-                roll();
+                startSegment();
             }
             ByteBuffer out = ByteBuffer.allocate((int) size - Format.RECORD_HEADER_BYTES);
             long sequence = lastSequence;
             for (Entry e : entries) {
                 Format.putRecord(out, ++sequence, e.kind(), e.bytes());
             }
-            disk.append(segment, out.flip());
-            disk.force(segment);
+            disk.append(currentSegment, out.flip());
+            disk.force(currentSegment);
             lastSequence = sequence;
-            disk.append(segment, mark());
+            disk.append(currentSegment, encodeMark());
         } catch (IOException failed) {
             throw fail(failed);
         }
         segmentBytes += size;
-        logBytes += size;
+        bytesSinceSnapshot += size;
         totalBytes += size;
         return lastSequence;
     }
@@ -250,7 +250,7 @@
      *
      * @param state the records of the snapshot
      */
-    public void snapshot(List<Entry> state) throws StoreException {
+    public void writeSnapshot(List<Entry> state) throws StoreException {
         requireUsable();
         long size = Format.HEADER_BYTES + Format.RECORD_HEADER_BYTES;
         for (Entry e : state) {
@@ -271,21 +271,21 @@
         for (Entry e : state) {
             Format.putRecord(out, count++, e.kind(), e.bytes());
         }
-        Format.putRecord(out, count, Format.MARK, new byte[0]);
+        Format.putRecord(out, count, Format.MARK_KIND, new byte[0]);
         try {
             String name = Format.snapshotName(lastSequence);
             disk.replace(name, out.flip());
             if (segmentBytes > EMPTY_SEGMENT_BYTES) {
-                roll();
+                startSegment();
             } // otherwise the segment is empty and continues after the new snapshot
-            obsolete.remove(name);
-            for (String file : obsolete) {
+            obsoleteAfterSnapshot.remove(name);
+            for (String file : obsoleteAfterSnapshot) {
                 disk.delete(file);
             }
-            obsolete.clear();
-            obsolete.add(name);
+            obsoleteAfterSnapshot.clear();
+            obsoleteAfterSnapshot.add(name);
             totalBytes = size + segmentBytes;
-            logBytes = segmentBytes;
+            bytesSinceSnapshot = segmentBytes;
         } catch (IOException failed) {
             throw fail(failed);
         }
@@ -301,7 +301,7 @@
                             + Format.MAX_RECORD_BYTES
                             + " are allowed");
         }
-        if (e.kind() <= Format.MARK || e.kind() > Entry.MAX_KIND) {
+        if (e.kind() <= Format.MARK_KIND || e.kind() > Entry.MAX_KIND) {
             throw new IllegalArgumentException(
                     "kind " + e.kind() + " is not from 1 to " + Entry.MAX_KIND);
         }
--- a/src/test/java/passhatch/agent/ChangesStoreTest.java
+++ b/src/test/java/passhatch/agent/ChangesStoreTest.java
@@ -74,7 +74,7 @@
                 participant.onMessage(now, LEADER, nextMessage(all, random));
                 participant.timer(now);
                 if (random.nextInt(8) == 0) {
-                    store.snapshot(participant.snapshot());
+                    store.snapshot(participant.snapshotRecords());
                 }
             }
         }
@@ -136,7 +136,7 @@
     /** The last entry that a replica has on disk, committed or not. */
     private static long lastVersion(Participant participant) {
         long last = participant.version();
-        for (DiskRecord record : participant.snapshot()) {
+        for (DiskRecord record : participant.snapshotRecords()) {
             last = record instanceof DiskRecord.Appended of ? of.entry().version() : last;
         }
         return last;
--- a/src/test/java/passhatch/distribution/MessageCodecTest.java
+++ b/src/test/java/passhatch/distribution/MessageCodecTest.java
@@ -47,7 +47,7 @@
         for (int round = 0; round < ROUNDS; round++) {
             byte[] datagram = MessageCodec.encode(FLEET, message(round % 11));
             datagram[random.nextInt(datagram.length)] ^= (byte) (1 << random.nextInt(8));
-            assertNotNull(MessageCodec.decode(FLEET, datagram).fault());
+            assertNotNull(MessageCodec.decode(FLEET, datagram).dropReason());
         }
     }
 
@@ -62,8 +62,8 @@
             content[random.nextInt(content.length)] = (byte) random.nextInt(256);
             byte[] sealed = Frame.of(MessageCodec.FORMAT, content);
             MessageCodec.Read read = MessageCodec.decode(FLEET, sealed);
-            assertTrue(read.message() == null ^ read.fault() == null);
-            rejected += read.fault() == null ? 0 : 1;
+            assertTrue(read.message() == null ^ read.dropReason() == null);
+            rejected += read.dropReason() == null ? 0 : 1;
         }
         assertTrue(rejected > ROUNDS / 10, "rejected: " + rejected);
     }
@@ -71,7 +71,7 @@
     @Test
     void datagramOfAnotherFleetIsRejected() {
         byte[] datagram = MessageCodec.encode("other", new Ack(1, 1));
-        assertEquals(DropReason.FLEET, MessageCodec.decode(FLEET, datagram).fault());
+        assertEquals(DropReason.FLEET, MessageCodec.decode(FLEET, datagram).dropReason());
     }
 
     private Message message(int kind) {
@@ -175,6 +175,6 @@
                             ? LogEntry.noOperation(previous + i, term)
                             : new LogEntry(previous + i, term, key(), value()));
         }
-        return DatagramBudget.fitting(all);
+        return DatagramBudget.fittingPrefix(all);
     }
 }
--- a/src/test/java/passhatch/lab/distribution/ConsistencyCheckerTest.java
+++ b/src/test/java/passhatch/lab/distribution/ConsistencyCheckerTest.java
@@ -44,13 +44,14 @@
     }
 
     private static Message withEntry(Delta delta, LogEntry old) {
-        LogEntry forged = new LogEntry(delta.upto(), delta.uptoTerm(), old.key(), old.value());
+        LogEntry forged =
+                new LogEntry(delta.uptoVersion(), delta.uptoTerm(), old.key(), old.value());
         return new Delta(
                 delta.epoch(),
-                delta.after(),
-                delta.upto(),
+                delta.afterVersion(),
+                delta.uptoVersion(),
                 delta.uptoTerm(),
-                delta.ageUs(),
+                delta.stateAgeUs(),
                 List.of(forged));
     }
 
@@ -124,8 +125,8 @@
         return new Append(
                 append.epoch(),
                 append.term(),
-                faulty && hasAll ? lastVersion : append.committed(),
-                append.ageUs(),
+                faulty && hasAll ? lastVersion : append.committedVersion(),
+                append.stateAgeUs(),
                 Math.min(append.previousVersion(), lastVersion),
                 append.previousVersion() > lastVersion ? 2 : append.previousTerm(),
                 entries);
--- a/src/test/java/passhatch/lab/drill/ChangesFaultsIT.java
+++ b/src/test/java/passhatch/lab/drill/ChangesFaultsIT.java
@@ -49,7 +49,7 @@
         public void run() {
             while (!stopped) {
                 for (int subscriber : testbed.subscribers()) {
-                    long version = testbed.version(subscriber);
+                    long version = testbed.versionInForce(subscriber);
                     long before = highest.getOrDefault(subscriber, 0L);
                     if (version >= 0 && version < before) {
                         violations.add(
@@ -63,12 +63,12 @@
 
     private int chooseVictim(int faultIndex, UniformRandomProvider random)
             throws InterruptedException {
-        ChangesTestbed.await(() -> testbed.leader() >= 0, TIMEOUT_MS, "no replica leads");
-        int leader = Math.max(0, testbed.leader());
+        ChangesTestbed.await(() -> testbed.leaderIndex() >= 0, TIMEOUT_MS, "no replica leads");
+        int leader = Math.max(0, testbed.leaderIndex());
         return switch (faultIndex % 4) {
             case 0 -> leader;
-            case 1 -> (leader + 1) % ChangesTestbed.REPLICAS;
-            case 2 -> ChangesTestbed.REPLICAS + random.nextInt(ChangesTestbed.RELAYS);
+            case 1 -> (leader + 1) % ChangesTestbed.REPLICA_COUNT;
+            case 2 -> ChangesTestbed.REPLICA_COUNT + random.nextInt(ChangesTestbed.RELAY_COUNT);
             default -> testbed.subscribers().get(random.nextInt(testbed.subscribers().size()));
         };
     }
@@ -91,7 +91,7 @@
         testbed.changesRelay().setConnectivity((a, b) -> true);
         testbed.fleetRelay().setConnectivity((a, b) -> true);
         ChangesTestbed.await(
-                () -> testbed.version(victim) >= 0,
+                () -> testbed.versionInForce(victim) >= 0,
                 TIMEOUT_MS,
                 "m" + victim + " does not answer: " + agent.process().logTail());
     }
@@ -112,9 +112,9 @@
                         fault % 2 == 0 ? NetworkConditions.UNIMPAIRED : BAD_NETWORK;
                 testbed.changesRelay().setConditions(weather);
                 int victim = chooseVictim(fault, random);
-                writer.disturbed().add(victim);
+                writer.disturbedSubscribers().add(victim);
                 injectFault(fault, victim);
-                writer.disturbed().remove(victim);
+                writer.disturbedSubscribers().remove(victim);
             }
             testbed.changesRelay().setConditions(NetworkConditions.UNIMPAIRED);
             writer.stop();
@@ -130,20 +130,22 @@
 
     private void checkFinalState(ChangesWriter writer) throws InterruptedException {
         ChangesTestbed.await(
-                () -> testbed.all().stream().map(testbed::version).distinct().count() == 1,
+                () ->
+                        testbed.allAgents().stream().map(testbed::versionInForce).distinct().count()
+                                == 1,
                 TIMEOUT_MS,
                 "not all agents reach the same version");
-        Map<String, String> allValues = testbed.values(0);
-        for (int agent : testbed.all()) {
+        Map<String, String> allValues = testbed.valuesInForce(0);
+        for (int agent : testbed.allAgents()) {
             Map<String, String> wanted = new TreeMap<>(allValues);
             if (testbed.subscribers().contains(agent)) {
                 String prefix = "service/" + ChangesTestbed.serviceOf(agent) + "/";
                 wanted.keySet().removeIf(key -> !key.startsWith(prefix));
             }
-            assertEquals(wanted, testbed.values(agent), "m" + agent);
+            assertEquals(wanted, testbed.valuesInForce(agent), "m" + agent);
         }
-        writer.committed().forEach((key, change) -> checkKept(allValues, key, change));
-        List<Long> times = writer.inForceMs();
+        writer.committedChanges().forEach((key, change) -> checkKept(allValues, key, change));
+        List<Long> times = writer.inForceDelaysMs();
         Collections.sort(times);
         assertTrue(times.size() > FAULTS, "changes " + times.size());
         System.out.printf(
--- a/src/test/java/passhatch/lab/drill/ChangesIT.java
+++ b/src/test/java/passhatch/lab/drill/ChangesIT.java
@@ -44,7 +44,7 @@
     @AfterEach
     void end() throws IOException {
         testbed.close();
-        for (int i : testbed.all()) {
+        for (int i : testbed.allAgents()) {
             assertFalse(testbed.agent(i).process().isAlive(), "a process was left behind");
         }
     }
@@ -54,8 +54,8 @@
         StringWriter out = new StringWriter();
         List<String> all = new ArrayList<>(List.of("changes"));
         all.addAll(List.of(arguments));
-        for (int i = 0; i < ChangesTestbed.REPLICAS; i++) {
-            all.add("--control=" + LocalNetwork.format(testbed.agent(i).control()));
+        for (int i = 0; i < ChangesTestbed.REPLICA_COUNT; i++) {
+            all.add("--control=" + LocalNetwork.format(testbed.agent(i).controlAddress()));
         }
         int exitCode =
                 Commands.commandLine()
@@ -93,9 +93,9 @@
     }
 
     private void checkThatInvalidChangesAreRefused(String currentValue) {
-        int leader = testbed.leader();
-        Map<String, String> before = testbed.values(leader);
-        long version = testbed.version(leader);
+        int leader = testbed.leaderIndex();
+        Map<String, String> before = testbed.valuesInForce(leader);
+        long version = testbed.versionInForce(leader);
         runChangesCommand(Commands.EXIT_USAGE, "put", KEY, "0");
         runChangesCommand(Commands.EXIT_USAGE, "put", "service/claims/unknown", "1");
         runChangesCommand(Commands.EXIT_FAILURE, "put", KEY, "700", "--if-version", "0");
@@ -103,8 +103,8 @@
             String answer = testbed.agent(leader).ask("change-put " + call);
             assertTrue(answer.startsWith("error refused: "), answer);
         }
-        assertEquals(version, testbed.version(leader));
-        assertEquals(before, testbed.values(leader));
+        assertEquals(version, testbed.versionInForce(leader));
+        assertEquals(before, testbed.valuesInForce(leader));
         assertTrue(before.get(KEY).startsWith(currentValue + "@"), before.toString());
     }
 
@@ -131,13 +131,14 @@
         other += ChangesTestbed.serviceOf(other).equals("claims") ? 1 : 0;
         assertEquals(
                 Map.of(),
-                testbed.values(other),
+                testbed.valuesInForce(other),
                 "values of a service that it does not subscribe to");
         checkThatInvalidChangesAreRefused("500");
 
-        int leader = testbed.leader();
+        int leader = testbed.leaderIndex();
         testbed.agent(leader).process().signal("KILL");
-        ChangesTestbed.await(() -> testbed.leader() >= 0, TIMEOUT_MS, "no other replica leads");
+        ChangesTestbed.await(
+                () -> testbed.leaderIndex() >= 0, TIMEOUT_MS, "no other replica leads");
         put("600");
 
         int interested = other == testbed.subscribers().get(0) ? other + 1 : other - 1;
@@ -145,6 +146,7 @@
         put("700");
         String metrics = testbed.agent(interested).ask("vars");
         assertTrue(
-                metrics.contains("changes_version " + testbed.version(interested) + "\n"), metrics);
+                metrics.contains("changes_version " + testbed.versionInForce(interested) + "\n"),
+                metrics);
     }
 }
--- a/src/test/java/passhatch/lab/drill/ComparisonTest.java
+++ b/src/test/java/passhatch/lab/drill/ComparisonTest.java
@@ -25,15 +25,18 @@
             double[] b = new double[8];
             java.util.Arrays.setAll(a, n -> 10 + normal.sample());
             java.util.Arrays.setAll(b, n -> 12 + 3 * normal.sample());
-            Comparison.Row row = Comparison.row("x", a, b);
-            covered += row.low() <= 2 && row.high() >= 2 ? 1 : 0;
+            Comparison.Row row = Comparison.compareMeasure("x", a, b);
+            covered += row.intervalLow() <= 2 && row.intervalHigh() >= 2 ? 1 : 0;
         }
         assertEquals(0.95, (double) covered / trials, 0.02);
     }
 
     @Test
     void thereIsNoIntervalWithoutRepeats() {
-        assertTrue(Double.isNaN(Comparison.row("x", new double[] {1}, new double[] {2, 3}).low()));
-        assertFalse(Comparison.row("x", new double[] {1}, new double[] {2}).differs());
+        assertTrue(
+                Double.isNaN(
+                        Comparison.compareMeasure("x", new double[] {1}, new double[] {2, 3})
+                                .intervalLow()));
+        assertFalse(Comparison.compareMeasure("x", new double[] {1}, new double[] {2}).differs());
     }
 }
--- a/src/test/java/passhatch/lab/drill/DrillIT.java
+++ b/src/test/java/passhatch/lab/drill/DrillIT.java
@@ -76,7 +76,7 @@
                         expect = {served = 0.99, recovery = "500ms"}
                         """,
                         "hung");
-        assertFalse(result.holds());
+        assertFalse(result.meetsExpectations());
         assertEquals(2, result.broken().size(), result.broken().toString());
     }
 
@@ -103,7 +103,7 @@
             for (Path file : files.sorted().toList()) {
                 Result result = run(Files.readString(file), file.getFileName().toString());
                 assertTrue(
-                        result.holds(),
+                        result.meetsExpectations(),
                         () -> file + ": " + result.broken() + " " + result.invalid());
             }
         }
--- a/src/test/java/passhatch/lab/drill/DutyIT.java
+++ b/src/test/java/passhatch/lab/drill/DutyIT.java
@@ -108,8 +108,8 @@
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (System.nanoTime() < deadlineNs) {
             for (DutyHolderLog.Observation act :
-                    holderLog.all().stream()
-                            .skip(Math.max(0, holderLog.all().size() - 50))
+                    holderLog.observations().stream()
+                            .skip(Math.max(0, holderLog.observations().size() - 50))
                             .toList()) {
                 if (act.term() > term) {
                     return act;
@@ -157,7 +157,7 @@
         Collections.sort(handOvers);
         System.out.println(
                 "duties: "
-                        + holderLog.all().size()
+                        + holderLog.observations().size()
                         + " acts seen; lease "
                         + LEASE_MS
                         + " ms; without a holder after failures "
@@ -211,7 +211,7 @@
         AgentProcess agent = testbed.agent(lost);
         agent.process().signal("KILL");
         agent.process().awaitExit(TIMEOUT_MS);
-        try (Stream<Path> files = Files.list(agent.store())) {
+        try (Stream<Path> files = Files.list(agent.storeFolder())) {
             for (Path file : files.toList()) {
                 Files.delete(file);
             }
@@ -222,7 +222,8 @@
         assertTrue(
                 System.nanoTime() - startNs > TimeUnit.MILLISECONDS.toNanos(LEASE_MS),
                 "it voted before a lease had passed");
-        DutyHolderLog.Observation lastObservation = holderLog.all().get(holderLog.all().size() - 1);
+        DutyHolderLog.Observation lastObservation =
+                holderLog.observations().get(holderLog.observations().size() - 1);
         assertEquals(
                 "done\n", testbed.agent(lastObservation.process()).ask("give-up drill m" + lost));
         assertTrue(await(lastObservation.term()).term() > lastObservation.term());
--- a/src/test/java/passhatch/lab/drill/MembershipIT.java
+++ b/src/test/java/passhatch/lab/drill/MembershipIT.java
@@ -104,7 +104,11 @@
 
     /** Returns the number of lines in an agent's log that report a failed member. */
     private long loggedFailures(int agent) throws IOException {
-        return testbed.agent(agent).log().lines().filter(l -> l.contains("is failed, was")).count();
+        return testbed.agent(agent)
+                .readLog()
+                .lines()
+                .filter(l -> l.contains("is failed, was"))
+                .count();
     }
 
     @Test
@@ -206,7 +210,7 @@
      */
     @Test
     void aMemberRestoredFromAnOldImageRejoins() throws Exception {
-        Path store = testbed.agent(2).store();
+        Path store = testbed.agent(2).storeFolder();
         Path image = folder.resolve("image");
         copy(store, image);
         for (int i = 0; i < 2; i++) {
@@ -229,8 +233,8 @@
                 2 * CONVERGENCE_TIMEOUT_S);
         awaitAllAlive(CONVERGENCE_TIMEOUT_S);
         assertTrue(
-                testbed.agent(2).log().contains("gives way")
-                        || testbed.agent(2).log().contains("was still known"),
+                testbed.agent(2).readLog().contains("gives way")
+                        || testbed.agent(2).readLog().contains("was still known"),
                 "the log names the conflict");
         // The epoch that it took is on disk: the next start does not use it again.
         long taken = epoch(2);
@@ -273,7 +277,7 @@
             await(() -> other.agent(2).ask("check").startsWith("done"), START_TIMEOUT_S);
             other.agent(1).process().start();
             await(() -> other.agent(1).ask("check").startsWith("error"), START_TIMEOUT_S);
-            assertTrue(other.agent(1).log().contains("gives way"));
+            assertTrue(other.agent(1).readLog().contains("gives way"));
             assertTrue(other.agent(2).ask("check").startsWith("done"));
             other.agent(2).process().signal("KILL");
             await(() -> other.agent(1).ask("check").startsWith("done"), CONVERGENCE_TIMEOUT_S);
@@ -286,7 +290,7 @@
     /** A process counts datagrams of unknown senders and reloads its member list while it runs. */
     @Test
     void unknownDatagramsAreCountedAndTheMemberListIsReloadedOnSighup() throws Exception {
-        InetSocketAddress target = testbed.agent(1).listen();
+        InetSocketAddress target = testbed.agent(1).listenAddress();
         try (DatagramChannel unknownSender = DatagramChannel.open()) {
             for (int i = 0; i < 5; i++) {
                 unknownSender.send(ByteBuffer.wrap(new byte[] {1, 2, 3, 4, 5, 6}), target);
@@ -309,7 +313,7 @@
         await(
                 () -> {
                     try {
-                        return testbed.agent(1).log().contains("nothing is changed: ");
+                        return testbed.agent(1).readLog().contains("nothing is changed: ");
                     } catch (IOException unreadable) {
                         return false;
                     }
--- a/src/test/java/passhatch/lab/drill/OneProxyDrill.java
+++ b/src/test/java/passhatch/lab/drill/OneProxyDrill.java
@@ -65,7 +65,11 @@
         events = new EventFile(folder.resolve("events.jsonl"));
         faults =
                 new FaultRunner(
-                        scenario, testbed, new ProxyPool(List.of(proxy.listen())), events, timer);
+                        scenario,
+                        testbed,
+                        new ProxyPool(List.of(proxy.listenAddress())),
+                        events,
+                        timer);
     }
 
     @AfterEach
@@ -79,7 +83,8 @@
     void injectFault(String text) {
         String scenarioWithFault =
                 scenarioText.replace("expect =", "faults = [{at = '0s', " + text + "}]\nexpect =");
-        FaultPlan.of(ScenarioReader.read("faults", scenarioWithFault)).forEach(faults::run);
+        FaultPlan.stepsOf(ScenarioReader.read("faults", scenarioWithFault))
+                .forEach(faults::runStep);
         assertTrue(
                 events.events().stream().noneMatch(e -> e.type().equals("fault-failed")),
                 () -> "" + events.events());
@@ -92,7 +97,9 @@
         HttpRequest request =
                 HttpRequest.newBuilder(
                                 URI.create(
-                                        "http://" + LocalNetwork.format(proxy.listen()) + "/look"))
+                                        "http://"
+                                                + LocalNetwork.format(proxy.listenAddress())
+                                                + "/look"))
                         .header("X-Request-Id", "r" + lastRequestId.incrementAndGet())
                         .timeout(Duration.ofSeconds(3))
                         .build();
--- a/src/test/java/passhatch/lab/drill/OpenFilesIT.java
+++ b/src/test/java/passhatch/lab/drill/OpenFilesIT.java
@@ -30,7 +30,10 @@
         List<Socket> idle = new ArrayList<>();
         try {
             for (int i = 0; i < 2 * OPEN_FILES; i++) {
-                idle.add(new Socket(proxy.listen().getAddress(), proxy.listen().getPort()));
+                idle.add(
+                        new Socket(
+                                proxy.listenAddress().getAddress(),
+                                proxy.listenAddress().getPort()));
             }
             injectFault("do = 'break'");
             Thread.sleep(OVER_RETRY_DELAY_MS);
--- a/src/test/java/passhatch/lab/drill/ResultEvaluatorTest.java
+++ b/src/test/java/passhatch/lab/drill/ResultEvaluatorTest.java
@@ -13,7 +13,7 @@
      * half are, n if none are.
      */
     private static Long recovery(String steps, long atMs, long untilMs) {
-        return ResultEvaluator.recovery(LoadStatsFixtures.steps(steps, 40), atMs, untilMs);
+        return ResultEvaluator.recoveryMs(LoadStatsFixtures.steps(steps, 40), atMs, untilMs);
     }
 
     @Test
--- a/src/test/java/passhatch/lab/drill/ScenarioReaderTest.java
+++ b/src/test/java/passhatch/lab/drill/ScenarioReaderTest.java
@@ -89,8 +89,8 @@
                         "faults = [{at = '5s', do = 'stop', target = 'proxies', for = '2s'},{at ="
                                 + " '6s', do = 'kill', target = ['proxy-2'], for = '1s'}]\n"
                                 + "[expect]");
-        List<FaultPlan.Step> steps = FaultPlan.of(ScenarioReader.read("f", text));
-        assertEquals(steps, FaultPlan.of(ScenarioReader.read("f", text)));
+        List<FaultPlan.Step> steps = FaultPlan.stepsOf(ScenarioReader.read("f", text));
+        assertEquals(steps, FaultPlan.stepsOf(ScenarioReader.read("f", text)));
         assertEquals(
                 List.of(
                         "stop proxy-1",
--- a/src/test/java/passhatch/lab/duty/DutyCheckerTest.java
+++ b/src/test/java/passhatch/lab/duty/DutyCheckerTest.java
@@ -119,7 +119,7 @@
                                             Predicate<Promise> disk) {
                                         return new Voter(settings, nowUs, promises, disk) {
                                             @Override
-                                            protected long boundAfterStartUs(long startUs) {
+                                            protected long boundUntilAfterStartUs(long startUs) {
                                                 return startUs;
                                             }
                                         };
--- a/src/test/java/passhatch/store/CrashTest.java
+++ b/src/test/java/passhatch/store/CrashTest.java
@@ -51,7 +51,7 @@
         for (int i = 0; i < operations; i++) {
             int what = random.nextInt(20);
             if (what == 0) {
-                log.snapshot(model.written.stream().map(CrashTest::entry).toList());
+                log.writeSnapshot(model.written.stream().map(CrashTest::entry).toList());
             } else if (what == 1) {
                 log.close();
                 log = RecordLog.open(disk, OWNER, e -> {});
--- a/src/test/java/passhatch/store/StoreTest.java
+++ b/src/test/java/passhatch/store/StoreTest.java
@@ -53,7 +53,7 @@
                 assertEquals(i, log.epoch());
                 assertEquals(i == 1 ? 0 : 2, found.size());
                 log.append(List.of(entry("a" + i), entry("b" + i)));
-                log.snapshot(List.of(entry("s" + i)));
+                log.writeSnapshot(List.of(entry("s" + i)));
                 log.append(List.of(entry("c" + i)));
             }
         }
@@ -161,11 +161,11 @@
         RecordLog log = RecordLog.open(disk, "me", e -> {});
         Entry large = new Entry(1, new byte[Format.MAX_RECORD_BYTES + 1]);
         assertThrows(StoreException.TooLarge.class, () -> log.append(List.of(entry("a"), large)));
-        assertThrows(StoreException.TooLarge.class, () -> log.snapshot(List.of(large)));
+        assertThrows(StoreException.TooLarge.class, () -> log.writeSnapshot(List.of(large)));
         // Its kind is that of a mark: a snapshot that contains one could not be read again.
-        Entry mark = new Entry(Format.MARK, new byte[0]);
+        Entry mark = new Entry(Format.MARK_KIND, new byte[0]);
         assertThrows(IllegalArgumentException.class, () -> log.append(List.of(mark)));
-        assertThrows(IllegalArgumentException.class, () -> log.snapshot(List.of(mark)));
+        assertThrows(IllegalArgumentException.class, () -> log.writeSnapshot(List.of(mark)));
         Entry largest = new Entry(1, new byte[Format.MAX_RECORD_BYTES]);
         long fits = Format.MAX_TOTAL_BYTES / Format.recordSize(largest.bytes());
         StoreException full =
@@ -178,7 +178,7 @@
                         });
         assertTrue(full.getMessage().contains("would hold over"), full.getMessage());
         assertTrue(log.isSnapshotDue());
-        log.snapshot(List.of(entry("s")));
+        log.writeSnapshot(List.of(entry("s")));
         log.append(List.of(entry("b")));
         assertEquals(List.of(entry("s"), entry("b")), readEntries(disk));
     }
@@ -232,7 +232,7 @@
         FaultyDisk good = new FaultyDisk(CAPACITY);
         RecordLog log = RecordLog.open(good, "me", e -> {});
         log.append(IntStream.range(0, 30).mapToObj(i -> entry("record " + i)).toList());
-        log.snapshot(List.of(entry("s"), entry("t")));
+        log.writeSnapshot(List.of(entry("s"), entry("t")));
         log.append(List.of(entry("u"), entry("v")));
         List<String> names = good.list();
         int read = 0;
