--- a/src/main/java/passhatch/distribution/ConfigKey.java
+++ b/src/main/java/passhatch/distribution/ConfigKey.java
@@ -5,7 +5,7 @@
 
 /**
  * Format of keys and values: {@code service/NAME/SETTING} for one service, {@code fleet/SETTING}
- * for all of them. Their size limits let any entry fit into one datagram.
+ * for the whole fleet. Keys and values have size limits, so that any entry fits into one datagram.
  */
 public final class ConfigKey {
 
--- a/src/main/java/passhatch/distribution/ConfigState.java
+++ b/src/main/java/passhatch/distribution/ConfigState.java
@@ -7,9 +7,10 @@
 import java.util.TreeMap;
 
 /**
- * The newest committed entry of each key, up to a version. Deleted keys are kept as tombstones, so
- * that a delta can include the deletion. When there are too many, the oldest are dropped, and the
- * floor rises: a follower below the floor needs the whole state.
+ * The committed state at a version: the newest entry of each key. Deleted keys are kept as
+ * tombstones, so that a delta can include the deletion. When there are too many tombstones, the
+ * oldest are dropped. A delta then lacks the dropped deletions, so a follower with a version below
+ * {@link #minDeltaVersion} needs the whole state.
  */
 final class ConfigState {
 
@@ -38,7 +39,10 @@
         return minDeltaVersion;
     }
 
-    /** Clears the state and sets its version, term and floor. */
+    /**
+     * Clears the state and sets its version, the term of that version, and the minimum version of a
+     * follower that a delta can serve.
+     */
     void reset(long newVersion, long newTerm, long newMinDeltaVersion) {
         entriesByKey.clear();
         entriesByVersion.clear();
@@ -49,7 +53,8 @@
     }
 
     /**
-     * Adds one entry, whatever the state's version is, unless a newer entry of its key is present.
+     * Adds one entry, unless the state has an entry of the same key with the same or a higher
+     * version. The version of the state does not change.
      */
     void putIfNewer(LogEntry entry) {
         if (entry.isNoOperation()) {
@@ -80,16 +85,16 @@
         }
     }
 
-    /** Sets the version that the state has reached. */
+    /** Sets the version that the state has reached, and the term of that version. */
     void advanceTo(long newVersion, long newTerm) {
         version = newVersion;
         term = newTerm;
     }
 
     /**
-     * Returns the newest entry of each key changed after a version, up to the state's version,
-     * oldest first. Entries beyond the state's version, which a snapshot received during changes
-     * may contain, are left out.
+     * Returns the entries with versions above the given one and up to the state's version, oldest
+     * first. An entry above the state's version is left out; a snapshot that was received during
+     * changes may contain such entries.
      */
     Collection<LogEntry> changesAfter(long afterVersion) {
         return afterVersion >= version
@@ -97,17 +102,20 @@
                 : entriesByVersion.subMap(afterVersion, false, version, true).values();
     }
 
-    /** Returns the entries beyond a version, oldest first. */
+    /**
+     * Returns the entries with versions above the given one, oldest first, including those above
+     * the state's version.
+     */
     Collection<LogEntry> allEntriesAfter(long afterVersion) {
         return entriesByVersion.tailMap(afterVersion, false).values();
     }
 
-    /** Returns the entries after a key, in key order. */
+    /** Returns the entries whose keys sort after the given key, in key order. */
     NavigableMap<String, LogEntry> entriesAfterKey(String key) {
         return entriesByKey.tailMap(key, false);
     }
 
-    /** Returns the entries by key, including tombstones. */
+    /** Returns all entries by key, including tombstones. */
     NavigableMap<String, LogEntry> entries() {
         return Collections.unmodifiableNavigableMap(entriesByKey);
     }
--- a/src/main/java/passhatch/distribution/DatagramBudget.java
+++ b/src/main/java/passhatch/distribution/DatagramBudget.java
@@ -5,15 +5,21 @@
 import java.util.List;
 
 /**
- * Computes how many entries fit into one datagram beside its other fields, whatever their values
- * are.
+ * Computes how many entries fit into one datagram. It assumes the maximum size of all other fields
+ * of the message.
  */
 final class DatagramBudget {
 
-    /** Maximum size of the entries in a message that has no key beside them. */
+    /**
+     * Maximum total size of the entries in a message, in bytes; valid for messages that contain no
+     * key apart from the entries.
+     */
     static final int MAX_ENTRIES_BYTES = 182;
 
-    /** Size of an entry beside its key and value: array, two numbers, two lengths. */
+    /**
+     * Size of an entry without its key and value: the array header, two numbers and two text
+     * lengths.
+     */
     private static final int ENTRY_OVERHEAD_BYTES = 23;
 
     private DatagramBudget() {}
@@ -24,7 +30,7 @@
         return ENTRY_OVERHEAD_BYTES + entry.key().length() + value;
     }
 
-    /** Returns the longest prefix of the entries that fits. */
+    /** Returns the longest prefix of the entries that fits into one datagram. */
     static List<LogEntry> fittingPrefix(Iterable<LogEntry> entries) {
         return fittingPrefix(entries, MAX_ENTRIES_BYTES);
     }
--- a/src/main/java/passhatch/distribution/DiskRecordCodec.java
+++ b/src/main/java/passhatch/distribution/DiskRecordCodec.java
@@ -17,8 +17,9 @@
 import passhatch.fleet.CborReader;
 
 /**
- * Encodes disk records as a CBOR array that begins with the format version and the kind of the
- * record. Later versions of the program may add fields at the end of an array; they are ignored.
+ * Encodes each disk record as a CBOR array that begins with the format version and the kind of the
+ * record, and decodes it. Later versions of the program may add fields at the end of an array;
+ * decoding ignores fields that it does not know.
  */
 public final class DiskRecordCodec {
 
@@ -26,7 +27,10 @@
     private static final long MAX_NUMBER = Long.MAX_VALUE - 1;
     private static final CBORFactory CBOR = new CBORFactory();
 
-    /** Kinds of records, in the order of their numbers on disk; FOUNDED is {@link Initialized}. */
+    /**
+     * Kinds of records; the ordinal of a kind is its number on disk. FOUNDED is the kind of {@link
+     * Initialized}.
+     */
     private enum Kind {
         PROMISED,
         FOUNDED,
@@ -60,13 +64,13 @@
             writeNumbers(cbor, Kind.FOUNDED, initialization.epoch());
         } else if (record instanceof Appended appended) {
             writeNumbers(cbor, Kind.APPENDED, appended.epoch());
-            readEntries(cbor, List.of(appended.entry()));
+            writeEntries(cbor, List.of(appended.entry()));
         } else if (record instanceof Committed committed) {
             writeNumbers(cbor, Kind.COMMITTED, committed.epoch(), committed.version());
         } else if (record instanceof Applied applied) {
             writeNumbers(
                     cbor, Kind.APPLIED, applied.epoch(), applied.uptoVersion(), applied.uptoTerm());
-            readEntries(cbor, applied.entries());
+            writeEntries(cbor, applied.entries());
         } else if (record instanceof Reset reset) {
             writeNumbers(
                     cbor,
@@ -77,7 +81,7 @@
                     reset.minDeltaVersion());
         } else if (record instanceof Content content) {
             writeNumbers(cbor, Kind.CONTENT);
-            readEntries(cbor, content.entries());
+            writeEntries(cbor, content.entries());
         }
     }
 
@@ -89,7 +93,8 @@
         }
     }
 
-    private static void readEntries(CBORGenerator cbor, List<LogEntry> entries) throws IOException {
+    private static void writeEntries(CBORGenerator cbor, List<LogEntry> entries)
+            throws IOException {
         cbor.writeStartArray();
         for (LogEntry entry : entries) {
             cbor.writeStartArray();
@@ -105,7 +110,7 @@
     /**
      * Decodes a record.
      *
-     * @throws IOException if the bytes are not a record, or are of a newer format
+     * @throws IOException if the bytes are not a valid record, or have a newer format
      */
     public static DiskRecord decode(byte[] bytes) throws IOException {
         try (JsonParser parser = CBOR.createParser(bytes)) {
--- a/src/main/java/passhatch/distribution/DistributionActions.java
+++ b/src/main/java/passhatch/distribution/DistributionActions.java
@@ -5,22 +5,29 @@
 /** Actions that a participant requests from its host. */
 public interface DistributionActions {
 
-    /** Sends a datagram, which may get lost. */
+    /** Sends a message to a peer as a datagram, which may get lost. */
     void send(String peer, Message message);
 
     /**
-     * Writes records and forces them to disk.
+     * Writes records to disk and returns once they are durable.
      *
-     * @return false if they may not be on disk; the participant does not trust that disk afterwards
+     * @return false if the records may not be on disk; the participant then no longer relies on the
+     *     disk
      */
     boolean force(List<DiskRecord> records);
 
     /** Reports that the applied state has reached a newer version. */
     default void versionApplied(long epoch, long version) {}
 
-    /** Reports that a change submitted at this leader is committed. */
+    /**
+     * Reports that the change with this version, which was submitted to the leader in this process,
+     * is committed.
+     */
     default void changeCommitted(long version) {}
 
-    /** Reports that this leader cannot lead in this term any more and releases its lease. */
+    /**
+     * Reports that the leader in this process can no longer lead in this term; the host should
+     * release its lease.
+     */
     default void leaderSteppedDown(long term, String reason) {}
 }
--- a/src/main/java/passhatch/distribution/DistributionSettings.java
+++ b/src/main/java/passhatch/distribution/DistributionSettings.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * Settings of a participant.
+ * Settings of a participant in the distribution of changes.
  *
- * @param name of this participant, for operators
- * @param role of this participant
- * @param epoch of the log, 1 or more; raised when a new log is initialized
- * @param self its own address as the other replicas name it; used only for replicas
- * @param replicas addresses of all replicas; an odd number
- * @param sources addresses to follow, the preferred first; empty for a replica
- * @param services whose keys a subscriber keeps; ignored for other roles
+ * @param name name of this participant, for operators
+ * @param role role of this participant
+ * @param epoch epoch of the log, 1 or more; an operator raises it to initialize a new log
+ * @param self address of this participant, as in {@code replicas}; used only if it is a replica
+ * @param replicas addresses of all replicas; their number is odd
+ * @param sources addresses of the sources that this participant may follow, the preferred one
+ *     first; empty for a replica
+ * @param services names of the services whose keys a subscriber keeps; ignored for other roles
  */
 public record DistributionSettings(
         String name,
@@ -25,15 +26,15 @@
 
     /** Role of a participant. */
     public enum Role {
-        /** Keeps the log, can lead, and serves followers. */
+        /** Stores the log, can become the leader, and serves followers. */
         REPLICA,
-        /** Follows a replica for all keys and serves the followers of its zone. */
+        /** Follows a replica, keeps all keys, and serves the followers of its zone. */
         RELAY,
-        /** Follows a source for the keys of some services. */
+        /** Follows a relay or replica and keeps the keys of some services. */
         SUBSCRIBER
     }
 
-    /** Copies the collections. */
+    /** Copies the collections, so that the settings are immutable. */
     public DistributionSettings {
         replicas = List.copyOf(replicas);
         sources = List.copyOf(sources);
--- a/src/main/java/passhatch/distribution/Follower.java
+++ b/src/main/java/passhatch/distribution/Follower.java
@@ -12,15 +12,18 @@
 import passhatch.distribution.Message.SnapshotPart;
 
 /**
- * Keeps a copy of the committed state, or of the keys of some services, as new as the best of its
- * sources. It applies only versions above its own, so that duplicates, reordering and sources that
- * are behind cannot replace a newer value by an older one.
+ * Keeps a copy of the committed state, or of its entries for some services, up to date by polling
+ * one of several sources. A follower applies only versions above its own, so that duplicates,
+ * reordering and sources that are behind cannot replace a newer value by an older one.
  */
 final class Follower implements CommittedView {
 
     private static final int MAX_TOMBSTONES = 4_096;
 
-    /** Twice the number of unconfirmed datagrams that a source sends. */
+    /**
+     * Maximum number of early deltas that are kept: twice the maximum number of unconfirmed
+     * datagrams of a source.
+     */
     private static final int MAX_EARLY_DELTAS = 32;
 
     private final String name;
@@ -32,7 +35,10 @@
     private final ConfigState state = new ConfigState(MAX_TOMBSTONES);
     private long epoch;
 
-    /** Deltas received too early to apply, by the version that they follow. */
+    /**
+     * Deltas that cannot be applied until the deltas before them arrive, by the version after which
+     * they begin.
+     */
     private final TreeMap<Long, Delta> earlyDeltas = new TreeMap<>();
 
     private IncomingSnapshot incomingSnapshot;
@@ -40,31 +46,35 @@
     private long pollAtUs;
     private long lastPollUs;
 
-    /** When the current source last replied, or was chosen. */
+    /**
+     * Time at which the current source last replied; the time at which it was chosen if it has not
+     * replied yet.
+     */
     private long lastReplyUs;
 
-    /** The age of its state that the current source last reported. */
+    /** Age of its state in microseconds, as the current source last reported it. */
     private long sourceAgeUs;
 
-    /** The latest time at which the state here is known to have been current. */
+    /** Latest time at which the state of this follower is known to have been current. */
     private long currentAsOfUs = Long.MIN_VALUE / 2;
 
     private boolean sourceIsBehind;
 
-    /** Number of consecutive switches because a source was stale. */
+    /** Number of consecutive times that the source was found stale. */
     private int consecutiveStaleSources;
 
-    /** Until this time the follower does not leave a source for being stale. */
+    /** Time until which the follower stays with its source even if that source is stale. */
     private long toleratesStaleUntilUs;
 
     private long returnToPreferredAtUs = Long.MAX_VALUE;
     private boolean diskFailed;
 
     /**
-     * Creates a follower from what its disk holds.
+     * Creates a follower from the records on its disk.
      *
-     * @param wantedKeys the keys that it keeps; all of them pass the filter
-     * @param records contents of its disk, used until newer changes are received
+     * @param filter sent to the sources; accepts at least the wanted keys
+     * @param wantedKeys tells which keys the follower keeps
+     * @param records contents of the disk; the follower serves them until it receives newer changes
      */
     Follower(
             String name,
@@ -149,8 +159,8 @@
         if (stale
                 && nowUs >= toleratesStaleUntilUs
                 && ++consecutiveStaleSources >= sources.size()) {
-            // All sources are stale, for example because there is no leader: stop switching for a
-            // while.
+            // All sources are stale, for example because there is no leader, so the follower
+            // stops switching for a while.
             consecutiveStaleSources = 0;
             toleratesStaleUntilUs = nowUs + randomPreferredRetryDelayUs();
             switchSource(nowUs, 0);
@@ -180,9 +190,9 @@
     private void poll(long nowUs) {
         lastPollUs = nowUs;
         pollAtUs = nowUs + Timing.POLL_RETRY_DELAY_US;
-        boolean ofThisSource =
+        boolean fromCurrentSource =
                 incomingSnapshot != null && incomingSnapshot.source().equals(source());
-        if (!ofThisSource) {
+        if (!fromCurrentSource) {
             incomingSnapshot = null;
         }
         String cursor =
@@ -250,7 +260,7 @@
         earlyDeltas.put(delta.afterVersion(), delta);
     }
 
-    /** Applies the early deltas that follow the current version now. */
+    /** Applies the early deltas that can now be applied to the current version. */
     private void applyEarlyDeltas() {
         for (Map.Entry<Long, Delta> next = earlyDeltas.pollFirstEntry();
                 next != null;
@@ -304,7 +314,8 @@
     private void installSnapshot(IncomingSnapshot complete) {
         incomingSnapshot = null;
         if (complete.epoch() == epoch) {
-            // An earlier snapshot may have brought entries newer than this snapshot's version.
+            // Entries of an earlier snapshot may be newer than this snapshot's version; they are
+            // kept.
             complete.entries().addAll(state.allEntriesAfter(complete.version()));
         }
         List<DiskRecord> records = new ArrayList<>();
@@ -326,8 +337,8 @@
     }
 
     /**
-     * Writes records to disk. Changes are applied even if the disk fails, because the copy here may
-     * be lost.
+     * Writes records to disk. The caller applies the changes even if the disk fails, because a
+     * follower can fetch a lost copy again.
      */
     private void force(List<DiskRecord> records) {
         if (!diskFailed) {
--- a/src/main/java/passhatch/distribution/IncomingSnapshot.java
+++ b/src/main/java/passhatch/distribution/IncomingSnapshot.java
@@ -8,12 +8,12 @@
 import passhatch.distribution.Message.SnapshotPart;
 
 /**
- * A whole state that is being received from one source. Parts received out of order are kept, so
- * that reordering within a burst costs nothing and a lost part costs only itself.
+ * A snapshot that is being received from one source in several parts. Parts that arrive too early
+ * are kept until the parts before them arrive, so that only lost parts have to be sent again.
  */
 final class IncomingSnapshot {
 
-    /** Maximum number of parts kept out of order: two bursts. */
+    /** Maximum number of early parts that are kept; equal to two bursts of a source. */
     private static final int MAX_EARLY_PARTS = 64;
 
     private final String source;
@@ -41,7 +41,8 @@
     }
 
     /**
-     * Returns the version up to which all changes are in the snapshot; some entries may be newer.
+     * Returns the version up to which the snapshot contains all changes; some of its entries may be
+     * newer.
      */
     long version() {
         return version;
@@ -55,7 +56,7 @@
         return entries;
     }
 
-    /** Returns the last key received without a gap before it; empty at the start. */
+    /** Returns the key up to which all parts have been received; empty at the start. */
     String cursor() {
         return cursor;
     }
@@ -70,9 +71,9 @@
     }
 
     /**
-     * Adds a part, and the early parts that follow it.
+     * Adds a part; if it is the next one in order, also adds the early parts that follow it.
      *
-     * @param wantedKeys the keys that are kept
+     * @param wantedKeys tells which keys to keep
      * @return whether the last part of a burst was added, so that the next burst can be requested
      */
     boolean addPart(SnapshotPart part, Predicate<String> wantedKeys) {
--- a/src/main/java/passhatch/distribution/Leader.java
+++ b/src/main/java/passhatch/distribution/Leader.java
@@ -13,19 +13,23 @@
 import passhatch.distribution.Message.Prepared;
 
 /**
- * The leader of one term, which appends to the log. It first makes a majority of replicas reject
- * lower terms and adopts the most complete of their logs, which contains every committed entry. An
- * entry is committed once a majority has it and an entry of this term.
+ * The leader of one term, which appends changes to the log. First, a leader has a majority of
+ * replicas promise to reject lower terms. Next, the leader adopts the most complete log of this
+ * majority, which contains every committed entry. An entry is committed once a majority has stored
+ * it and a majority has stored an entry of this term at the same or a higher version.
  */
 final class Leader {
 
-    /** Maximum number of unconfirmed entries sent to a replica. */
+    /** Maximum number of entries sent to a replica that it has not confirmed. */
     private static final int MAX_UNCONFIRMED_ENTRIES = 64;
 
-    /** Unanswered requests for a log after which the leader starts again with all replicas. */
+    /**
+     * Maximum number of repeated log requests without a reply; after that the leader sends a
+     * prepare message to all replicas again.
+     */
     private static final int MAX_LOG_REQUEST_RETRIES = 5;
 
-    /** Maximum number of uncommitted entries; further changes are rejected. */
+    /** Maximum number of uncommitted entries; the leader rejects further changes. */
     private static final int MAX_UNCOMMITTED_ENTRIES = 1_024;
 
     private enum Phase {
@@ -35,7 +39,7 @@
         STOPPED
     }
 
-    /** What the leader knows of another replica. */
+    /** What the leader knows about another replica. */
     private static final class Peer {
         private long matchingVersion;
         private long nextVersion;
@@ -43,7 +47,9 @@
         private long lastReplyUs = Long.MIN_VALUE / 2;
         private boolean voting;
 
-        /** Whether the last entry that matches the leader's log is still unknown. */
+        /**
+         * Whether the leader does not know yet up to which entry the replica's log matches its own.
+         */
         private boolean probing = true;
     }
 
@@ -87,7 +93,7 @@
         return phase == Phase.LEADING;
     }
 
-    /** Returns whether the leader has stepped down or lost its lease. */
+    /** Returns whether this leader has stepped down or lost its lease. */
     boolean isStopped() {
         return phase == Phase.STOPPED;
     }
@@ -174,15 +180,16 @@
     }
 
     /**
-     * Repeats an unanswered log request; after too many without a reply, asks all replicas again.
+     * Repeats a log request that got no reply. After too many repetitions, sends a prepare message
+     * to all replicas again.
      */
     private void retryAdoption(long nowUs) {
         if (++logRequestRetries <= MAX_LOG_REQUEST_RETRIES) {
             requestLog(nowUs);
             return;
         }
-        // This is safe: no replica has accepted entries of another leader since, and this leader
-        // has appended none.
+        // Preparing again is safe: no replica that still accepts this term has accepted entries
+        // of another leader since the first time, and this leader has not appended any.
         phase = Phase.PREPARING;
         adoptedFrom = null;
         preparedReplies.clear();
@@ -245,14 +252,15 @@
     }
 
     /**
-     * Appends a change. The change is made once {@link DistributionActions#changeCommitted} reports
-     * its version. If this leader loses its lease first, the change may or may not be made.
+     * Appends a change to the log. The change takes effect once {@link
+     * DistributionActions#changeCommitted} reports its version. If this leader loses its lease
+     * before that, the change may or may not take effect.
      *
-     * @param value null to delete the key
-     * @param ifVersion expected version of the key's newest entry; negative for any, 0 for a key
-     *     that does not exist
-     * @return the change's version
-     * @throws InvalidChangeException if the change cannot be made
+     * @param value the new value; null to delete the key
+     * @param ifVersion expected version of the key's newest entry; negative to accept any version,
+     *     0 to require that the key does not exist
+     * @return the version of the change
+     * @throws InvalidChangeException if the change is not valid or this leader cannot append it
      */
     long submit(long nowUs, String key, String value, long ifVersion)
             throws InvalidChangeException {
@@ -264,10 +272,10 @@
             throw new InvalidChangeException(
                     "too many changes are waiting for a majority; try again");
         }
-        long newest = versionOf(key);
-        if (ifVersion >= 0 && ifVersion != newest) {
+        long newestVersion = versionOf(key);
+        if (ifVersion >= 0 && ifVersion != newestVersion) {
             throw new InvalidChangeException(
-                    key + ": expected version " + ifVersion + ", it has version " + newest);
+                    key + ": expected version " + ifVersion + ", it has version " + newestVersion);
         }
         long version = replica.log().lastVersion() + 1;
         if (!append(new LogEntry(version, term, key, value))) {
@@ -304,16 +312,17 @@
     }
 
     /**
-     * Sends the entries that a replica lacks, within the limit of unconfirmed entries; with {@code
-     * always} at least one message.
+     * Sends the entries that a replica lacks, within the limit of unconfirmed entries.
+     *
+     * @param always whether to send a message even if there are no entries to send
      */
     private void replicate(long nowUs, String name, Peer peer, boolean always) {
         ReplicatedLog log = replica.log();
         if (peer.nextVersion <= log.baseVersion()) {
             if (always) {
                 actions.send(name, new Behind(settings.epoch(), term));
-                // The replica rejects this append until it has fetched the state; its reply then
-                // reports that it has.
+                // The replica rejects this append until it has fetched the committed state. Once
+                // the replica accepts an append, the leader knows that it has the state.
                 peer.probing = true;
                 peer.nextVersion = log.baseVersion() + 1;
                 sendAppend(nowUs, name, peer, List.of());
@@ -377,14 +386,14 @@
 
     private void onAppendRejected(long nowUs, String from, Peer peer, long version) {
         if (!peer.voting) {
-            // The replica has lost its disk, and with it the entries that it had confirmed.
+            // The replica has lost its disk, including entries that it had confirmed.
             peer.matchingVersion = Math.min(peer.matchingVersion, version);
         }
         if (version + 1 < peer.nextVersion && version >= peer.matchingVersion) {
             peer.probing = true;
             peer.nextVersion = version + 1;
-            // If the entries are no longer retained, wait for the next heartbeat: the reply would
-            // be the same.
+            // If the entries are no longer retained, the next heartbeat is soon enough: until
+            // then the replica would give the same reply.
             replicate(nowUs, from, peer, peer.nextVersion > replica.log().baseVersion());
         }
     }
@@ -409,22 +418,23 @@
             return;
         }
         matching.sort(null);
-        long onMajority = matching.get(matching.size() - settings.majority());
-        if (onMajority <= before || replica.log().termAt(onMajority) != term) {
+        long majorityVersion = matching.get(matching.size() - settings.majority());
+        if (majorityVersion <= before || replica.log().termAt(majorityVersion) != term) {
             return;
         }
         if (settings.majority() == 1) {
             replica.recordLeaderConfirmation(nowUs);
         }
-        replica.commit(onMajority);
-        for (long version = before + 1; version <= onMajority; version++) {
+        replica.commit(majorityVersion);
+        for (long version = before + 1; version <= majorityVersion; version++) {
             actions.changeCommitted(version);
         }
-        // Sent immediately, so that followers of the other replicas need not wait for a heartbeat.
+        // The new committed version is sent immediately, so that followers of the other replicas
+        // need not wait for the next heartbeat.
         peers.forEach((name, peer) -> replicate(nowUs, name, peer, true));
     }
 
-    /** Stops the leader because its lease has ended. */
+    /** Stops this leader because its lease has ended. */
     void leaseLost() {
         phase = Phase.STOPPED;
     }
--- a/src/main/java/passhatch/distribution/LogEntry.java
+++ b/src/main/java/passhatch/distribution/LogEntry.java
@@ -4,9 +4,9 @@
  * One entry of the replicated log.
  *
  * @param version position in the log, from 1
- * @param term of the leader that appended it, from 1
- * @param key the key that is set; empty for the no-operation entry with which a leader begins its
- *     term
+ * @param term term of the leader that appended it, from 1
+ * @param key the key that is set; empty for the no-operation entry that a leader appends at the
+ *     start of its term
  * @param value the new value; null deletes the key
  */
 public record LogEntry(long version, long term, String key, String value) {
--- a/src/main/java/passhatch/distribution/Message.java
+++ b/src/main/java/passhatch/distribution/Message.java
@@ -3,23 +3,31 @@
 import java.util.List;
 
 /**
- * Messages between replicas, relays and subscribers. Each carries the epoch of the log. An operator
- * raises the epoch when a new log is initialized, and versions are comparable only within one
- * epoch.
+ * A message between replicas, relays or subscribers. Each message contains the epoch of the log. An
+ * operator raises the epoch when a new log is initialized, and versions are comparable only within
+ * one epoch.
  */
 public sealed interface Message {
 
-    /** Epoch of the log, 1 or more. */
+    /**
+     * Returns the epoch of the log; 1 or more, or 0 if the sender is a follower that has no state
+     * yet.
+     */
     long epoch();
 
-    /** Leader to replica: accept no leader of a lower term, and report the end of the log. */
+    /**
+     * Leader to replica: asks the replica to promise that it accepts no leader of a lower term, and
+     * to report the end of its log.
+     */
     record Prepare(long epoch, long term) implements Message {}
 
     /**
-     * Replica to leader: the end of its log.
+     * Replica to leader: reports the end of the replica's log, as the reply to a {@link Prepare}.
      *
-     * @param promisedTerm the lowest term that the replica still accepts; above {@code term} it has
-     *     rejected the request
+     * @param term term of the {@link Prepare}
+     * @param promisedTerm the lowest term that the replica accepts; the replica has rejected the
+     *     request if this is above {@code term}
+     * @param committedVersion the highest version that the replica knows to be committed
      */
     record Prepared(
             long epoch,
@@ -31,11 +39,15 @@
             implements Message {}
 
     /**
-     * New leader to the replica with the most complete log: requests the entries after a version.
+     * New leader to the replica with the most complete log: requests the log entries after a
+     * version.
      */
     record LogRequest(long epoch, long term, long afterVersion) implements Message {}
 
-    /** Reply to a {@link LogRequest}, with as many entries as fit into a datagram. */
+    /**
+     * Replica to new leader: the reply to a {@link LogRequest}, with as many entries as fit into a
+     * datagram.
+     */
     record LogPart(
             long epoch,
             long term,
@@ -52,11 +64,11 @@
     }
 
     /**
-     * Leader to replica: entries to append after an entry that both have. Without entries it is a
-     * heartbeat.
+     * Leader to replica: entries to append after an entry that leader and replica both have. A
+     * message without entries is a heartbeat.
      *
-     * @param committedVersion the newest version known to be on a majority
-     * @param stateAgeUs time since a majority last confirmed this leader, in microseconds
+     * @param committedVersion the highest version that the leader knows to be committed
+     * @param stateAgeUs time since a majority last confirmed the leader, in microseconds
      */
     record Append(
             long epoch,
@@ -77,41 +89,46 @@
     /**
      * Replica to leader: the reply to an {@link Append}.
      *
-     * @param term of the leader; if the append was rejected because of its term, the promised term
-     * @param accepted whether the logs are identical up to {@code version}
-     * @param version of the replica's last entry that matches the leader's log; if rejected, the
-     *     version after which the leader should retry
-     * @param voting whether the replica counts towards a majority; false if it lost its disk
+     * @param term term of the leader; if the append was rejected because of its term, the promised
+     *     term
+     * @param accepted whether the replica has the entries in its log, which then is identical to
+     *     the leader's up to {@code version}
+     * @param version if accepted, the version of the last entry that matches the leader's log; if
+     *     rejected, the version after which the leader should retry
+     * @param voting whether the replica counts towards majorities; false if it lost its disk
      */
     record Appended(long epoch, long term, boolean accepted, long version, boolean voting)
             implements Message {}
 
     /**
-     * Leader to a replica whose missing entries are no longer retained: fetch the committed state
-     * instead.
+     * Replica to replica: the log entries that the receiver lacks are no longer retained, so it has
+     * to fetch the committed state instead.
      */
     record Behind(long epoch, long term) implements Message {}
 
     /**
-     * Follower to source, sent periodically: reports what the follower has and requests what is
-     * newer.
+     * Follower to source, sent periodically: reports the version that the follower has and requests
+     * newer changes.
      *
-     * @param cursor the last key received of a snapshot in progress; null if there is none
-     * @param filter of the keys that the follower subscribes to
-     * @param name of the follower, for operators
+     * @param cursor the key up to which a snapshot in progress has been received; null if there is
+     *     none
+     * @param filter accepts the keys that the follower subscribes to
+     * @param name name of the follower, for operators
      */
     record Poll(long epoch, long version, String cursor, ServiceFilter filter, String name)
             implements Message {}
 
-    /** Follower to source: all changes up to this version are applied. */
+    /** Follower to source: the follower has applied all changes up to this version. */
     record Ack(long epoch, long version) implements Message {}
 
     /**
-     * Source to follower: all changes after one version up to another that the follower subscribes
-     * to. A change that a newer one of the same key replaced is left out.
+     * Source to follower: the changes above the version {@code afterVersion} and up to the version
+     * {@code uptoVersion}, for the keys that the follower subscribes to. Only the newest change of
+     * each key is included.
      *
-     * @param uptoTerm term of the log entry at {@code upto}
-     * @param stateAgeUs time since the source knew its state to be current, in microseconds
+     * @param uptoTerm term of the log entry at {@code uptoVersion}
+     * @param stateAgeUs time since the state of the source was last known to be current, in
+     *     microseconds
      */
     record Delta(
             long epoch,
@@ -123,12 +140,16 @@
             implements Message {}
 
     /**
-     * Source to follower that cannot be served by a delta: part of the whole state, in key order.
+     * Source to a follower that a delta cannot serve: one part of the whole state. The parts are
+     * sent in key order.
      *
-     * @param version of the source when it sent this part
-     * @param afterKeyHash {@link #keyHash} of the key that precedes this part
-     * @param last whether this part completes the state
-     * @param moreInBurst whether the source sends the next part without a further poll
+     * @param version version of the source's state when it sent this part
+     * @param versionTerm term of the log entry at {@code version}
+     * @param stateAgeUs time since the state of the source was last known to be current, in
+     *     microseconds
+     * @param afterKeyHash {@link #keyHash} of the last key before this part
+     * @param last whether this is the last part of the whole state
+     * @param moreInBurst whether the source sends the next part without waiting for another poll
      */
     record SnapshotPart(
             long epoch,
@@ -151,7 +172,8 @@
     }
 
     /**
-     * Returns a hash that stands for a key where a whole key would not fit; 0 for the empty key.
+     * Returns a hash of a key, for messages that have no room for the whole key; 0 for the empty
+     * key.
      */
     static int keyHash(String key) {
         return key.hashCode();
--- a/src/main/java/passhatch/distribution/MessageCodec.java
+++ b/src/main/java/passhatch/distribution/MessageCodec.java
@@ -24,19 +24,22 @@
 import passhatch.fleet.Names;
 
 /**
- * Encodes messages on changes as datagrams, beside those of membership and duties: a frame that
- * contains a CBOR array. Later versions of the program may add fields at the end of an array; they
- * are ignored.
+ * Encodes each message of the distribution protocol as a datagram, which is a frame that contains a
+ * CBOR array, and decodes it. Later versions of the program may add fields at the end of an array;
+ * decoding ignores fields that it does not know.
  */
 public final class MessageCodec {
 
-    /** Format byte, the first of a datagram. */
+    /**
+     * The first byte of a datagram of the distribution protocol; datagrams of membership and duties
+     * begin with other values.
+     */
     public static final byte FORMAT = 3;
 
     private static final CBORFactory CBOR = new CBORFactory();
     private static final long MAX_VERSION = Long.MAX_VALUE - 1;
 
-    /** Kinds of datagrams, in the order of their numbers on the wire. */
+    /** Kinds of messages; the ordinal of a kind is its number on the wire. */
     private enum Kind {
         PREPARE,
         PREPARED,
@@ -51,12 +54,15 @@
         SNAPSHOT_PART
     }
 
-    /** A decoded message, or the reason why the datagram is dropped. */
+    /**
+     * The result of decoding a datagram: either the message, or the reason why the datagram is
+     * dropped. The other component is null.
+     */
     public record Read(Message message, DropReason dropReason) {}
 
     private MessageCodec() {}
 
-    /** Encodes a message as a datagram within a fleet. */
+    /** Encodes a message as a datagram that only members of the given fleet accept. */
     public static byte[] encode(String fleet, Message message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MAX_BYTES);
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
@@ -90,16 +96,16 @@
                     part.previousVersion(),
                     part.previousTerm(),
                     part.lastVersion());
-            readEntries(cbor, part.entries());
+            writeEntries(cbor, part.entries());
         } else if (message instanceof Append append) {
             writeKindAndEpoch(cbor, Kind.APPEND, append.epoch());
             writeNumbers(
                     cbor,
                     append.term(),
                     append.committedVersion(),
-                    readStateAge(append.stateAgeUs()));
+                    clampStateAge(append.stateAgeUs()));
             writeNumbers(cbor, append.previousVersion(), append.previousTerm());
-            readEntries(cbor, append.entries());
+            writeEntries(cbor, append.entries());
         } else if (message instanceof Appended appended) {
             writeKindAndEpoch(cbor, Kind.APPENDED, appended.epoch());
             writeNumbers(cbor, appended.term(), appended.version());
@@ -131,19 +137,19 @@
                     delta.afterVersion(),
                     delta.uptoVersion(),
                     delta.uptoTerm(),
-                    readStateAge(delta.stateAgeUs()));
-            readEntries(cbor, delta.entries());
+                    clampStateAge(delta.stateAgeUs()));
+            writeEntries(cbor, delta.entries());
         } else if (message instanceof SnapshotPart part) {
             writeKindAndEpoch(cbor, Kind.SNAPSHOT_PART, part.epoch());
             writeNumbers(
                     cbor,
                     part.version(),
                     part.versionTerm(),
-                    readStateAge(part.stateAgeUs()),
+                    clampStateAge(part.stateAgeUs()),
                     part.afterKeyHash());
             cbor.writeBoolean(part.last());
             cbor.writeBoolean(part.moreInBurst());
-            readEntries(cbor, part.entries());
+            writeEntries(cbor, part.entries());
         }
     }
 
@@ -153,7 +159,7 @@
         cbor.writeNumber(epoch);
     }
 
-    private static long readStateAge(long ageUs) {
+    private static long clampStateAge(long ageUs) {
         return Math.max(0, Math.min(Integer.MAX_VALUE, ageUs));
     }
 
@@ -163,7 +169,8 @@
         }
     }
 
-    private static void readEntries(CBORGenerator cbor, List<LogEntry> entries) throws IOException {
+    private static void writeEntries(CBORGenerator cbor, List<LogEntry> entries)
+            throws IOException {
         cbor.writeStartArray(null, entries.size());
         for (LogEntry entry : entries) {
             cbor.writeStartArray(null, 4);
@@ -175,7 +182,10 @@
         cbor.writeEndArray();
     }
 
-    /** Decodes any datagram to a message whose fields are within their bounds, or to a fault. */
+    /**
+     * Decodes a datagram. The result is a message whose fields are within their bounds, or the
+     * reason why the datagram is dropped.
+     */
     public static Read decode(String fleet, byte[] bytes) {
         DropReason dropReason = Frame.dropReason(FORMAT, bytes);
         if (dropReason != null) {
--- a/src/main/java/passhatch/distribution/Participant.java
+++ b/src/main/java/passhatch/distribution/Participant.java
@@ -7,8 +7,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One process's part in the distribution of changes. Not thread-safe; the clock passed in must not
- * go back.
+ * A process that takes part in the distribution of changes, as a replica, a relay or a subscriber.
+ * This class is not thread-safe. The times passed to its methods must not decrease.
  */
 public final class Participant {
 
@@ -20,8 +20,8 @@
     private final CommittedView view;
 
     /**
-     * Fetches the committed state for a replica that lacks entries which the leader no longer
-     * retains; null otherwise.
+     * Fetches the committed state from the leader if this replica lacks entries that the leader no
+     * longer retains; null otherwise.
      */
     private Follower catchUpFollower;
 
@@ -31,9 +31,9 @@
     private long pushedVersion;
 
     /**
-     * Creates a participant from what its disk holds.
+     * Creates a participant from the records on its disk.
      *
-     * @param records contents of its disk, in the order written
+     * @param records contents of the disk, in the order in which they were written
      * @throws IllegalArgumentException if the disk has a higher epoch than the settings
      */
     public Participant(
@@ -59,7 +59,7 @@
         boolean allKeys = settings.role() == DistributionSettings.Role.RELAY;
         ServiceFilter filter =
                 allKeys ? ServiceFilter.all() : ServiceFilter.of(settings.services());
-        Predicate<String> wanted =
+        Predicate<String> wantedKeys =
                 key -> {
                     String service = ConfigKey.serviceOf(key);
                     return allKeys || service == null || settings.services().contains(service);
@@ -68,14 +68,14 @@
                 settings.name(),
                 settings.sources(),
                 filter,
-                wanted,
+                wantedKeys,
                 records,
                 nowUs,
                 random,
                 actions);
     }
 
-    /** Returns the time at which {@link #timer} has to be called, in microseconds. */
+    /** Returns the time at which the caller has to call {@link #timer}, in microseconds. */
     public long wakeAtUs() {
         long at = follower == null ? flushAtUs : follower.wakeAtUs();
         at = leader == null ? at : Math.min(at, leader.wakeAtUs());
@@ -152,7 +152,8 @@
         if (catchUpFollower != null && catchUpFollower.source().equals(leaderAddress)) {
             return;
         }
-        // Its writes are skipped: the replica writes the state itself when it installs it.
+        // This follower does not write to disk, because the replica writes the state when it
+        // installs it.
         DistributionActions actionsWithoutDisk =
                 new DistributionActions() {
                     @Override
@@ -184,13 +185,17 @@
         }
     }
 
-    /** Starts a leader: this replica holds the lease, and the lease's fencing token is the term. */
+    /**
+     * Starts a leader, because this replica has acquired the lease.
+     *
+     * @param term fencing token of the lease
+     */
     public void leaseGranted(long nowUs, long term) {
         leader = new Leader(settings, term, replica, nowUs, actions);
         pushIfAdvanced(nowUs);
     }
 
-    /** Stops the leader after this replica has lost the lease. */
+    /** Stops the leader in this process, because this replica has lost the lease. */
     public void leaseLost() {
         if (leader != null) {
             leader.leaseLost();
@@ -199,22 +204,24 @@
     }
 
     /**
-     * Lets a replica with an empty disk count towards majorities, when a log is initialized.
+     * Lets this replica count towards majorities although its disk is empty. An operator requests
+     * this when a log is initialized.
      *
-     * @return false if it counts already, the disk fails, or this process is no replica
+     * @return false if this replica counts already, its disk fails, or this process is not a
+     *     replica
      */
     public boolean initialize() {
         return replica != null && replica.initialize();
     }
 
     /**
-     * Submits a change to this leader.
+     * Submits a change to the leader in this process.
      *
-     * @param value null to delete the key
-     * @param ifVersion expected version of the key; negative for any, 0 for a key that does not
-     *     exist
-     * @return its version, which {@link DistributionActions#changeCommitted} reports once the
-     *     change is made
+     * @param value the new value; null to delete the key
+     * @param ifVersion expected version of the key; negative to accept any version, 0 to require
+     *     that the key does not exist
+     * @return the version of the change; {@link DistributionActions#changeCommitted} reports it
+     *     once the change is committed
      * @throws InvalidChangeException if the change is not valid, or this process does not lead
      */
     public long submit(long nowUs, String key, String value, long ifVersion)
@@ -227,38 +234,41 @@
         return version;
     }
 
-    /** Returns whether this process leads and accepts changes. */
+    /** Returns whether this process is the leader and accepts changes. */
     public boolean isLeading() {
         return leader != null && leader.isLeading();
     }
 
-    /** Returns whether this replica counts towards majorities; false for other roles. */
+    /** Returns whether this process is a replica that counts towards majorities. */
     public boolean isInitialized() {
         return replica != null && replica.isInitialized();
     }
 
-    /** Returns the address of the source currently followed; null if there is none. */
+    /**
+     * Returns the address of the source that this process currently follows; null if it follows
+     * none.
+     */
     public String source() {
         Follower following = follower == null ? catchUpFollower : follower;
         return following == null ? null : following.source();
     }
 
-    /** Returns the epoch of the applied state; 0 if there is none yet. */
+    /** Returns the epoch of the applied state; 0 if no state has been applied yet. */
     public long epoch() {
         return view.epoch();
     }
 
-    /** Returns the applied version. */
+    /** Returns the version of the applied state. */
     public long version() {
         return view.state().version();
     }
 
-    /** Returns the time since the state was known to be current, in microseconds. */
+    /** Returns the time since the applied state was last known to be current, in microseconds. */
     public long stateAgeUs(long nowUs) {
         return view.stateAgeUs(nowUs);
     }
 
-    /** Returns the applied values by key. */
+    /** Returns the values of the applied state, by key. */
     public Map<String, String> values() {
         Map<String, String> values = new TreeMap<>();
         view.state()
@@ -272,25 +282,32 @@
         return values;
     }
 
-    /** Returns the version of the newest entry of a key; 0 if there is none. */
+    /**
+     * Returns the version of the newest applied entry of a key, which may be a tombstone; 0 if
+     * there is none.
+     */
     public long versionOf(String key) {
         LogEntry entry = view.state().entries().get(key);
         return entry == null ? 0 : entry.version();
     }
 
     /**
-     * Returns the names of the followers of this process, with the version that each has confirmed.
+     * Returns the version that each follower of this process has confirmed, by the name of the
+     * follower.
      */
     public Map<String, Long> confirmedVersions() {
         return source == null ? Map.of() : source.confirmedVersions();
     }
 
-    /** Returns whether a write to disk has failed; a replica confirms nothing after that. */
+    /**
+     * Returns whether a write to the disk of this process has failed. A replica confirms nothing
+     * after such a failure.
+     */
     public boolean diskFailed() {
         return replica == null ? follower.diskFailed() : replica.diskFailed();
     }
 
-    /** Returns the records that replace everything written to disk so far. */
+    /** Returns records that can replace all records written to disk so far. */
     public List<DiskRecord> snapshotRecords() {
         return replica == null ? follower.snapshotRecords() : replica.snapshotRecords();
     }
--- a/src/main/java/passhatch/distribution/Replica.java
+++ b/src/main/java/passhatch/distribution/Replica.java
@@ -11,14 +11,18 @@
 import passhatch.distribution.Message.Prepared;
 
 /**
- * One replica of the log. Entries are appended as in Raft (Ongaro and Ousterhout, 2014): only after
- * an entry that leader and replica both have, and they are on disk before they are confirmed.
- * Unlike in Raft, replicas do not elect the leader: it holds a lease, and replicas order leaders by
- * their term, which is the fencing token of the lease.
+ * One replica of the log. Entries are appended as in Raft (Ongaro and Ousterhout, 2014): a replica
+ * appends entries only after an entry that the leader has as well, and writes them to disk before
+ * it confirms them. Unlike in Raft, replicas do not elect the leader: the holder of a lease is the
+ * leader, and its term is the fencing token of the lease. Replicas reject a leader whose term is
+ * lower than one that they have promised.
  */
 final class Replica implements CommittedView {
 
-    /** Committed entries retained so that a replica that was away can catch up from the log. */
+    /**
+     * Minimum number of committed entries to retain, so that a replica that was unreachable can
+     * catch up from the log.
+     */
     private static final int MIN_RETAINED_ENTRIES = 1_024;
 
     private static final int MAX_TOMBSTONES = 4_096;
@@ -51,8 +55,8 @@
         initialized = epochOnDisk == epoch;
         committedVersionOnDisk = state.version();
         if (epochOnDisk > 0 && !initialized) {
-            // The disk is intact, so no promise is lost; the replica counts in the new epoch as
-            // well.
+            // The disk is intact, so no promise is lost, and the replica may count towards
+            // majorities in the new epoch as well.
             initialize();
         }
     }
@@ -73,7 +77,7 @@
         }
     }
 
-    /** Returns the records that replace everything written to disk so far. */
+    /** Returns records that can replace all records written to disk so far. */
     List<DiskRecord> snapshotRecords() {
         List<DiskRecord> records = new ArrayList<>();
         if (initialized) {
@@ -93,7 +97,7 @@
      * Lets this replica count towards majorities although its disk holds no initialization record.
      * An operator requests this once, when the log is initialized.
      *
-     * @return false if it counts already or the disk fails
+     * @return false if this replica counts already or its disk fails
      */
     boolean initialize() {
         if (initialized || !force(List.of(new DiskRecord.Initialized(epoch)))) {
@@ -134,7 +138,7 @@
         return nowUs - leaderConfirmedUs + reportedStateAgeUs;
     }
 
-    /** Records that a majority confirmed the leader that runs in this process. */
+    /** Records the time at which a majority confirmed the leader in this process. */
     void recordLeaderConfirmation(long atUs) {
         leaderConfirmedUs = atUs;
         reportedStateAgeUs = 0;
@@ -165,7 +169,12 @@
                         state.version()));
     }
 
-    /** Promises to accept no lower term; returns false if the promise cannot be written to disk. */
+    /**
+     * Promises to accept no leader of a lower term.
+     *
+     * @return false if this replica has promised a higher term, or the promise cannot be written to
+     *     disk
+     */
     boolean promise(long term) {
         if (term < promisedTerm || !force(List.of(new DiskRecord.Promised(epoch, term)))) {
             return false;
@@ -224,8 +233,11 @@
     }
 
     /**
-     * Returns whether the logs agree up to an entry. Committed entries are the same on all
-     * replicas.
+     * Returns whether this replica's log and the leader's log are identical up to an entry.
+     * Committed entries are identical on all replicas.
+     *
+     * @param version version of the entry
+     * @param term term of the entry in the leader's log
      */
     private boolean matchesLog(long version, long term) {
         return version <= state.version()
@@ -233,9 +245,9 @@
     }
 
     /**
-     * Stores the entries of a leader and replaces own entries that differ.
+     * Stores the entries of a leader. Entries of this replica that differ from them are replaced.
      *
-     * @return false if they cannot be written to disk
+     * @return false if the entries cannot be written to disk
      */
     boolean storeEntries(List<LogEntry> entries) {
         List<LogEntry> missing = new ArrayList<>();
@@ -262,7 +274,7 @@
         return true;
     }
 
-    /** Applies the entries up to a version, which are on a majority. */
+    /** Applies the entries up to a version. The caller knows that a majority has stored them. */
     void commit(long version) {
         if (version <= state.version()) {
             return;
@@ -283,8 +295,8 @@
     }
 
     /**
-     * Writes the committed version to disk, so that a restarted replica can serve it without a
-     * leader.
+     * Writes the committed version to disk, so that this replica can serve that version after a
+     * restart even if there is no leader.
      */
     void writeCommittedVersion() {
         if (committedVersionOnDisk < state.version()
@@ -294,10 +306,10 @@
     }
 
     /**
-     * Installs the committed state of another replica when this one lacks entries that are no
-     * longer retained. If the own log has the same entry at that version, everything before it is
-     * identical; the entries after it may have been confirmed to a leader and are kept. A log with
-     * another entry there is replaced.
+     * Installs the committed state of another replica, because this replica lacks entries that are
+     * no longer retained. If this replica's log has an entry of the same term at the version of
+     * that state, the log is kept: it is identical up to that version, and later entries may have
+     * been confirmed to a leader. Otherwise the log is replaced.
      */
     void installState(ConfigState other) {
         if (other.version() <= state.version()) {
@@ -324,7 +336,10 @@
         actions.versionApplied(epoch, other.version());
     }
 
-    /** Writes records to disk. After one failed write the disk is not trusted until a restart. */
+    /**
+     * Writes records to disk. After a write has failed, this replica writes nothing more until it
+     * is restarted.
+     */
     private boolean force(List<DiskRecord> records) {
         if (!diskFailed) {
             diskFailed = !actions.force(records);
--- a/src/main/java/passhatch/distribution/ReplicatedLog.java
+++ b/src/main/java/passhatch/distribution/ReplicatedLog.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * The consecutive entries after a base version. Older entries are kept only in the committed state.
+ * The part of the replicated log that a replica retains: consecutive entries after a base version.
+ * Changes up to the base version are kept only in the committed state.
  */
 final class ReplicatedLog {
 
--- a/src/main/java/passhatch/distribution/ServiceFilter.java
+++ b/src/main/java/passhatch/distribution/ServiceFilter.java
@@ -6,9 +6,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * A Bloom filter (Bloom, 1970) of the services whose keys a follower subscribes to. Its size does
- * not depend on their number or names. With 30 services about one key in seventy is a false
- * positive, which the follower drops.
+ * A Bloom filter (Bloom, 1970) of the services whose keys a follower subscribes to. The size of the
+ * filter does not depend on the number or names of the services. With 30 services the filter
+ * accepts about one in seventy of the other keys; the follower drops these.
  */
 public final class ServiceFilter {
 
@@ -24,14 +24,14 @@
         this.bits = bits;
     }
 
-    /** Returns a filter that all keys pass. */
+    /** Returns a filter that accepts all keys. */
     public static ServiceFilter all() {
         byte[] bits = new byte[BYTES];
         Arrays.fill(bits, (byte) 0xff);
         return new ServiceFilter(bits);
     }
 
-    /** Returns a filter that the keys of these services pass, and those of the whole fleet. */
+    /** Returns a filter that accepts the keys of these services and the keys of the whole fleet. */
     public static ServiceFilter of(Collection<String> services) {
         ServiceFilter filter = new ServiceFilter(new byte[BYTES]);
         for (String service : services) {
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Decodes a filter.
+     * Returns the filter that {@link #encode} has encoded.
      *
      * @param encoded {@link #BYTES} bytes
      */
@@ -59,7 +59,10 @@
         return bits.clone();
     }
 
-    /** Returns whether a key may be subscribed to; never false for one that is. */
+    /**
+     * Returns whether this filter accepts a key: true for each subscribed key, and sometimes for
+     * other keys.
+     */
     public boolean accepts(String key) {
         String service = ConfigKey.serviceOf(key);
         if (service == null) {
--- a/src/main/java/passhatch/distribution/Setting.java
+++ b/src/main/java/passhatch/distribution/Setting.java
@@ -4,17 +4,20 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** The settings that this version of the program knows, with the bounds of their values. */
+/**
+ * The settings that a change can set in this version of the program, with the bounds of their
+ * values.
+ */
 public enum Setting {
-    /** Time that a call may take, in milliseconds. */
+    /** Maximum time that a call may take, in milliseconds. */
     DEADLINE_MS(1, 600_000),
-    /** Attempts for a call, including the first. */
+    /** Maximum number of attempts for a call, including the first. */
     MAX_ATTEMPTS(1, 3),
-    /** Connections to one backend. */
+    /** Maximum number of connections to one backend. */
     MAX_CONNECTIONS(1, 65_535),
-    /** Calls per second to the service from one proxy; 0 for no limit. */
+    /** Maximum number of calls per second from one proxy to the service; 0 for no limit. */
     CALLS_PER_SECOND(0, 1_000_000),
-    /** Whether calls are sent at all: 0 or 1. */
+    /** Whether calls are sent to the service at all: 0 for no, 1 for yes. */
     ENABLED(0, 1);
 
     private final long minValue;
@@ -25,15 +28,15 @@
         this.maxValue = maxValue;
     }
 
-    /** Returns its name as the last part of a key. */
+    /** Returns the name of this setting in keys, where it is the last part. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
     /**
-     * Checks a change before it is made.
+     * Checks the key and the value of a change before it is submitted.
      *
-     * @param value null to delete the key
+     * @param value the new value; null to delete the key
      * @throws InvalidChangeException if the key or the value is not valid
      */
     public static void check(String key, String value) throws InvalidChangeException {
--- a/src/main/java/passhatch/distribution/Source.java
+++ b/src/main/java/passhatch/distribution/Source.java
@@ -12,19 +12,22 @@
 import passhatch.distribution.Message.Poll;
 import passhatch.distribution.Message.SnapshotPart;
 
-/** Serves a committed state to followers and keeps track of what each of them has. */
+/** Serves a committed state to followers and keeps track of the version that each follower has. */
 final class Source {
 
-    /** Maximum number of followers; a further one gets no reply and tries its next source. */
+    /**
+     * Maximum number of followers. Any further follower gets no reply, and so switches to its next
+     * source.
+     */
     private static final int MAX_FOLLOWERS = 4_096;
 
-    /** Maximum number of unconfirmed datagrams with deltas to one follower. */
+    /** Maximum number of datagrams with deltas that one follower has not confirmed. */
     private static final int MAX_UNCONFIRMED_DATAGRAMS = 16;
 
     /** Maximum number of snapshot parts sent in reply to one poll. */
     private static final int MAX_PARTS_PER_BURST = 32;
 
-    /** State of one follower. */
+    /** What this source knows of one follower. */
     private static final class FollowerState {
         private String name = "";
         private long confirmedVersion;
@@ -51,7 +54,10 @@
         return wakeAtUs;
     }
 
-    /** Returns the number of polls that got no reply because there were too many followers. */
+    /**
+     * Returns the number of polls that this source did not answer because it had too many
+     * followers.
+     */
     long rejectedPolls() {
         return rejectedPolls;
     }
@@ -85,7 +91,8 @@
         boolean sameEpoch = poll.epoch() == view.epoch();
         follower.receivesSnapshot = !sameEpoch || poll.version() < view.state().minDeltaVersion();
         if (poll.epoch() > view.epoch()) {
-            // The follower is ahead of this source; an empty delta reports that.
+            // The follower has a newer epoch than this source. The empty delta has the older
+            // epoch, so the follower sees that this source is behind.
             follower.receivesSnapshot = false;
             follower.confirmedVersion = view.state().version();
             sendDelta(nowUs, from, follower.confirmedVersion, follower.confirmedVersion, List.of());
@@ -115,13 +122,14 @@
         }
     }
 
-    /** Pushes new changes to all followers, after the state has reached a newer version. */
+    /** Sends new changes to all followers after the state has reached a newer version. */
     void onStateAdvanced(long nowUs) {
         followers.forEach((peer, follower) -> pushChanges(nowUs, peer, follower));
     }
 
     /**
-     * Sends the changes that a follower subscribes to and lacks; returns whether there were any.
+     * Sends a follower the changes that it subscribes to and was not sent yet; returns whether
+     * there were any.
      */
     private boolean pushChanges(long nowUs, String peer, FollowerState follower) {
         ConfigState state = view.state();
@@ -194,7 +202,10 @@
         } while (!entriesToSend.isEmpty());
     }
 
-    /** Resends what was not confirmed in time, and removes followers that no longer poll. */
+    /**
+     * Resends the changes that followers did not confirm in time, and removes followers that no
+     * longer poll.
+     */
     void timer(long nowUs) {
         if (nowUs < wakeAtUs) {
             return;
@@ -216,7 +227,9 @@
         wakeAtUs = followers.isEmpty() ? Long.MAX_VALUE : nowUs + Timing.RETRY_DELAY_US;
     }
 
-    /** Returns the names of the current followers, with the version that each has confirmed. */
+    /**
+     * Returns the version that each current follower has confirmed, by the name of the follower.
+     */
     Map<String, Long> confirmedVersions() {
         Map<String, Long> versions = new TreeMap<>();
         followers.values().forEach(f -> versions.put(f.name, f.confirmedVersion));
--- a/src/main/java/passhatch/duty/Candidate.java
+++ b/src/main/java/passhatch/duty/Candidate.java
@@ -5,22 +5,24 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One process that competes for one duty. It holds the duty once more than half of the voters have
- * granted its term. The lease counts from its request to the voters and is shortened by the maximum
- * clock drift; the candidate renews it well before it ends. Not thread-safe; the clock passed in
- * must not go back, and must keep running while the process is stalled.
+ * A process that competes for one duty. A candidate holds the duty once more than half of the
+ * voters have granted its term. Its lease starts when it sends the request to the voters, and is
+ * shortened by the maximum clock drift. The candidate renews the lease well before it ends. This
+ * class is not thread-safe. The times passed to its methods must not decrease, and their clock must
+ * keep running while the process is stalled.
  */
 public class Candidate {
 
-    /** Requests per lease: two of them may get lost. */
+    /** Number of requests that a holder sends during one lease; two in a row may get lost. */
     private static final int REQUESTS_PER_LEASE = 4;
 
-    /** The minimum backoff after a failed request is the lease divided by this. */
+    /** Divisor of the lease that gives the minimum backoff after a failed request. */
     private static final int MIN_BACKOFF_DIVISOR = 32;
 
     /**
-     * Maximum number of attempts in quick succession after another holder gave the duty up; its
-     * release may reach voters a little later.
+     * Maximum number of attempts in quick succession after another holder has handed the duty over
+     * to this candidate. Several attempts may be needed, because the release of that holder may
+     * reach the voters after the first requests.
      */
     private static final int MAX_ACQUIRE_ATTEMPTS = 20;
 
@@ -55,9 +57,10 @@
     /**
      * Creates a candidate that does not compete for the duty yet.
      *
-     * @param holder name and incarnation of the process, different from those of any other process
-     *     or start
-     * @param rank 0 for processes that are preferred as holder; each higher rank waits longer
+     * @param holder name and incarnation of this process; differs from that of any other process
+     *     and of any earlier run
+     * @param rank 0 for processes that are preferred as holder; a process with a higher rank waits
+     *     longer before a request
      */
     public Candidate(
             DutySettings settings,
@@ -75,19 +78,22 @@
         this.backoffUs = settings.leaseUs() / MIN_BACKOFF_DIVISOR;
     }
 
-    /** Returns the number of grants that are needed. */
+    /** Returns the number of voters that have to grant a term. */
     protected int majority() {
         return settings.voters().size() / 2 + 1;
     }
 
     /**
-     * Returns the time from which a lease counts, given the time of the request and of the reply.
+     * Returns the start of a lease.
+     *
+     * @param requestUs time at which the request was sent
+     * @param nowUs time at which the reply was received
      */
     protected long leaseStartUs(long requestUs, long nowUs) {
         return requestUs;
     }
 
-    /** Starts to compete for the duty. */
+    /** Starts competing for the duty. */
     public void campaign(long nowUs) {
         if (phase == Phase.IDLE) {
             scheduleRequest(nowUs, 0);
@@ -95,28 +101,35 @@
     }
 
     /**
-     * Returns the time at which {@link #timer} has to be called; {@link Long#MAX_VALUE} for never.
+     * Returns the time at which the caller has to call {@link #timer}; {@link Long#MAX_VALUE} for
+     * never.
      */
     public long wakeAtUs() {
         return wakeAtUs;
     }
 
-    /** Returns whether this process may act on the duty now; to be checked before each action. */
+    /**
+     * Returns whether this process may act on the duty now. The caller has to check this before
+     * each action.
+     */
     public boolean mayAct(long nowUs) {
         return phase == Phase.HOLDING && nowUs < leaseUntilUs;
     }
 
-    /** Returns whether this process may act on the duty now and still holds the given term. */
+    /** Returns whether this process may act on the duty now and holds it in the given term. */
     public boolean mayActInTerm(long nowUs, long expectedTerm) {
         return mayAct(nowUs) && term == expectedTerm;
     }
 
-    /** Returns the term that it holds; 0 if it holds none. */
+    /** Returns the term in which this process holds the duty; 0 if it does not hold the duty. */
     public long term() {
         return phase == Phase.HOLDING ? term : 0;
     }
 
-    /** Returns how long it may act without another reply, in microseconds. */
+    /**
+     * Returns how long this process may still act if no renewal succeeds, in microseconds; 0 if it
+     * may not act.
+     */
     public long remainingLeaseUs(long nowUs) {
         return mayAct(nowUs) ? leaseUntilUs - nowUs : 0;
     }
@@ -166,7 +179,8 @@
     }
 
     /**
-     * Handles a reply of a voter, or the notice of another holder that it has given the duty up.
+     * Handles a reply of a voter, or a message in which another holder hands the duty over to this
+     * candidate.
      */
     public void onMessage(long nowUs, String from, DutyMessage message) {
         if (message.epoch() != settings.epoch() || !message.duty().equals(duty)) {
@@ -217,7 +231,10 @@
         }
     }
 
-    /** Releases what was granted, so that others need not wait for the end of an unused lease. */
+    /**
+     * Releases the grants received for the failed request, so that other candidates need not wait
+     * for the end of an unused lease, and schedules the next request.
+     */
     private void onRequestFailed(long nowUs) {
         sendToVoters(DutyMessage.Kind.RELEASE);
         if (acquireAttemptsLeft > 0) {
@@ -225,8 +242,8 @@
             phase = Phase.WAITING;
             wakeAtUs = nowUs + settings.leaseUs() / ACQUIRE_RETRY_DIVISOR;
         } else {
-            // If another process holds the duty, the voters report when its lease ends; only a
-            // split vote needs a longer backoff.
+            // If another process holds the duty, the voters report when its lease ends, and the
+            // minimum backoff is enough. After a split vote the backoff is doubled.
             backoffUs =
                     maxRefusalWaitUs > 0
                             ? settings.leaseUs() / MIN_BACKOFF_DIVISOR
@@ -255,16 +272,17 @@
     }
 
     /**
-     * Gives the duty up, or stops competing for it.
+     * Stops competing for the duty, and gives it up if this process holds it.
      *
-     * @param to another candidate that should acquire it, or null
+     * @param to name of another candidate that should acquire the duty, or null
      */
     public void giveUp(long nowUs, String to) {
         Phase before = phase;
         phase = Phase.IDLE;
         wakeAtUs = Long.MAX_VALUE;
         if (before == Phase.HOLDING) {
-            // Stop acting before any other process learns that the duty is free.
+            // The host has to stop acting before any other process is notified that the duty is
+            // free.
             actions.dutyLost(term);
         }
         if (before == Phase.HOLDING || before == Phase.ASKING) {
@@ -275,12 +293,14 @@
         }
     }
 
-    /** Returns the time of its last request. */
+    /** Returns the time at which this candidate last sent a request to the voters. */
     public long lastRequestUs() {
         return lastRequestUs;
     }
 
-    /** Returns the reply of a voter to the last request; null if there is none. */
+    /**
+     * Returns the kind of reply that a voter gave to the last request; null if it has not replied.
+     */
     public DutyMessage.Kind lastReplyOf(String voter) {
         return grantedBy.contains(voter)
                 ? DutyMessage.Kind.GRANT
--- a/src/main/java/passhatch/duty/DutyCodec.java
+++ b/src/main/java/passhatch/duty/DutyCodec.java
@@ -11,27 +11,41 @@
 import passhatch.fleet.Names;
 
 /**
- * Encodes messages on duties as datagrams, beside those of membership: a frame that contains a CBOR
- * array.
+ * Encodes each message about duties as a datagram, which is a frame that contains a CBOR array, and
+ * decodes it.
  */
 public final class DutyCodec {
 
-    /** Format byte, the first of a datagram. */
+    /**
+     * The first byte of a datagram about duties; datagrams of other protocols begin with other
+     * values.
+     */
     public static final byte FORMAT = 2;
 
-    /** Maximum length of a holder: a member's name, a colon and its incarnation. */
+    /**
+     * Maximum length of the text that identifies a holder: the name of a member, a colon and its
+     * incarnation.
+     */
     private static final int MAX_HOLDER_LENGTH = Names.MAX_NAME_LENGTH + 20;
 
     private static final int FIELD_COUNT = 9;
     private static final DutyMessage.Kind[] KINDS = DutyMessage.Kind.values();
     private static final CBORFactory CBOR = new CBORFactory();
 
-    /** A decoded message and its sender, or the reason why the datagram is dropped. */
+    /**
+     * The result of decoding a datagram: either the message and its sender, or the reason why the
+     * datagram is dropped. Components that do not apply are null.
+     */
     public record Read(String from, DutyMessage message, DropReason dropReason) {}
 
     private DutyCodec() {}
 
-    /** Encodes a message as a datagram from one member of a fleet. */
+    /**
+     * Encodes a message as a datagram.
+     *
+     * @param fleet name of the fleet; members of other fleets drop the datagram
+     * @param from name of the member that sends the message
+     */
     public static byte[] encode(String fleet, String from, DutyMessage message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(Frame.MAX_BYTES);
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
@@ -52,7 +66,10 @@
         return Frame.of(FORMAT, out.toByteArray());
     }
 
-    /** Decodes any datagram to a message whose fields are within their bounds, or to a fault. */
+    /**
+     * Decodes a datagram. The result is a message whose fields are within their bounds, or the
+     * reason why the datagram is dropped.
+     */
     public static Read decode(String fleet, byte[] bytes) {
         DropReason dropReason = Frame.dropReason(FORMAT, bytes);
         if (dropReason != null) {
--- a/src/main/java/passhatch/duty/DutyMessage.java
+++ b/src/main/java/passhatch/duty/DutyMessage.java
@@ -3,11 +3,13 @@
 /**
  * A message between candidates and voters.
  *
- * @param epoch of the sender's configuration
- * @param term requested, granted or released; in a refusal the maximum that the voter has promised
- * @param round of the request; a reply repeats it
- * @param holder the candidate and its incarnation that the message is about
- * @param waitUs in a refusal, how long the voter is still bound to another holder, in microseconds
+ * @param epoch epoch of the sender's configuration
+ * @param term term that is requested, granted or released; in a refusal, the maximum term that the
+ *     voter has promised
+ * @param round number of the request; the reply has the same number
+ * @param holder name and incarnation of the candidate that the message is about
+ * @param waitUs in a refusal, the time for which the voter is still bound to another holder, in
+ *     microseconds; 0 if it is not bound
  */
 public record DutyMessage(
         Kind kind, long epoch, String duty, long term, int round, String holder, long waitUs) {
@@ -16,21 +18,25 @@
     public enum Kind {
         /** Candidate to voter: requests the duty in this term, or renews it. */
         REQUEST,
-        /** Voter to candidate: granted. */
+        /** Voter to candidate: grants the request. */
         GRANT,
-        /** Voter to candidate: not granted. */
+        /** Voter to candidate: refuses the request. */
         REFUSAL,
-        /** Candidate to voter: does not act in this term, now or later. */
+        /** Candidate to voter: the candidate will not act in this term any more. */
         RELEASE,
         /**
-         * Holder to another candidate: the duty is given up, and the candidate should request it at
-         * once.
+         * Holder to another candidate: the holder gives the duty up, and the candidate should
+         * request it at once.
          */
         TAKE,
-        /** Voter without its promises to the others: requests the terms that were granted. */
+        /**
+         * Voter that has lost its promises to other voters: requests the maximum terms that they
+         * have promised.
+         */
         RECALL,
         /**
-         * Voter to a voter without its promises: the maximum term that it has promised of any duty.
+         * Voter to a voter that has lost its promises: reports the maximum term that the sender has
+         * promised for any duty.
          */
         TERMS
     }
--- a/src/main/java/passhatch/duty/Fence.java
+++ b/src/main/java/passhatch/duty/Fence.java
@@ -5,10 +5,10 @@
 import java.util.function.BiPredicate;
 
 /**
- * Checks the fencing tokens that come with the requests of holders. It keeps the highest token of
- * each duty, writes it to disk before it accepts it, and rejects lower ones. So no request of an
- * earlier holder is executed after one of a later holder, whatever holders assume about their
- * leases.
+ * Checks the fencing tokens in the requests of holders. A fence keeps the highest token of each
+ * duty, writes a new token to disk before it admits the request, and rejects requests with lower
+ * tokens. So no request of an earlier holder is executed after a request of a later holder, even if
+ * the earlier holder assumes that its lease is still valid.
  */
 public final class Fence {
 
@@ -16,17 +16,17 @@
     private final BiPredicate<String, Long> tokenWriter;
 
     /**
-     * Creates a fence from what its disk holds.
+     * Creates a fence from the tokens on its disk.
      *
-     * @param highestTokens the highest token of each duty on its disk
-     * @param tokenWriter writes a duty's token and returns true once it is durable
+     * @param highestTokens the highest token of each duty on the disk
+     * @param tokenWriter writes a token of a duty and returns true once the token is durable
      */
     public Fence(Map<String, Long> highestTokens, BiPredicate<String, Long> tokenWriter) {
         this.highestTokens = new HashMap<>(highestTokens);
         this.tokenWriter = tokenWriter;
     }
 
-    /** Returns whether a request with this token may be executed. */
+    /** Returns whether a request with this token for a duty may be executed. */
     public boolean admits(String duty, long token) {
         long known = highestTokens.getOrDefault(duty, 0L);
         if (token < known || token < 1) {
--- a/src/main/java/passhatch/duty/Promise.java
+++ b/src/main/java/passhatch/duty/Promise.java
@@ -1,17 +1,20 @@
 package passhatch.duty;
 
 /**
- * A record that a voter must not lose: it has granted a term of a duty to a holder.
+ * A record that a voter writes to disk when it grants a term of a duty to a holder. A voter that
+ * has lost promises must not vote.
  *
- * @param term 1 or more; above all terms that the voter has granted of this duty before
+ * @param term 1 or more; higher than all terms of this duty that the voter has granted before
+ * @param holder name and incarnation of the process that has the grant
  */
 public record Promise(String duty, long term, String holder) {
 
     /**
-     * Returns the record which states that a voter votes. Without it on its disk the voter may have
-     * lost promises.
+     * Returns the record that marks a voter as voting. A voter without this record on its disk may
+     * have lost promises.
      *
-     * @param maxForgottenTerm the voter may have granted terms up to this, of any duty; 0 or more
+     * @param maxForgottenTerm maximum term of any duty that the voter may have granted in a promise
+     *     that it has lost; 0 if it has lost none
      */
     public static Promise votingMarker(long maxForgottenTerm) {
         return new Promise("", maxForgottenTerm, "");
--- a/src/main/java/passhatch/duty/Voter.java
+++ b/src/main/java/passhatch/duty/Voter.java
@@ -6,14 +6,15 @@
 import java.util.function.Predicate;
 
 /**
- * One voter. It grants a term of a duty to one holder once the grant is on disk, and then no other
- * term for the length of a lease on its own clock (leases after Gray, Cheriton, 1989; a majority of
- * them as in Paxos; tokens as in Chubby, Burrows, 2006). Not thread-safe; the clock passed in must
- * not go back.
+ * One voter. A voter grants a term of a duty to one holder once the grant is on disk. For the
+ * length of a lease on its own clock, it then grants no other term of that duty, unless the holder
+ * releases it. Leases follow Gray and Cheriton (1989), a majority of voters is needed as in Paxos,
+ * and terms serve as fencing tokens as in Chubby (Burrows, 2006). This class is not thread-safe.
+ * The times passed to its methods must not decrease.
  */
 public class Voter {
 
-    /** State of a duty, beside the promise on disk. */
+    /** The promise for a duty, and how long it binds this voter. */
     private static final class Lease {
         private final Promise promise;
         private long untilUs;
@@ -25,14 +26,17 @@
         }
     }
 
-    /** Fills the duty and the holder of a message that concerns neither. */
+    /** Value of the duty and of the holder in a message that is not about any duty or holder. */
     private static final String PLACEHOLDER = "-";
 
     private final DutySettings settings;
     private final Predicate<Promise> promiseWriter;
     private final Map<String, Lease> leases = new HashMap<>();
 
-    /** The maximum terms that other voters have reported while this one does not vote. */
+    /**
+     * Maximum term that each other voter has reported while this voter does not vote, by the name
+     * of the voter.
+     */
     private final Map<String, Long> reportedTerms = new HashMap<>();
 
     private boolean voting;
@@ -40,13 +44,14 @@
     private long votingFromUs = Long.MAX_VALUE;
 
     /**
-     * Creates a voter from what its disk holds. Without a {@link Promise#votingMarker} on its disk
-     * it has lost its promises or never voted. It then grants nothing until it is initialized, or
-     * the other voters have reported which terms may have been granted.
+     * Creates a voter from the promises on its disk. If the disk has no {@link
+     * Promise#votingMarker}, the voter has lost its promises or has never voted. It then grants
+     * nothing until an operator initializes it, or until enough other voters have reported which
+     * terms they have promised.
      *
-     * @param promises the last promise of each duty on its disk
-     * @param promiseWriter writes a promise and returns true once it is durable; false if it may
-     *     not be on disk
+     * @param promises the last promise of each duty on the disk
+     * @param promiseWriter writes a promise; returns true once the promise is durable, false if it
+     *     may not be on disk
      */
     public Voter(
             DutySettings settings,
@@ -66,28 +71,31 @@
     }
 
     /**
-     * Returns until when the voter is bound to the holder on its disk, since renewals before a
-     * restart are not recorded.
+     * Returns the time until which the voter is bound to the holders on its disk after a start.
+     * Renewals are not written to disk, so a full lease is assumed.
      */
     protected long boundUntilAfterStartUs(long nowUs) {
         return nowUs + settings.leaseUs();
     }
 
-    /** Returns whether a term may be granted to a holder other than the promised one. */
+    /**
+     * Returns whether this voter may grant a term to a holder other than the one that it has
+     * promised.
+     */
     protected boolean isNewer(long term, Promise promised) {
         return term > promised.term();
     }
 
-    /** Writes a promise to disk; returns false if it may not be there. */
+    /** Writes a promise to disk; returns false if it may not be on disk. */
     protected boolean persist(Promise promise) {
         return promiseWriter.test(promise);
     }
 
     /**
-     * Starts to vote without stored promises. Only for voters that never voted: an operator
-     * requests this once, when the first set of voters is initialized.
+     * Starts voting without any promise on disk. This is only for voters that have never voted: an
+     * operator requests it once, when the first set of voters is initialized.
      *
-     * @return false if it votes already, or its disk fails
+     * @return false if this voter votes already, or its disk fails
      */
     public boolean initialize() {
         return !voting && startVoting(0);
@@ -102,13 +110,17 @@
         return true;
     }
 
-    /** Returns whether it votes. */
+    /**
+     * Returns whether this voter grants or refuses requests; false while its promises may be
+     * incomplete.
+     */
     public boolean isVoting() {
         return voting;
     }
 
     /**
-     * Returns the message to send to all other voters periodically while this one does not vote.
+     * Returns the message that the host sends to all other voters periodically while this voter
+     * does not vote.
      */
     public DutyMessage createRecall() {
         return new DutyMessage(
@@ -116,9 +128,11 @@
     }
 
     /**
-     * Records the terms that another voter reports. More than half of all voters, not counting this
-     * one, overlap with every majority that this one may have been part of, so together they report
-     * each term that was held. Leases that this voter granted itself end one lease later.
+     * Records the maximum term that another voter reports, and starts voting once that is safe. Two
+     * conditions must hold. First, reports from more than half of all voters, without this one, are
+     * needed: each majority that has granted a term includes one of them, so the reports cover
+     * every term that was held. Second, one lease must pass, so that all leases that this voter has
+     * granted have ended.
      */
     private void onTerms(long nowUs, String from, long term) {
         if (voting || !settings.voters().contains(from)) {
@@ -141,8 +155,9 @@
     }
 
     /**
-     * Handles a message of a candidate or another voter; returns the reply, or null if there is
-     * none.
+     * Handles a message of a candidate or another voter.
+     *
+     * @return the reply, or null if there is none
      */
     public DutyMessage onMessage(long nowUs, String from, DutyMessage message) {
         if (message.epoch() != settings.epoch()) {
@@ -206,19 +221,22 @@
         }
     }
 
-    /** Returns the promise for a duty, or null. */
+    /** Returns the promise that this voter has given for a duty; null if there is none. */
     public Promise promiseFor(String duty) {
         Lease lease = leases.get(duty);
         return lease == null ? null : lease.promise;
     }
 
-    /** Returns whether the promised holder has released the duty. */
+    /** Returns whether the holder to which this voter granted a duty has released it. */
     public boolean isReleased(String duty) {
         Lease lease = leases.get(duty);
         return lease != null && lease.released;
     }
 
-    /** Returns how long it is still bound to the holder, in microseconds; 0 if it is not. */
+    /**
+     * Returns how long this voter is still bound to the holder of a duty, in microseconds; 0 if it
+     * is not bound.
+     */
     public long boundForUs(long nowUs, String duty) {
         Lease lease = leases.get(duty);
         return lease == null || lease.released ? 0 : Math.max(0, lease.untilUs - nowUs);
--- a/src/main/java/passhatch/lab/drill/AgentProcess.java
+++ b/src/main/java/passhatch/lab/drill/AgentProcess.java
@@ -75,7 +75,7 @@
      *
      * @param members addresses of all members
      * @param ownAddress the agent's own address among them
-     * @param extraConfig further sections of the file
+     * @param extraConfig text of further sections of the file
      */
     public void configure(
             List<InetSocketAddress> members, InetSocketAddress ownAddress, String extraConfig)
@@ -106,7 +106,10 @@
                                 extraConfig));
     }
 
-    /** Returns the status of each member as this agent sees it; empty if there is no answer. */
+    /**
+     * Returns the status of each member as this agent sees it, by the member's name; empty if the
+     * agent does not answer.
+     */
     Map<String, String> memberStatuses() {
         Map<String, String> statuses = new TreeMap<>();
         queryJson()
@@ -121,12 +124,18 @@
         return statuses;
     }
 
-    /** Returns the agent's JSON answer to {@code members}; empty if there is none. */
+    /**
+     * Returns the agent's JSON answer to the control call {@code members}; empty if the agent does
+     * not answer.
+     */
     Optional<JsonNode> queryJson() {
         return queryJson("members");
     }
 
-    /** Returns the agent's JSON answer to a control call; empty if there is none. */
+    /**
+     * Returns the agent's JSON answer to a control call; empty if the agent does not answer or the
+     * answer is not JSON.
+     */
     Optional<JsonNode> queryJson(String call) {
         String text = LocalNetwork.ask(controlAddress, call);
         try {
@@ -136,7 +145,10 @@
         }
     }
 
-    /** Sends a control call to the agent and returns its answer; empty if there is none. */
+    /**
+     * Sends a control call to the agent and returns its answer; an empty text if it does not
+     * answer.
+     */
     public String ask(String call) {
         return LocalNetwork.ask(controlAddress, call);
     }
--- a/src/main/java/passhatch/lab/drill/ChangesWriter.java
+++ b/src/main/java/passhatch/lab/drill/ChangesWriter.java
@@ -10,8 +10,9 @@
 import passhatch.distribution.Setting;
 
 /**
- * Submits changes to the leading replica, one after another. Records those reported as committed,
- * and the time until each was in force at all undisturbed subscribers of its service.
+ * Submits changes to the leading replica, one after another. The writer records each change that is
+ * reported as committed, and the time until that change was in force at all undisturbed subscribers
+ * of its service.
  */
 final class ChangesWriter implements Runnable {
 
@@ -23,7 +24,7 @@
     private static final long IN_FORCE_TIMEOUT_MS = 30_000;
     private static final String ACCEPTED_PREFIX = "accepted ";
 
-    /** A committed change. */
+    /** A committed change of a key. */
     record Committed(long version, String value) {}
 
     private final ChangesTestbed testbed;
@@ -39,23 +40,29 @@
     }
 
     /**
-     * Returns the subscribers that are not waited for because they are killed, stopped or cut off.
+     * Returns the indices of the subscribers that the writer does not wait for, because they are
+     * killed, stopped or partitioned. The caller adds and removes them.
      */
     Set<Integer> disturbedSubscribers() {
         return disturbedSubscribers;
     }
 
-    /** Returns the newest committed change of each key; to be called after the writer has ended. */
+    /**
+     * Returns the newest committed change of each key. Call this only after the writer has ended.
+     */
     Map<String, Committed> committedChanges() {
         return committedChanges;
     }
 
-    /** Returns the time from the submission of each committed change until it was in force. */
+    /**
+     * Returns the time in milliseconds from the submission of each committed change until it was in
+     * force.
+     */
     List<Long> inForceDelaysMs() {
         return inForceDelaysMs;
     }
 
-    /** Returns the number of accepted changes whose outcome is not known. */
+    /** Returns the number of accepted changes that were not reported as committed. */
     int unknownOutcomes() {
         return unknownOutcomes;
     }
--- a/src/main/java/passhatch/lab/drill/ChildProcess.java
+++ b/src/main/java/passhatch/lab/drill/ChildProcess.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A child process running the program. It is ended through its own handle, never by name. */
+/**
+ * A child process that runs the program. Signals are sent only to the process that this object has
+ * started, never by name.
+ */
 public final class ChildProcess {
 
     private static final int LOG_TAIL_LINES = 12;
@@ -19,7 +22,10 @@
     private final Path logFile;
     private Process process;
 
-    /** Creates a process without starting it; its two output streams are appended to the log. */
+    /**
+     * Creates a process without starting it. Standard output and standard error of the process are
+     * appended to the log file.
+     */
     ChildProcess(String name, List<String> command, Map<String, String> environment, Path logFile) {
         this.name = name;
         this.command = command;
@@ -27,7 +33,7 @@
         this.logFile = logFile;
     }
 
-    /** Starts the process, also again after it has ended. */
+    /** Starts the process, or starts it again after it has ended. */
     public synchronized void start() throws IOException {
         if (isAlive()) {
             throw new IOException(name + " runs already");
@@ -50,8 +56,10 @@
     }
 
     /**
-     * Sends a signal, named without SIG; returns false if the process is not running or the signal
-     * cannot be sent.
+     * Sends a signal to the process.
+     *
+     * @param signal name of the signal without SIG
+     * @return false if the process is not running or the signal cannot be sent
      */
     synchronized boolean signal(String signal) throws IOException, InterruptedException {
         if (!isAlive()) {
@@ -66,8 +74,8 @@
                 process.destroy();
                 yield true;
             }
-            // The JDK cannot send other signals. The kill that is built into the shell is used, as
-            // not every machine has the program.
+            // The JDK cannot send other signals. The shell's built-in kill sends them, as not
+            // every machine has a kill program.
             default ->
                     new ProcessBuilder("/bin/sh", "-c", "kill -" + signal + " " + process.pid())
                                     .start()
@@ -86,8 +94,8 @@
     }
 
     /**
-     * Sends SIGTERM, and SIGKILL after the timeout. A process that SIGSTOP has stopped is continued
-     * first.
+     * Sends SIGTERM, and SIGKILL if the process is still running after the timeout. A process that
+     * SIGSTOP has stopped is continued before that.
      */
     public void terminate(long timeoutMs) {
         try {
@@ -104,14 +112,14 @@
         }
     }
 
-    /** Kills the process at once. */
+    /** Kills the process immediately. */
     public synchronized void kill() {
         if (isAlive()) {
             process.destroyForcibly();
         }
     }
 
-    /** Returns the last lines of the log. */
+    /** Returns the last {@link #LOG_TAIL_LINES} lines of the log. */
     public String logTail() {
         try {
             List<String> lines = Files.readAllLines(logFile, StandardCharsets.ISO_8859_1);
--- a/src/main/java/passhatch/lab/drill/Comparison.java
+++ b/src/main/java/passhatch/lab/drill/Comparison.java
@@ -10,8 +10,9 @@
 import org.apache.commons.statistics.distribution.TDistribution;
 
 /**
- * Compares two sets of runs: for each measure the two means, their difference, and its confidence
- * interval by Welch's method, which does not assume equal variances. There is no interval if a set
+ * Compares two sets of runs, A and B. For each measure, the comparison gives the mean of each set,
+ * the difference of the means, and the confidence interval of the difference. The interval is
+ * computed by Welch's method, which does not assume equal variances. There is no interval if a set
  * has only one run.
  */
 final class Comparison {
@@ -21,8 +22,12 @@
     /**
      * The comparison of one measure.
      *
-     * @param intervalLow lower bound of the confidence interval of the difference B - A; NaN
-     *     without repeats
+     * @param meanA mean of set A
+     * @param meanB mean of set B
+     * @param difference mean of set B minus mean of set A
+     * @param intervalLow lower bound of the confidence interval of the difference; NaN if a set has
+     *     only one run
+     * @param intervalHigh upper bound of the confidence interval; NaN if a set has only one run
      */
     record Row(
             String measure,
@@ -40,13 +45,13 @@
     private Comparison() {}
 
     static List<Row> compare(List<Result> a, List<Result> b) {
-        Map<String, double[]> left = valuesByMeasure(a);
-        Map<String, double[]> right = valuesByMeasure(b);
+        Map<String, double[]> valuesA = valuesByMeasure(a);
+        Map<String, double[]> valuesB = valuesByMeasure(b);
         List<Row> rows = new ArrayList<>();
-        left.forEach(
+        valuesA.forEach(
                 (name, values) -> {
-                    if (right.containsKey(name)) {
-                        rows.add(compareMeasure(name, values, right.get(name)));
+                    if (valuesB.containsKey(name)) {
+                        rows.add(compareMeasure(name, values, valuesB.get(name)));
                     }
                 });
         return rows;
--- a/src/main/java/passhatch/lab/drill/Drill.java
+++ b/src/main/java/passhatch/lab/drill/Drill.java
@@ -20,7 +20,10 @@
 import passhatch.lab.load.LoadStats;
 import passhatch.lab.load.ProxyPool;
 
-/** Runs a scenario once, from the start of the first process to the end of the last one. */
+/**
+ * Runs a scenario once: starts its processes, generates its load, injects its faults, and writes
+ * the result.
+ */
 final class Drill {
 
     private static final Logger LOG = LoggerFactory.getLogger(Drill.class);
@@ -39,7 +42,7 @@
     /**
      * Creates a run that writes all of its files to a folder.
      *
-     * @param jvmOptions additional options for the JVMs of the program
+     * @param jvmOptions additional options for the JVMs that run the program
      */
     Drill(Scenario scenario, Path jar, Path folder, List<String> jvmOptions) {
         this.scenario = scenario;
@@ -49,16 +52,16 @@
     }
 
     /**
-     * Receives the time since the start of the load in milliseconds, and the numbers of completed
-     * and of served requests so far.
+     * Receives the progress of a run: the time since the start of the load in milliseconds, and an
+     * array with the number of completed requests and the number of served requests so far.
      */
     interface ProgressListener extends BiConsumer<Long, long[]> {}
 
     /**
      * Runs the scenario.
      *
-     * @throws IOException if a process does not get ready or a file cannot be written; all started
-     *     processes have ended by then
+     * @throws IOException if a process does not become ready or a file cannot be written; the
+     *     started processes are ended before this is thrown
      */
     Result run(ProgressListener progress) throws IOException, InterruptedException {
         Files.createDirectories(folder);
--- a/src/main/java/passhatch/lab/drill/DutyHolderLog.java
+++ b/src/main/java/passhatch/lab/drill/DutyHolderLog.java
@@ -5,14 +5,15 @@
 import java.util.List;
 
 /**
- * Records which processes held a duty, as observed from outside, and checks that no two held it at
- * once: if one observation ended before another began, the later one must not have a lower term,
- * and must have the same process if it has the same term.
+ * Records which processes held a duty, as observed from outside, and checks that no two processes
+ * held it at once. If one observation ended before another one began, the later observation must
+ * have a higher term, or the same term and the same process.
  */
 final class DutyHolderLog {
 
     /**
-     * A process that reported that it may act; this was true at some time between the two times.
+     * A report of a process that it may act on the duty in a term. The process could act at some
+     * time between {@code startNs} and {@code endNs}.
      */
     record Observation(int process, long term, long startNs, long endNs) {}
 
@@ -26,7 +27,10 @@
         return List.copyOf(observations);
     }
 
-    /** Returns the observations that contradict an earlier one; empty if there are none. */
+    /**
+     * Returns a description of each observation that contradicts an earlier one; empty if there are
+     * no contradictions.
+     */
     synchronized List<String> violations() {
         List<String> violations = new ArrayList<>();
         List<Observation> byEnd = new ArrayList<>(observations);
--- a/src/main/java/passhatch/lab/drill/EventFile.java
+++ b/src/main/java/passhatch/lab/drill/EventFile.java
@@ -13,12 +13,19 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** The events of a drill, one line of JSON each, with the time since the start of the load. */
+/**
+ * A file of the events of a drill. Each event is one line of JSON, which includes the time since
+ * the start of the load.
+ */
 final class EventFile implements Closeable {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** An event; its time in milliseconds is negative before the start of the load. */
+    /**
+     * An event of a drill.
+     *
+     * @param atMs time since the start of the load in milliseconds; negative for an event before it
+     */
     record Event(long atMs, String type, Map<String, Object> details) {}
 
     private final BufferedWriter out;
@@ -29,12 +36,16 @@
         out = Files.newBufferedWriter(file);
     }
 
-    /** Sets the start of the load, as a value of {@link System#nanoTime}. */
+    /** Sets the time at which the load starts, as a value of {@link System#nanoTime}. */
     synchronized void setLoadStart(long startNs) {
         loadStartNs = startNs;
     }
 
-    /** Records an event; keys and values of its details alternate. */
+    /**
+     * Adds an event and writes it to the file.
+     *
+     * @param keysAndValues details of the event: keys and values in turn
+     */
     synchronized void add(String type, Object... keysAndValues) {
         long atMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - loadStartNs);
         Map<String, Object> details = new LinkedHashMap<>();
--- a/src/main/java/passhatch/lab/drill/FaultPlan.java
+++ b/src/main/java/passhatch/lab/drill/FaultPlan.java
@@ -7,16 +7,19 @@
 import java.util.stream.IntStream;
 
 /**
- * Expands a scenario's faults into steps ordered by time: each fault for each of its targets, and
- * the step that undoes it. The same scenario always gives the same steps.
+ * Expands a scenario's faults into steps that are ordered by time. Each fault gives one step for
+ * each of its targets, and another step that undoes it if it has a duration. The same scenario
+ * always gives the same steps.
  */
 final class FaultPlan {
 
     /**
-     * One action on one target.
+     * An action on one target, which injects a fault or undoes it.
      *
-     * @param targetIndex index of the proxy or backend, from 0; -1 if there is only one target
-     * @param fault the fault of the scenario that the step belongs to
+     * @param at time after the start of the load
+     * @param targetIndex index of the proxy or backend, from 0; -1 for types that have only one
+     *     target
+     * @param fault fault of the scenario to which the step belongs
      */
     record Step(Duration at, FaultType type, int targetIndex, Scenario.Fault fault) {
         String targetName() {
@@ -62,8 +65,10 @@
     }
 
     /**
-     * Returns the indices, from 0, of names like proxy-1. The names may include the word for all
-     * targets.
+     * Returns the indices, from 0, of targets with names like proxy-1.
+     *
+     * @param all name that stands for all targets
+     * @param count number of targets
      */
     static int[] targetIndicesByName(List<String> names, String all, int count) {
         return names.stream()
--- a/src/main/java/passhatch/lab/drill/FaultRunner.java
+++ b/src/main/java/passhatch/lab/drill/FaultRunner.java
@@ -11,7 +11,9 @@
 import passhatch.lab.standin.DiscoveryServer;
 import passhatch.lab.standin.UdpRelay.NetworkConditions;
 
-/** Applies the steps of a fault plan to a drill's testbed and records each as an event. */
+/**
+ * Applies the steps of a fault plan to the testbed of a drill and records each step as an event.
+ */
 final class FaultRunner {
 
     private final Scenario scenario;
@@ -22,8 +24,9 @@
     private NetworkConditions networkConditions = NetworkConditions.UNIMPAIRED;
 
     /**
-     * Creates a runner. The timer must have one thread, so that steps run one after another in
-     * order.
+     * Creates a runner.
+     *
+     * @param timer runs the steps; has only one thread, so that steps run one after another
      */
     FaultRunner(
             Scenario scenario,
@@ -38,7 +41,11 @@
         this.timer = timer;
     }
 
-    /** Schedules all steps, each at its time after the start of the load. */
+    /**
+     * Schedules all steps.
+     *
+     * @param startNs start of the load, as a value of {@link System#nanoTime}
+     */
     void schedule(List<FaultPlan.Step> steps, long startNs) {
         for (FaultPlan.Step step : steps) {
             timer.schedule(
@@ -108,7 +115,9 @@
         }
     }
 
-    /** Stops the clients from sending to a proxy once the detection time has passed. */
+    /**
+     * Makes clients stop sending to a proxy after the time that they need to detect its failure.
+     */
     private void scheduleFailureDetection(int index) {
         timer.schedule(
                 () -> proxyPool.setAdmitted(index, false),
@@ -117,11 +126,13 @@
     }
 
     /**
-     * Starts a proxy without blocking the steps that follow; clients send to it once it is ready.
+     * Starts a proxy without waiting until it is ready, so that later steps are not delayed.
+     * Clients send to the proxy once it is ready.
      */
     private void startProxy(ProxyProcess proxy) throws IOException {
         if (proxy.process().isAlive()) {
-            // The process is still shutting down; retry until it has ended.
+            // The previous process is still shutting down, so the start is retried until it has
+            // ended.
             timer.schedule(
                     () -> {
                         try {
@@ -224,7 +235,10 @@
         }
     }
 
-    /** Network faults of different types accumulate; {@link FaultType#HEAL} ends all of them. */
+    /**
+     * Applies a network fault between proxies. Faults of different types accumulate, and {@link
+     * FaultType#HEAL} ends all of them.
+     */
     private void applyToPeers(FaultPlan.Step step) {
         double share = step.fault().share();
         long delayUs = TimeUnit.MICROSECONDS.convert(step.fault().by());
--- a/src/main/java/passhatch/lab/drill/FaultType.java
+++ b/src/main/java/passhatch/lab/drill/FaultType.java
@@ -4,8 +4,8 @@
 import java.util.Locale;
 
 /**
- * The types of fault that a drill injects, and of the steps that undo them. Scenario files use
- * their names in lower case.
+ * The types of steps in a drill: those that inject a fault and those that undo one. Scenario files
+ * use the names of the types in lower case.
  */
 enum FaultType {
     /** Sends SIGKILL to a proxy process. */
@@ -26,25 +26,25 @@
     FAIL(TargetType.BACKEND),
     /** Makes a backend reset the connection of a share of its requests. */
     RESET(TargetType.BACKEND),
-    /** Crashes a backend; discovery removes it from the list. */
+    /** Crashes a backend and removes it from the list of discovery. */
     CRASH(TargetType.BACKEND),
-    /** Restarts a backend cold; discovery lists it again. */
+    /** Restarts a backend, which is then cold, and returns it to the list of discovery. */
     RETURN(TargetType.BACKEND),
-    /** Drains a backend; discovery lists it as draining. */
+    /** Drains a backend and marks it as draining in the list of discovery. */
     DRAIN(TargetType.BACKEND),
     /** Restores a backend's normal behaviour. */
     WELL(TargetType.BACKEND),
-    /** Takes discovery down. */
+    /** Makes discovery unreachable. */
     DOWN(TargetType.DISCOVERY),
-    /** Brings discovery up again. */
+    /** Makes discovery reachable again. */
     UP(TargetType.DISCOVERY),
     /** Closes all open watches of discovery once. */
     BREAK(TargetType.DISCOVERY),
-    /** Makes discovery silent; its connections stay open. */
+    /** Stops discovery from sending anything while its connections stay open. */
     STALL(TargetType.DISCOVERY),
-    /** Ends the silence of discovery. */
+    /** Lets discovery send again. */
     RESUME(TargetType.DISCOVERY),
-    /** Makes discovery reject calls after a wait; open watches continue. */
+    /** Makes discovery reject calls after a delay, while open watches continue. */
     OVERLOAD(TargetType.DISCOVERY),
     /** Makes discovery answer calls again. */
     RELIEVE(TargetType.DISCOVERY),
@@ -54,26 +54,29 @@
     ANSWER_AT_ONCE(TargetType.DISCOVERY),
     /** Delays the changes that discovery sends. */
     TELL_LATE(TargetType.DISCOVERY),
-    /** Ends the delay of the changes. */
+    /** Ends the delay of the changes that discovery sends. */
     TELL_AT_ONCE(TargetType.DISCOVERY),
     /** Loses a share of the datagrams between proxies. */
     LOSE(TargetType.PEERS),
     /** Delays all datagrams between proxies. */
     DELAY(TargetType.PEERS),
-    /** Duplicates a share of the datagrams. */
+    /** Duplicates a share of the datagrams between proxies. */
     DOUBLE(TargetType.PEERS),
-    /** Reorders a share of the datagrams. */
+    /** Reorders a share of the datagrams between proxies. */
     REORDER(TargetType.PEERS),
-    /** Truncates a share of the datagrams to their first half. */
+    /** Truncates a share of the datagrams between proxies to their first half. */
     CUT(TargetType.PEERS),
-    /** Drops all datagrams from processes of the first group; they still receive all datagrams. */
+    /**
+     * Drops all datagrams that proxies of the first group send; these proxies still receive
+     * datagrams from all others.
+     */
     ONE_WAY(TargetType.PEERS),
-    /** Drops datagrams between processes of different groups. */
+    /** Drops datagrams between proxies of different groups. */
     PARTITION(TargetType.PEERS),
     /** Ends all network faults between proxies. */
     HEAL(TargetType.PEERS);
 
-    /** What a fault is applied to. */
+    /** The kind of target that a step acts on. */
     enum TargetType {
         PROXY,
         BACKEND,
@@ -91,7 +94,10 @@
         return targetType;
     }
 
-    /** Returns the type that undoes this one after its duration; null if none does. */
+    /**
+     * Returns the type of the step that undoes this fault after its duration; null if no step
+     * undoes it.
+     */
     FaultType undoneBy() {
         return switch (this) {
             case KILL, TERM -> START;
@@ -109,7 +115,8 @@
     }
 
     /**
-     * Returns whether this type only undoes another. Recovery is measured after all other types.
+     * Returns whether a step of this type only undoes a fault. Recovery is measured after the steps
+     * of all other types.
      */
     boolean undoesFault() {
         return switch (this) {
--- a/src/main/java/passhatch/lab/drill/GaugeCommand.java
+++ b/src/main/java/passhatch/lab/drill/GaugeCommand.java
@@ -22,8 +22,9 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Measures the maximum load that the load generator can produce, against stand-in backends without
- * a proxy. No drill should demand more.
+ * Measures whether the load generator can produce a given load. Requests go directly to stand-in
+ * backends, without a proxy. A drill should not use a higher load than the load generator can
+ * produce.
  */
 @Command(
         name = "gauge",
--- a/src/main/java/passhatch/lab/drill/ReportPage.java
+++ b/src/main/java/passhatch/lab/drill/ReportPage.java
@@ -20,8 +20,8 @@
 import passhatch.lab.load.Outcome;
 
 /**
- * Writes the report of a run as one HTML file: charts of rates and latency with the times of
- * faults, the result, and all events.
+ * Writes the report of a run as one HTML file. The report contains the result, charts of request
+ * rates and latency with the times of faults, and all events.
  */
 final class ReportPage {
 
--- a/src/main/java/passhatch/lab/drill/Result.java
+++ b/src/main/java/passhatch/lab/drill/Result.java
@@ -7,11 +7,14 @@
 /**
  * The result of one run of a drill, written to {@code result.json}.
  *
- * @param counts number of requests by outcome, and the counts that rules limit
- * @param latencyMs latency of the responses, measured from when requests were due, by quantile
- * @param recoveries one entry for each step that injects a fault
- * @param behindMs how much later than due requests were sent, by quantile
- * @param readyMs time from each restart of a proxy until it was ready, by proxy and time
+ * @param servedShare share of the offered requests that were served
+ * @param counts number of requests by outcome, and further counts, such as those that the
+ *     expectations limit
+ * @param latencyMs time from when a request was due until its response, by quantile
+ * @param recoveries time of recovery for each step that injects a fault
+ * @param behindMs time from when a request was due until it was sent, by quantile
+ * @param readyMs time from each restart of a proxy until it was ready, by name of the proxy and
+ *     time of the event
  * @param broken a description of each expectation that is not met; empty if all are met
  * @param invalid why the run is void because the machine was too busy; null if the run is valid
  */
@@ -29,10 +32,12 @@
         String invalid) {
 
     /**
-     * The time of recovery from a fault.
+     * The recovery from a fault.
      *
-     * @param ms time until the rate of served requests was back at 95 %; 0 if it never fell below
-     *     that, null if it was not back by the next fault or the end of the load
+     * @param fault type and target of the fault
+     * @param atMs time of the fault after the start of the load
+     * @param ms time until at least 95 % of the requests were served again; 0 if the share never
+     *     fell below that, null if it was still lower at the next fault or the end of the load
      */
     record Recovery(String fault, long atMs, Long ms) {}
 
--- a/src/main/java/passhatch/lab/drill/ScenarioReader.java
+++ b/src/main/java/passhatch/lab/drill/ScenarioReader.java
@@ -14,8 +14,8 @@
 final class ScenarioReader {
 
     /**
-     * Defaults of the keys that a file may omit. The times of faults and the keys of {@code expect}
-     * have no defaults.
+     * Default values of the keys that a file may omit. The times of faults and the keys of {@code
+     * expect} have no default.
      */
     private static final String DEFAULTS =
             """
--- a/src/main/java/passhatch/lab/drill/package-info.java
+++ b/src/main/java/passhatch/lab/drill/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Drills: fault-injection runs against real processes of the program, and the checks of their
+ * Drills, which inject faults while real processes of the program run under load, and check the
  * results.
  */
 package passhatch.lab.drill;
--- a/src/main/java/passhatch/store/Disk.java
+++ b/src/main/java/passhatch/store/Disk.java
@@ -5,9 +5,10 @@
 import java.util.List;
 
 /**
- * One folder on a disk, with the operations that the store needs: a flat set of names, and files
- * that are only appended to or truncated. After a power failure, data that was not forced may be
- * lost in part or whole and in any order. After a failed call the state of its file is unknown.
+ * One folder on a disk, with the operations that the store needs. The folder has no subfolders, and
+ * its files are only appended to or truncated. After a power failure, data that was not forced may
+ * be lost, in whole or in part and in any order. After a failed call, the state of the file is
+ * unknown.
  */
 public interface Disk extends AutoCloseable {
 
@@ -20,23 +21,24 @@
     /**
      * Reads a whole file.
      *
-     * @param maxBytes maximum size; a larger file causes an exception and is not read
+     * @param maxBytes maximum size of the file in bytes
+     * @throws IOException if the file is larger or cannot be read
      */
     byte[] read(String name, int maxBytes) throws IOException;
 
-    /** Creates an empty file; its name is durable once {@link #forceFolder} has returned. */
+    /** Creates an empty file. Its name is durable once {@link #forceFolder} has returned. */
     void create(String name) throws IOException;
 
-    /** Appends to a file. */
+    /** Appends bytes to a file. */
     void append(String name, ByteBuffer bytes) throws IOException;
 
-    /** Returns once all bytes of a file are durable. */
+    /** Makes all bytes of a file durable before it returns. */
     void force(String name) throws IOException;
 
-    /** Returns once all names created, changed and deleted so far are durable. */
+    /** Makes all creations, renames and deletions of files so far durable before it returns. */
     void forceFolder() throws IOException;
 
-    /** Renames a file; an existing file of the new name is replaced atomically. */
+    /** Renames a file. An existing file with the new name is replaced atomically. */
     void rename(String from, String to) throws IOException;
 
     /** Truncates a file to a size in bytes. */
@@ -45,7 +47,10 @@
     /** Deletes a file. */
     void delete(String name) throws IOException;
 
-    /** Replaces a whole file: after a power loss it has either its old or its new content. */
+    /**
+     * Replaces the content of a file atomically: after a power loss the file has either its old or
+     * its new content.
+     */
     default void replace(String name, ByteBuffer bytes) throws IOException {
         String unfinished = name + ".new";
         if (list().contains(unfinished)) {
--- a/src/main/java/passhatch/store/Entry.java
+++ b/src/main/java/passhatch/store/Entry.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * A record as passed to and from the store.
+ * A record that is written to the store or read from it.
  *
- * @param kind chosen by the user, from 1 to 32,767; the store does not interpret it
- * @param bytes its content, at most {@link Format#MAX_RECORD_BYTES} bytes
+ * @param kind number from 1 to 32,767 that the caller chooses; the store does not interpret it
+ * @param bytes content of the record, at most {@link Format#MAX_RECORD_BYTES} bytes
  */
 public record Entry(int kind, byte[] bytes) {
 
-    /** The maximum kind. */
+    /** Maximum value of {@link #kind}. */
     public static final int MAX_KIND = Short.MAX_VALUE;
 
     @Override
--- a/src/main/java/passhatch/store/FolderDisk.java
+++ b/src/main/java/passhatch/store/FolderDisk.java
@@ -13,7 +13,9 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** A folder of the file system, locked for as long as this object is open. */
+/**
+ * A disk that is a folder of the file system. The folder is locked as long as this object is open.
+ */
 public final class FolderDisk implements Disk {
 
     private static final String LOCK_NAME = "lock";
@@ -28,9 +30,10 @@
     }
 
     /**
-     * Opens and locks a folder; creates it if it does not exist.
+     * Opens and locks a folder, after creating it if it does not exist.
      *
-     * @throws StoreException.InUse if another process, or another object in this one, has locked it
+     * @throws StoreException.InUse if another process, or another object in this process, has
+     *     locked the folder
      */
     public static FolderDisk open(Path folder) throws IOException, StoreException.InUse {
         Files.createDirectories(folder);
@@ -44,7 +47,7 @@
                 return new FolderDisk(folder, channel);
             }
         } catch (OverlappingFileLockException lockedHere) {
-            // Reported below, like a lock held by another process.
+            // This case is reported below, like a lock that another process holds.
         }
         channel.close();
         throw new StoreException.InUse(folder.toString());
@@ -148,7 +151,7 @@
             channel.close();
         }
         openFiles.clear();
-        // Closing the channel releases the lock; closing it again has no effect.
+        // Closing the channel releases the lock. Closing the channel again has no effect.
         lockFile.close();
     }
 }
--- a/src/main/java/passhatch/store/Format.java
+++ b/src/main/java/passhatch/store/Format.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.zip.CRC32C;
 
-/** Binary format of headers and records; {@code docs/recovery.md} describes it. */
+/** Binary format of file headers and records, as described in {@code docs/recovery.md}. */
 final class Format {
 
     static final int VERSION = 1;
@@ -14,25 +14,34 @@
     /** Maximum size of a record's content in bytes. */
     static final int MAX_RECORD_BYTES = 1 << 16;
 
-    /** Maximum size of a segment in bytes: a record that would exceed it starts a new segment. */
+    /**
+     * Maximum size of a segment in bytes. Records that would exceed it are written to a new
+     * segment.
+     */
     static final int MAX_SEGMENT_BYTES = 1 << 22;
 
-    /** Maximum size of the snapshot and the segments after it, in bytes. */
+    /** Maximum total size of the snapshot and the segments after it, in bytes. */
     static final long MAX_TOTAL_BYTES = 1L << 26;
 
     /** Maximum size of an owner's name, in bytes of UTF-8. */
     static final int MAX_OWNER_BYTES = 64;
 
-    /** The kind of a mark; the kinds of users are above it. */
+    /**
+     * Kind of a mark, which confirms that the records before it were forced. The kinds that callers
+     * choose are higher.
+     */
     static final int MARK_KIND = 0;
 
     private static final int SEGMENT_MAGIC = 0x4c57_5347;
     private static final int SNAPSHOT_MAGIC = 0x4c57_534e;
 
-    /** Magic, version, owner's length and bytes, epoch, first record, CRC. */
+    /**
+     * Size of a file header: magic number, version, length and bytes of the owner's name, epoch,
+     * sequence number and CRC.
+     */
     static final int HEADER_BYTES = 4 + 2 + 2 + MAX_OWNER_BYTES + 8 + 8 + 4;
 
-    /** Length, sequence, kind, CRC. */
+    /** Size of a record header: length of the content, sequence number, kind and CRC. */
     static final int RECORD_HEADER_BYTES = 4 + 8 + 2 + 4;
 
     private static final String SEGMENT_PREFIX = "segment-";
@@ -41,14 +50,18 @@
     private Format() {}
 
     /**
-     * Header of a segment or snapshot.
+     * Header of a segment file or snapshot file.
      *
-     * @param epoch of the process that wrote it
-     * @param sequence first record of a segment, or last record that a snapshot includes
+     * @param snapshot whether the file is a snapshot
+     * @param version format version of the file
+     * @param owner name of the owner of the store
+     * @param epoch epoch of the store when the file was written
+     * @param sequence in a segment, the sequence number of its first record; in a snapshot, that of
+     *     the last record that it includes
      */
     record Header(boolean snapshot, int version, String owner, long epoch, long sequence) {}
 
-    /** A decoded record, with the offset of the next one. */
+    /** A decoded record, with the offset in the file at which the next record begins. */
     record StoredRecord(long sequence, int kind, byte[] bytes, int nextOffset) {}
 
     static String segmentName(long firstSequence) {
@@ -59,7 +72,10 @@
         return SNAPSHOT_PREFIX + String.format(Locale.ROOT, "%016x", lastSequence);
     }
 
-    /** Returns the sequence number in a file name, or -1 for other files. */
+    /**
+     * Returns the sequence number in the name of a snapshot or segment; -1 if the name is not that
+     * of such a file.
+     */
     static long sequenceInName(String name, boolean ofSnapshot) {
         String prefix = ofSnapshot ? SNAPSHOT_PREFIX : SEGMENT_PREFIX;
         String digits = name.startsWith(prefix) ? name.substring(prefix.length()) : "";
@@ -78,7 +94,9 @@
         return out.putInt(computeCrc(out.array(), 0, out.position())).flip();
     }
 
-    /** Decodes the header of a file; null if there is no valid one. */
+    /**
+     * Returns the decoded header of a file; null if the file does not begin with a valid header.
+     */
     static Header decodeHeader(byte[] file) {
         if (file.length < HEADER_BYTES) {
             return null;
@@ -111,7 +129,7 @@
         out.putInt((int) crc.getValue()).put(content);
     }
 
-    /** Decodes the record at an offset; null if there is no valid one. */
+    /** Returns the decoded record at an offset; null if there is no valid record. */
     static StoredRecord readRecord(byte[] file, int offset) {
         if (offset < 0 || file.length - offset < RECORD_HEADER_BYTES) {
             return null;
--- a/src/main/java/passhatch/store/GroupCommit.java
+++ b/src/main/java/passhatch/store/GroupCommit.java
@@ -7,25 +7,35 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Shares a record log among threads: records submitted while the disk is being forced are written
- * together with the next force. Owns the log and the only thread that writes to it.
+ * Shares a record log among threads. The records that are submitted during a write to disk are
+ * written together as the next group. A group commit owns the log and runs the only thread that
+ * writes to it.
  */
 public final class GroupCommit implements AutoCloseable {
 
-    /** Maximum number of records that wait for the disk; further submitters block. */
+    /**
+     * Maximum number of records that wait to be written; a thread that submits a further record
+     * blocks.
+     */
     private static final int MAX_QUEUED_RECORDS = 4096;
 
-    /** Size in bytes at which a group is closed, so that it always fits into a segment. */
+    /**
+     * Size in bytes at which no further record is added to a group, so that a group always fits
+     * into a segment.
+     */
     private static final int MAX_GROUP_BYTES = 1 << 20;
 
-    /** One record that waits to be written; a null entry asks the thread to stop. */
+    /**
+     * A record that waits to be written, with the future for its result. A null entry asks the
+     * writing thread to stop.
+     */
     private record PendingRecord(Entry entry, CompletableFuture<Long> result) {}
 
     private final RecordLog log;
     private final BlockingQueue<PendingRecord> queue = new ArrayBlockingQueue<>(MAX_QUEUED_RECORDS);
     private final Thread writerThread;
 
-    /** Takes ownership of a log; no other code may use it from now on. */
+    /** Takes ownership of a log. No other code may use the log after that. */
     public GroupCommit(RecordLog log) {
         this.log = log;
         this.writerThread = new Thread(this::writeGroups, "store");
@@ -36,13 +46,13 @@
     /**
      * Submits a record to be written.
      *
-     * @return completes with its sequence number once it is acknowledged, or with the {@link
-     *     StoreException}
+     * @return a future that completes with the sequence number of the record once it is durable, or
+     *     with the {@link StoreException} if it cannot be written
      */
     public CompletableFuture<Long> submit(Entry entry) throws InterruptedException {
-        CompletableFuture<Long> done = new CompletableFuture<>();
-        queue.put(new PendingRecord(entry, done));
-        return done;
+        CompletableFuture<Long> result = new CompletableFuture<>();
+        queue.put(new PendingRecord(entry, result));
+        return result;
     }
 
     private void writeGroups() {
@@ -83,7 +93,7 @@
             if (group.size() == 1) {
                 group.get(0).result().completeExceptionally(tooLarge);
             } else {
-                // A record that is too large must not fail the others of its group.
+                // A record that is too large must not make the other records of its group fail.
                 group.forEach(w -> writeGroup(List.of(w)));
             }
         } catch (StoreException | RuntimeException failed) {
@@ -92,8 +102,8 @@
     }
 
     /**
-     * Writes the queued records and closes the log; if the calling thread is interrupted, the rest
-     * is not written.
+     * Writes the queued records and closes the log. If the calling thread is interrupted, the
+     * records that are still queued are not written.
      */
     @Override
     public void close() throws StoreException {
--- a/src/main/java/passhatch/store/Inspection.java
+++ b/src/main/java/passhatch/store/Inspection.java
@@ -5,18 +5,21 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Reads a store without its owner, and copies what is readable to another folder. */
+/** Reads a store of any owner, and copies its readable records to another folder. */
 public final class Inspection {
 
     private static final int RECORDS_PER_BATCH = 64;
 
     /**
-     * Contents of a folder.
+     * What was found in the folder of a store.
      *
      * @param records number of valid records
-     * @param epoch the maximum that was found
-     * @param warnings incomplete ends that were never acknowledged, which are no damage
-     * @param damage faults in data that may have been acknowledged; empty if there are none
+     * @param lastSequence sequence number of the last valid record; 0 if there is none
+     * @param epoch highest epoch in the headers
+     * @param warnings descriptions of incomplete data at the end of the log that was never
+     *     acknowledged, and so is no damage
+     * @param damage descriptions of faults in data that may have been acknowledged; empty if there
+     *     are none
      */
     public record Report(
             long records,
@@ -27,7 +30,10 @@
 
     private Inspection() {}
 
-    /** Reads everything that is readable, also after damage, and changes nothing. */
+    /**
+     * Reads all readable records, including those after damage, and passes them to a consumer. The
+     * store is not changed.
+     */
     public static Report inspect(Disk disk, Consumer<Entry> consumer) throws StoreException {
         long[] records = {0};
         try {
@@ -55,7 +61,7 @@
     }
 
     /**
-     * Copies everything that is readable into an empty folder, as a store of the given owner.
+     * Copies all readable records into an empty folder, as a store of the given owner.
      *
      * @return what was found in the damaged store
      */
--- a/src/main/java/passhatch/store/Reader.java
+++ b/src/main/java/passhatch/store/Reader.java
@@ -9,14 +9,16 @@
 import passhatch.store.Format.StoredRecord;
 
 /**
- * Reads all files of a folder and distinguishes valid records, records that were never
- * acknowledged, and damage. It changes nothing and keeps one file in memory at a time.
+ * Reads all files of a store and distinguishes valid records, records that were never acknowledged,
+ * and damage. A reader changes nothing and keeps one file in memory at a time.
  */
 final class Reader {
 
     /**
-     * A fault at one place of a file; {@code acknowledged} if the data there may have been
-     * acknowledged.
+     * A fault in a file.
+     *
+     * @param offset position of the fault in the file, in bytes
+     * @param maybeAcknowledged whether the data at the fault may have been acknowledged
      */
     record Fault(String file, long offset, String description, boolean maybeAcknowledged) {
         String describe() {
@@ -25,17 +27,18 @@
     }
 
     /**
-     * The contents of a folder.
+     * What was found in the files of a store.
      *
      * @param lastSequence sequence number of the last valid record; 0 if there is none
-     * @param epoch the maximum of all headers; 0 if there is none
-     * @param totalBytes size of the snapshot and the segments after it
+     * @param epoch highest epoch in the headers; 0 if there is no valid header
+     * @param totalBytes total size of the snapshot and the segments after it
      * @param snapshot name of the current snapshot, or null
-     * @param segments names of the current segments, in their order
-     * @param truncateAt size to which the last segment is to be truncated; -1 if its end is valid
-     * @param obsoleteFiles names of files that are not part of the state, or no longer
-     * @param faults in the order in which they were found; after a fault in acknowledged data the
-     *     rest is not read, unless salvaging
+     * @param segments names of the current segments, oldest first
+     * @param truncateAt size in bytes to which the last segment has to be truncated; -1 if its end
+     *     is valid
+     * @param obsoleteFiles names of files that are not needed to restore the state
+     * @param faults in the order in which they were found; reading stops after a fault in
+     *     acknowledged data, unless the reader salvages
      */
     record Contents(
             long lastSequence,
@@ -60,10 +63,10 @@
     private boolean stopped;
 
     /**
-     * Creates a reader of a folder.
+     * Creates a reader of the store on a disk.
      *
-     * @param owner required owner; null to accept any
-     * @param salvage whether to continue after damage
+     * @param owner owner that the files must have; null to accept any owner
+     * @param salvage whether to continue reading after damage
      * @param replay receives each valid record
      */
     Reader(Disk disk, String owner, boolean salvage, Consumer<Entry> replay) {
@@ -122,7 +125,10 @@
         stopped |= maybeAcknowledged && !salvage;
     }
 
-    /** Returns the header of a file and records its epoch; null if the header is not valid. */
+    /**
+     * Returns the header of a file, and raises {@link #epoch} to the epoch of the header; null if
+     * the header is not valid.
+     */
     private Header readHeader(String file, byte[] content) throws StoreException {
         Header header = Format.decodeHeader(content);
         if (header == null) {
@@ -183,7 +189,10 @@
         }
     }
 
-    /** Reads a segment; returns false if it is empty and was never used. */
+    /**
+     * Reads a segment; returns false if its header is incomplete, so that the segment was never
+     * used.
+     */
     private boolean readSegment(String file, boolean isLast) throws IOException, StoreException {
         byte[] content = disk.read(file, Format.MAX_SEGMENT_BYTES);
         Header header = readHeader(file, content);
@@ -269,12 +278,16 @@
     }
 
     /**
-     * Finds a mark at or after an offset that confirms that the expected record was forced; null if
-     * there is none.
+     * Returns a mark that confirms that the expected record was forced; null if there is no such
+     * mark.
+     *
+     * @param from offset at which the search begins
+     * @param expectedSequence sequence number of the expected record
      */
     private static StoredRecord findMark(byte[] content, int from, long expectedSequence) {
         for (int offset = from; offset <= content.length - Format.RECORD_HEADER_BYTES; offset++) {
-            // A mark has no content: anything else is skipped without computing its checksum.
+            // A mark has no content, so the search skips records with content without computing
+            // their checksums.
             boolean empty =
                     content[offset] == 0
                             && content[offset + 1] == 0
@@ -290,7 +303,13 @@
         return null;
     }
 
-    /** Finds the next valid record or mark after damage that is not older than the expected one. */
+    /**
+     * Returns the next valid record or mark after damage whose sequence number is not below the
+     * expected one; null if there is none.
+     *
+     * @param from offset at which the search begins
+     * @param expectedSequence sequence number of the expected record
+     */
     private static StoredRecord findNextValid(byte[] content, int from, long expectedSequence) {
         for (int offset = from; offset <= content.length - Format.RECORD_HEADER_BYTES; offset++) {
             StoredRecord stored = Format.readRecord(content, offset);
--- a/src/main/java/passhatch/store/RecordLog.java
+++ b/src/main/java/passhatch/store/RecordLog.java
@@ -7,24 +7,24 @@
 import java.util.function.Consumer;
 
 /**
- * A log of records that survive a power loss once they are acknowledged, with snapshots that
- * replace all records before them. Not thread-safe; {@link GroupCommit} shares a log among threads.
- * Recovery and its rules are described in {@code docs/recovery.md}.
+ * A log of records and snapshots. Records survive a power loss once they are acknowledged. A
+ * snapshot replaces all records before it. This class is not thread-safe; {@link GroupCommit}
+ * shares a log among threads. Recovery and its rules are described in {@code docs/recovery.md}.
  *
- * <p>After each force a mark follows, which confirms that the records before it were forced. It
- * distinguishes a last record that was corrupted later from one that was never completely written
- * (the problem is described by Alagappan et al., "Protocol-Aware Recovery for Consensus-Based
- * Storage", FAST 2018).
+ * <p>After each force the log appends a mark, which confirms that the records before it were
+ * forced. Marks make it possible to distinguish a last record that was corrupted later from one
+ * that was never completely written (the problem is described by Alagappan et al., "Protocol-Aware
+ * Recovery for Consensus-Based Storage", FAST 2018).
  */
 public final class RecordLog implements AutoCloseable {
 
-    /** Log size since the last snapshot above which a new snapshot is due. */
+    /** Number of bytes logged since the last snapshot above which a new snapshot is due. */
     private static final long SNAPSHOT_THRESHOLD_BYTES = 1L << 20;
 
     /** Size of a segment without records: its header and the first mark. */
     private static final int EMPTY_SEGMENT_BYTES = Format.HEADER_BYTES + Format.RECORD_HEADER_BYTES;
 
-    /** Prefix of the file names of a damaged store that was set aside. */
+    /** Prefix that the files of a damaged store get when the store is set aside. */
     private static final String DAMAGED_PREFIX = "damaged-";
 
     private final Disk disk;
@@ -49,13 +49,14 @@
     }
 
     /**
-     * Opens the store of an owner; the folder may be empty. The new epoch is on disk before this
-     * returns.
+     * Opens the store of an owner. If the folder is empty, a new store is created. The new epoch of
+     * the store is on disk before this method returns.
      *
-     * @param owner at most 64 bytes in UTF-8
-     * @param replay receives the state: each record of the snapshot, then each later one, in order
+     * @param owner name of the owner, at most 64 bytes in UTF-8
+     * @param replay receives each record of the snapshot and then each later record, in order
      * @throws StoreException.Damaged if acknowledged data is corrupt; nothing is changed
-     * @throws StoreException.Foreign if the folder belongs to another owner or a newer program
+     * @throws StoreException.Foreign if the folder belongs to another owner or was written by a
+     *     newer program
      * @throws StoreException.Failed if the disk fails
      */
     public static RecordLog open(Disk disk, String owner, Consumer<Entry> replay)
@@ -84,7 +85,10 @@
         }
     }
 
-    /** Opens a store that can be rebuilt: a damaged one is set aside, and a warning reports it. */
+    /**
+     * Opens a store whose content can be rebuilt. If the store is damaged, its files are renamed, a
+     * new store is created, and a warning in {@link #warnings} reports the damage.
+     */
     public static RecordLog openOrSetAside(Disk disk, String owner, Consumer<Entry> replay)
             throws StoreException {
         List<Entry> entries = new ArrayList<>();
@@ -120,8 +124,8 @@
             if (contents.truncateAt() >= 0) {
                 disk.truncate(tail, contents.truncateAt());
             }
-            // The last mark may not be durable yet, and no incomplete end may precede another
-            // segment.
+            // The last mark may not be durable yet, and the truncation has to be durable before
+            // another segment is created.
             disk.force(tail);
         }
         totalBytes = contents.totalBytes();
@@ -135,8 +139,8 @@
         }
         String reused = Format.segmentName(lastSequence + 1);
         if (obsoleteAfterSnapshot.remove(reused)) {
-            // The segment of this name holds no record. Its name is needed, and its epoch is below
-            // the new one.
+            // The existing segment of this name contains no record. It is replaced, because its
+            // name is needed and its header has an older epoch.
             disk.replace(reused, encodeSegmentHeader());
             disk.append(reused, encodeMark());
             currentSegment = reused;
@@ -151,7 +155,7 @@
                 new Format.Header(false, Format.VERSION, owner, epoch, lastSequence + 1));
     }
 
-    /** Starts a segment; all data in the previous one has been forced. */
+    /** Starts a new segment, after forcing all data of the current segment to disk. */
     private void startSegment() throws IOException {
         if (currentSegment != null) {
             disk.force(currentSegment);
@@ -169,19 +173,25 @@
         bytesSinceSnapshot += segmentBytes;
     }
 
-    /** Returns a mark, which confirms that all records so far have been forced. */
+    /** Returns an encoded mark, which confirms that all records so far have been forced. */
     private ByteBuffer encodeMark() {
         ByteBuffer out = ByteBuffer.allocate(Format.RECORD_HEADER_BYTES);
         Format.putRecord(out, lastSequence, Format.MARK_KIND, new byte[0]);
         return out.flip();
     }
 
-    /** Returns the epoch, which grows by one at each opening: the incarnation of its owner. */
+    /**
+     * Returns the epoch of this store, which increases by one each time the store is opened. It
+     * serves as the incarnation of the owner.
+     */
     public long epoch() {
         return epoch;
     }
 
-    /** Returns one line for each problem that recovery repaired; empty after a clean shutdown. */
+    /**
+     * Returns a line of text for each problem that was repaired when the store was opened; empty
+     * after a clean shutdown.
+     */
     public List<String> warnings() {
         return List.copyOf(warnings);
     }
@@ -191,20 +201,19 @@
         return lastSequence;
     }
 
-    /** Returns whether enough was written since the last snapshot to justify a new one. */
+    /** Returns whether so much was written since the last snapshot that a new one is due. */
     public boolean isSnapshotDue() {
         return bytesSinceSnapshot > SNAPSHOT_THRESHOLD_BYTES;
     }
 
     /**
-     * Writes records and returns once they are acknowledged, which means that all of them are
-     * durable.
+     * Writes records. They are acknowledged, and so durable, once this method returns.
      *
-     * @return the sequence number of the last one
-     * @throws StoreException.TooLarge if a record or the whole would exceed its limit; none is
-     *     written
-     * @throws StoreException.Failed if the disk failed, now or before; whether the records were
-     *     written is known only after the store is opened again
+     * @return the sequence number of the last record
+     * @throws StoreException.TooLarge if a record, all of these records or the store would exceed
+     *     its maximum size; no record is written
+     * @throws StoreException.Failed if the disk failed during this call or an earlier one; whether
+     *     the records were written is known only after the store is opened again
      */
     public long append(List<Entry> entries) throws StoreException {
         requireUsable();
@@ -248,7 +257,7 @@
     /**
      * Replaces all records so far by a snapshot.
      *
-     * @param state the records of the snapshot
+     * @param state the records of the snapshot, which restore the current state
      */
     public void writeSnapshot(List<Entry> state) throws StoreException {
         requireUsable();
@@ -291,7 +300,10 @@
         }
     }
 
-    /** Returns the stored size of a record, after checking that it may be written. */
+    /**
+     * Returns the size of a record on disk in bytes, after checking the size of its content and its
+     * kind.
+     */
     private static int checkedSize(Entry e) throws StoreException.TooLarge {
         if (e.bytes().length > Format.MAX_RECORD_BYTES) {
             throw new StoreException.TooLarge(
@@ -324,7 +336,10 @@
         return failure;
     }
 
-    /** Closes the disk; records that are not acknowledged may or may not have been written. */
+    /**
+     * Closes the log and its disk. Records that are not acknowledged may or may not have been
+     * written.
+     */
     @Override
     public void close() throws StoreException {
         try {
--- a/src/main/java/passhatch/store/StoreException.java
+++ b/src/main/java/passhatch/store/StoreException.java
@@ -1,9 +1,6 @@
 package passhatch.store;
 
-/**
- * Thrown when the store cannot be used, or can no longer be used; the message gives the reason in
- * one line.
- */
+/** Thrown when the store cannot execute a request; the message gives the reason in one line. */
 public class StoreException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -25,7 +22,10 @@
         }
     }
 
-    /** The disk failed, now or before: nothing is acknowledged until the store is opened again. */
+    /**
+     * The disk failed during this call or an earlier one. Nothing is acknowledged until the store
+     * is opened again.
+     */
     public static final class Failed extends StoreException {
         private static final long serialVersionUID = 1L;
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Another process has locked the folder. */
+    /** Another process, or another object in this process, has locked the folder. */
     public static final class InUse extends StoreException {
         private static final long serialVersionUID = 1L;
 
@@ -53,8 +53,8 @@
     }
 
     /**
-     * A record, or all records together, would exceed the maximum size; the store continues without
-     * it.
+     * A record, or all records together, would exceed the maximum size. The record is not written,
+     * and the store remains usable.
      */
     public static final class TooLarge extends StoreException {
         private static final long serialVersionUID = 1L;
--- a/src/main/java/passhatch/store/package-info.java
+++ b/src/main/java/passhatch/store/package-info.java
@@ -1,2 +1,5 @@
-/** Durable storage: a record log with snapshots, over a small interface to the disk. */
+/**
+ * Durable storage: a record log with snapshots, which accesses the disk through the small interface
+ * {@link passhatch.store.Disk}.
+ */
 package passhatch.store;
