--- a/src/main/java/passhatch/Logic.java
+++ b/src/main/java/passhatch/Logic.java
@@ -483,7 +483,7 @@
             refuseOrFail(nowUs, request);
         } else if (server == null) {
             logRateLimited(nowUs, request.requestClass.name(),
-                    " waits: every server it may use is congested, in cooldown or still cold");
+                    " waits: every server it may use is too crowded, rests or is cold");
             request.queued = true;
             request.probeRounds = 0;
             waiting.add(request);
@@ -500,7 +500,7 @@
         if (usable != listUsable) {
             listUsable = usable;
             actions.log(usable ? "the list of servers is in use"
-                    : "the list of servers is not in use: it is unconfirmed and may lack changes");
+                    : "the list of servers is not in use, no change that it lacks can be excluded");
         }
     }
 
