--- a/src/main/java/passhatch/lab/drain/WatchCommand.java
+++ b/src/main/java/passhatch/lab/drain/WatchCommand.java
@@ -54,7 +54,7 @@
      * Number of runs in which the proxy was deemed notified of a change before discovery wrote it
      * to the proxy, or although discovery never wrote it.
      */
-    private final LongAdder effectiveRuns = new LongAdder();
+    private final LongAdder runsNotifiedBeforeWritten = new LongAdder();
 
     private final LongAdder requests = new LongAdder();
     private final LongAdder sent = new LongAdder();
@@ -73,21 +73,23 @@
                         + " sent%n",
                 seeds.count(),
                 brokenRuns.sum(),
-                effectiveRuns.sum(),
+                runsNotifiedBeforeWritten.sum(),
                 requests.sum(),
                 PERCENT * (double) sent.sum() / Math.max(1, requests.sum()));
         if (brokenRuns.sum() > 0) {
             printTimeline(firstBrokenSeed.get(), out);
         }
         out.flush();
-        return brokenRuns.sum() == 0 && effectiveRuns.sum() > 0 ? 0 : Commands.EXIT_FAILURE;
+        return brokenRuns.sum() == 0 && runsNotifiedBeforeWritten.sum() > 0
+                ? 0
+                : Commands.EXIT_FAILURE;
     }
 
     private void countRun(RunResult result, PrintWriter out) {
         requests.add(result.requests());
         sent.add(result.sent());
         if (result.notifiedBeforeWritten() > 0) {
-            effectiveRuns.increment();
+            runsNotifiedBeforeWritten.increment();
         }
         if (!result.lateSends().isEmpty()) {
             brokenRuns.increment();
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -75,7 +75,7 @@
     private static final long MAX_TRANSIT_US = 100_000;
 
     /** Delay of a timer that fires only after the current pass of the event loop. */
-    private static final long CATCH_UP_DELAY_MS = 1;
+    private static final long POST_STALL_TIMER_DELAY_MS = 1;
 
     /**
      * Maximum time of an upload. The slowest clients send 64 kB per second, so an upload that takes
@@ -512,8 +512,10 @@
         balancer.listUnread(nowUs - unreadUs);
         log.write("held up for " + TimeUnit.MICROSECONDS.toMillis(unreadUs) + " ms");
         loop.schedule(
-                () -> loop.schedule(this::onCaughtUp, CATCH_UP_DELAY_MS, TimeUnit.MILLISECONDS),
-                CATCH_UP_DELAY_MS,
+                () ->
+                        loop.schedule(
+                                this::onCaughtUp, POST_STALL_TIMER_DELAY_MS, TimeUnit.MILLISECONDS),
+                POST_STALL_TIMER_DELAY_MS,
                 TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/passhatch/proxy/discovery/ListWatch.java
+++ b/src/main/java/passhatch/proxy/discovery/ListWatch.java
@@ -33,7 +33,7 @@
      * Maximum time of a rejection that counts as immediate. A slower one may come from a discovery
      * service that is down.
      */
-    private static final long IMMEDIATE_REJECTION_US = TimeUnit.SECONDS.toMicros(1);
+    private static final long MAX_IMMEDIATE_REJECTION_US = TimeUnit.SECONDS.toMicros(1);
 
     private static final int OK = 200;
 
@@ -229,7 +229,7 @@
         if (!current.accepted) {
             // Discovery may no longer have the requested version.
             fetchWhole = status < FIRST_SERVER_ERROR;
-            if (nowUs - current.startedUs < IMMEDIATE_REJECTION_US) {
+            if (nowUs - current.startedUs < MAX_IMMEDIATE_REJECTION_US) {
                 listener.onCallRejected();
             }
             abortCurrent("answered " + status);
