--- a/src/main/java/passhatch/lab/drain/DiscoveryModel.java
+++ b/src/main/java/passhatch/lab/drain/DiscoveryModel.java
@@ -16,7 +16,7 @@
 
 /**
  * A model of discovery in simulated time. It follows the protocol and has every fault that the
- * specification names. It records what it does itself, independently of the proxy.
+ * specification names. The model records its own actions independently of the proxy.
  */
 final class DiscoveryModel {
 
@@ -63,7 +63,7 @@
         private boolean failed;
         private long lastArrivalUs;
 
-        /** Versions that are still to be written on the watch, in ascending order. */
+        /** Versions of the list that are still to be written on the watch, in ascending order. */
         private final ArrayDeque<Long> pendingVersions = new ArrayDeque<>();
 
         OpenCall(long number, ProxyModel caller) {
@@ -136,15 +136,15 @@
     private Mode mode = Mode.WELL;
     private long downSinceUs;
 
-    /** Maximum delay with which a watch writes a change. */
+    /** Maximum time from a change of the list until discovery writes the change on a watch. */
     private long maxWatchDelayUs;
 
     /** Whether messages arrive in two pieces. */
     private boolean splitWrites;
 
     /**
-     * On average one message in this many is truncated, or its call is closed without writing it; 0
-     * if all messages are complete.
+     * On average one in this number of messages fails: the message is truncated, or its call is
+     * closed without writing it. 0 if no message fails.
      */
     private int failedDeliveryOneIn;
 
@@ -253,7 +253,10 @@
         queue.scheduleAfter(OLD_ADDRESS_CLOSE_DELAY_US, () -> old.forEach(c -> c.close("moved")));
     }
 
-    /** Adds the calls and the outage that are still open at the end of the run to the record. */
+    /**
+     * At the end of the run, adds the calls that are still open and an outage that still lasts to
+     * the record.
+     */
     void completeRecord() {
         List.copyOf(calls.values()).forEach(OpenCall::recordEnd);
         if (mode == Mode.DOWN) {
@@ -331,9 +334,9 @@
             return;
         }
         long knownVersion = Long.parseLong(path.substring(from + "from=".length()));
-        // The protocol requires a response with all changes after the requested version. A stale
-        // response holds the whole list of an earlier version, so its index is below the requested
-        // one.
+        // The protocol requires a response with all changes after the requested version. A
+        // stale response holds the whole list of an earlier version, so the index of the
+        // response is below the requested version.
         boolean stale = staleLists && knownVersion > 1 && knownVersion <= version;
         long written =
                 stale
@@ -354,7 +357,7 @@
         }
     }
 
-    /** Writes the oldest version that is still to be written on a watch. */
+    /** Writes the changes of the oldest pending version of the list on a watch. */
     private void writePendingVersion(OpenCall call) {
         Long pending = call.pendingVersions.poll();
         if (pending != null && call.canWrite()) {
@@ -388,8 +391,8 @@
     // ---- messages
 
     /**
-     * Returns a message with the whole list of a version; some of these messages omit draining
-     * servers.
+     * Returns a message with a whole version of the list. Draining servers are left out of a random
+     * part of these messages; while lists are stale, they are left out of all.
      */
     private String listMessage(long listVersion) {
         boolean omitDraining = staleLists || random.nextBoolean();
@@ -405,12 +408,15 @@
         return formatMessage(listVersion, true, entries);
     }
 
-    /** Returns a message with all changes after a version. */
+    /** Returns a message with all changes after a version of the list. */
     private String changesMessage(long after) {
         return changesMessage(after, version);
     }
 
-    /** Returns a message with the changes after one version, up to and including another. */
+    /**
+     * Returns a message with the changes after one version of the list, up to and including another
+     * version.
+     */
     private String changesMessage(long after, long upTo) {
         List<String> entries = new ArrayList<>();
         Map<String, String> current = history.get((int) upTo);
--- a/src/main/java/passhatch/lab/drain/DrainChecker.java
+++ b/src/main/java/passhatch/lab/drain/DrainChecker.java
@@ -13,16 +13,16 @@
 import passhatch.lab.drain.DrainRecord.WrittenVersion;
 
 /**
- * Finds requests that were sent to a draining or removed server after the drain grace. The time at
- * which a proxy is deemed notified of a change is the earliest time that any rule of the
- * specification gives. The checker is independent of the proxy's implementation, and the same
- * record always gives the same result.
+ * Finds requests that were sent to a draining or removed server after the drain grace. The grace
+ * starts when the proxy is deemed notified of the change of the server. That time is the earliest
+ * one that any rule of the specification gives. The checker is independent of the proxy's
+ * implementation, and the same record always gives the same result.
  */
 public final class DrainChecker {
 
     /**
-     * A proxy is deemed notified of a change no later than this after discovery has the change and
-     * is reachable.
+     * Maximum time until a proxy is deemed notified of a change, counted from when discovery has
+     * the change and is reachable.
      */
     private static final long NOTIFY_TIMEOUT_US = 6_000_000;
 
@@ -38,7 +38,10 @@
      */
     private static final long ADDRESS_CHANGE_NOTIFY_TIMEOUT_US = 4_000_000;
 
-    /** Number of ask intervals for which a proxy may use its list after a failed call. */
+    /**
+     * Number of ask intervals for which a proxy may use its list after a failed call to discovery.
+     * An ask interval is the time for which a proxy without a watch may use its list otherwise.
+     */
     private static final long MAX_ASK_INTERVALS_AFTER_FAILED_CALL = 4;
 
     /** A rule of the specification by which a proxy is deemed notified of a change. */
@@ -57,7 +60,8 @@
         SILENT_WATCH,
         /**
          * A proxy without a watch is deemed notified one ask interval after the change or after its
-         * last call, whichever is later; four ask intervals if that call failed.
+         * last call, whichever is later. If that call failed, the time is four ask intervals
+         * instead of one.
          */
         ASKING_TIME,
         /**
@@ -66,8 +70,8 @@
          */
         MOVED,
         /**
-         * If lists are pushed, a proxy is deemed notified at once, or at the end of an outage of
-         * discovery.
+         * If lists are pushed, a proxy is deemed notified at the time of the change. If discovery
+         * is unreachable at that time, the proxy is deemed notified at the end of the outage.
          */
         PUSHED
     }
@@ -78,7 +82,7 @@
     private record Notification(long atUs, NotificationRule rule) {}
 
     /**
-     * A request that was sent after the drain grace.
+     * A request that was sent to a server that was out of use, after the drain grace.
      *
      * @param change the change that took the server out of use
      * @param notifiedUs when the proxy was deemed notified of that change
@@ -117,9 +121,10 @@
     }
 
     /**
-     * Counts how often a proxy was deemed notified that a server was taken out of use before
-     * discovery wrote that change to it. Changes that were never written are included, and a change
-     * counts once for each such proxy. A run without any such change does not exercise the rule.
+     * Counts the cases in which a rule other than {@link NotificationRule#WRITTEN} decides when a
+     * proxy is deemed notified that a server was taken out of use. Discovery has not written the
+     * change to the proxy by then, and may never write it. A change counts once for each such
+     * proxy. A run without any such case does not exercise these rules.
      */
     public static int countNotifiedBeforeWritten(DrainRecord record) {
         DrainChecker checker = new DrainChecker(record);
@@ -219,7 +224,8 @@
 
     /**
      * Returns when the proxy is deemed notified of a change that a silent watch misses. A watch
-     * misses all changes from when it fell silent until it ends or a later call gets a response.
+     * misses all changes from the moment it falls silent until the watch ends or a later call gets
+     * a response.
      */
     private long silentWatchNotifiedUs(Change change, String proxy) {
         long notifiedUs = DrainRecord.NEVER;
--- a/src/main/java/passhatch/lab/drain/DrainRecord.java
+++ b/src/main/java/passhatch/lab/drain/DrainRecord.java
@@ -11,7 +11,7 @@
 public final class DrainRecord {
 
     /**
-     * The settings that the rule depends on.
+     * The settings on which the rule about draining servers depends.
      *
      * @param pushed whether lists are pushed to the proxies; otherwise proxies request them
      * @param graceUs how long a proxy may still send requests to a server after it is deemed
@@ -31,18 +31,19 @@
     public record Outage(long fromUs, long untilUs) {}
 
     /**
-     * The time at which discovery had written all changes up to a version to a proxy, whether they
-     * arrived or not.
+     * The time at which discovery had written all changes up to a version of its list to a proxy,
+     * whether these changes arrived or not.
      */
     public record WrittenVersion(long atUs, String proxy, long version) {}
 
     /**
      * A proxy's call to discovery.
      *
-     * @param startedUs when it was started
-     * @param responseUs when its response began; {@link #NEVER} if it got none
-     * @param silentFromUs when discovery stopped writing on it; {@link #NEVER} if discovery did not
-     * @param endedUs when either side ended it; {@link #NEVER} while it is open
+     * @param startedUs when the call was started
+     * @param responseUs when the response to the call began; {@link #NEVER} if there was none
+     * @param silentFromUs time from which discovery wrote nothing on the open call; {@link #NEVER}
+     *     if there is no such time
+     * @param endedUs when either side ended the call; {@link #NEVER} while the call is open
      * @param failed whether the connection was refused or discovery rejected the call
      */
     public record Call(
@@ -85,12 +86,12 @@
         outages.add(outage);
     }
 
-    /** Adds a version that was written to a proxy. */
+    /** Records that discovery wrote a version of its list to a proxy. */
     public void add(WrittenVersion written) {
         writtenVersions.add(written);
     }
 
-    /** Adds a call, once its end is known. */
+    /** Adds a call to discovery. Called when the end of the call is known. */
     public void add(Call call) {
         calls.add(call);
     }
--- a/src/main/java/passhatch/lab/drain/DrainSimulation.java
+++ b/src/main/java/passhatch/lab/drain/DrainSimulation.java
@@ -14,8 +14,9 @@
 import passhatch.proxy.discovery.EndpointList;
 
 /**
- * One seeded run of the real watch, lease and decision module, with faults of discovery and
- * draining servers. {@link DrainChecker} then checks each request against the record of the run.
+ * One simulated run of the real watch, lease and decision module. Its seed determines the faults of
+ * discovery and the servers that drain. {@link DrainChecker} then checks each request against the
+ * record of the run.
  */
 final class DrainSimulation {
 
@@ -34,9 +35,9 @@
      * The result of a run.
      *
      * @param lateSends requests that were sent after the drain grace
-     * @param notifiedBeforeWritten number of times that the proxy was deemed notified that a server
-     *     was taken out of use before discovery wrote that change to it; includes changes that were
-     *     never written
+     * @param notifiedBeforeWritten number of changes that took a server out of use and of which the
+     *     proxy was deemed notified before discovery wrote them to the proxy; includes changes that
+     *     were never written
      * @param requests number of requests of clients
      * @param sent number of attempts that were sent to servers
      */
@@ -49,9 +50,9 @@
 
     /** What a draining server does with new requests. */
     enum DrainBehavior {
-        /** The server rejects them, as the protocol requires. */
+        /** The server rejects new requests, as the protocol requires. */
         TURNS_AWAY,
-        /** The server may go on accepting them for up to 30 s. */
+        /** The server may go on accepting new requests for up to 30 s. */
         MAY_ACCEPT
     }
 
--- a/src/main/java/passhatch/lab/drain/ProxyModel.java
+++ b/src/main/java/passhatch/lab/drain/ProxyModel.java
@@ -35,7 +35,7 @@
  */
 final class ProxyModel implements ListWatch.Listener, Balancer.Actions {
 
-    /** A proxy may be stalled for this long between reading its clock and writing. */
+    /** Maximum time for which a proxy may be stalled between reading its clock and writing. */
     private static final long MAX_STALL_US = 150_000;
 
     /** A timer fires no sooner than this after it was set. */
@@ -96,7 +96,7 @@
         this.deadlineUs = scenario.deadlineUs();
     }
 
-    /** Starts the proxy with a list that it knows from before. */
+    /** Starts the proxy with a list of servers that it already knows. */
     void start(Scenario scenario, EndpointList initialList) {
         balancer = new Logic(settings(scenario), random.nextLong(), this);
         watch =
@@ -208,8 +208,8 @@
     }
 
     /**
-     * Runs an event of a connection that is not to discovery; if the process is paused, after the
-     * pause.
+     * Runs an event of a connection that is not to discovery. If the process is paused, the event
+     * runs after the pause.
      */
     private void runReadEvent(Runnable event) {
         if (isPaused()) {
@@ -219,7 +219,10 @@
         }
     }
 
-    /** Runs an event of a connection to discovery; if the process is paused, after the pause. */
+    /**
+     * Runs an event of a connection to discovery. If the process is paused, the event runs after
+     * the pause.
+     */
     private void runDiscoveryReadEvent(Runnable event) {
         if (isPaused()) {
             unreadFromDiscovery.add(event);
@@ -228,7 +231,7 @@
         }
     }
 
-    /** Runs an event of a timer; if the process is paused, after the pause. */
+    /** Runs an event of a timer. If the process is paused, the event runs after the pause. */
     private void runTimerEvent(Runnable event) {
         if (isPaused()) {
             pendingTimers.add(event);
@@ -390,8 +393,8 @@
     }
 
     /**
-     * Schedules the balancer's timer in place of the one requested before: the balancer requests
-     * another time only if it is earlier.
+     * Schedules the balancer's timer in place of the timer requested before: the balancer requests
+     * another time only if that time is earlier.
      */
     @Override
     public void wakeAt(long atUs) {
--- a/src/main/java/passhatch/lab/drain/Scenario.java
+++ b/src/main/java/passhatch/lab/drain/Scenario.java
@@ -16,7 +16,7 @@
  * @param quietUs time from the start of the run to the first change and the first fault
  * @param faultGapUs mean time between two faults, and between two changes of the list
  * @param servers number of servers
- * @param lateUs maximum delay with which a watch writes a change
+ * @param lateUs maximum time from a change of the list until discovery writes the change on a watch
  */
 record Scenario(
         long durationUs,
@@ -32,8 +32,8 @@
     private static final long SECOND_US = TimeUnit.SECONDS.toMicros(1);
 
     /**
-     * Maximum delay with which a watch writes a change. One recorded watch ended without having
-     * written a change that was this old.
+     * Maximum time from a change of the list until discovery writes the change on a watch. One
+     * recorded watch ended when such a change was this old and not yet written.
      */
     private static final long MAX_WATCH_DELAY_US = 2 * SECOND_US;
 
--- a/src/main/java/passhatch/lab/duty/DutyChecker.java
+++ b/src/main/java/passhatch/lab/duty/DutyChecker.java
@@ -19,9 +19,10 @@
     /**
      * The result of an exploration.
      *
-     * @param states number of different states; those that differ only in which voter or which
-     *     candidate is which count once
-     * @param violation the property that does not hold and the steps that lead there, or null
+     * @param states number of different states; states that become equal when voters or candidates
+     *     are exchanged with each other count once
+     * @param violation the property that does not hold and the steps that lead to the violation;
+     *     null if no violation was found
      */
     public record Result(long states, String violation) {}
 
--- a/src/main/java/passhatch/lab/duty/DutyModel.java
+++ b/src/main/java/passhatch/lab/duty/DutyModel.java
@@ -15,9 +15,9 @@
 import passhatch.duty.Voter;
 
 /**
- * Three voters and two candidates of one duty, with all messages in flight: one state of the model
- * checker, reached by a sequence of steps. All processes share one clock, which advances by half a
- * lease in a step.
+ * A state that the model checker explores: three voters and two candidates of one duty, with all
+ * messages in flight. A sequence of steps leads to this state. All processes share one clock, which
+ * advances by half a lease in a step.
  */
 final class DutyModel {
 
@@ -158,8 +158,8 @@
     }
 
     /**
-     * Takes the step with the given number; returns false if the step is not due, changes nothing
-     * or exceeds a bound.
+     * Takes the step with the given number. Returns false if the step need not be explored further:
+     * the step is not due, or it has no effect, or it exceeds a bound.
      */
     boolean step(int step) {
         if (step < FIRST_TIMER_STEP) {
@@ -215,8 +215,8 @@
     }
 
     /**
-     * Returns a text that identifies the state; it is the same for states that differ only in which
-     * voter or which candidate is which.
+     * Returns a text that identifies the state. States that become equal when voters or candidates
+     * are exchanged with each other have the same text.
      */
     String signature() {
         String inOrder = signature(new int[] {0, 1});
--- a/src/main/java/passhatch/lab/duty/DutySim.java
+++ b/src/main/java/passhatch/lab/duty/DutySim.java
@@ -56,7 +56,7 @@
      *
      * @param violation the property that did not hold, or null
      * @param holderChanges number of changes of the holder
-     * @param gapsUs how long the duty had no holder each time, in microseconds
+     * @param gapsUs the lengths of the periods in which the duty had no holder, in microseconds
      * @param overlaps number of events after which two candidates could act; 0 as long as no clock
      *     drifts more than is allowed
      */
@@ -76,7 +76,7 @@
             return (long) (nowUs() * clockRate);
         }
 
-        /** Runs an action on this host; if the host is paused, after the pause. */
+        /** Runs an action on this host. If the host is paused, the action runs after the pause. */
         void run(Runnable action) {
             if (paused) {
                 pendingActions.add(action);
@@ -111,8 +111,8 @@
         }
 
         /**
-         * Asks the other voters every half second for the terms that this voter has lost, until it
-         * votes.
+         * Asks the other voters for the terms that this voter has lost. Repeats this every half
+         * second until this voter votes.
          */
         void recall() {
             Voter asking = voter;
@@ -146,8 +146,8 @@
         }
 
         /**
-         * Restarts this voter with an empty disk, but only if all voters vote, so that the others
-         * remember the terms.
+         * Restarts this voter with an empty disk, but only if all voters vote: the other voters
+         * then remember the terms.
          */
         void startWithoutDisk() {
             if (voters.values().stream().allMatch(v -> v.voter.isVoting())) {
@@ -242,8 +242,8 @@
         public void dutyLost(long term) {}
 
         /**
-         * Checks the lease and sends an action to the fence, where it arrives later; the host may
-         * pause in between.
+         * Sends an action to the fence if this candidate may act. The action arrives later, and the
+         * host may be paused by then.
          */
         void act() {
             if (candidate != null && candidate.mayAct(host.localUs())) {
--- a/src/main/java/passhatch/proxy/BackendTable.java
+++ b/src/main/java/passhatch/proxy/BackendTable.java
@@ -12,7 +12,7 @@
 
 /**
  * The addresses of the backends and their status in the list of servers. The address of a backend
- * that has left the list is kept, as the decision module may still name it.
+ * that has left the list is kept, as the decision module may still name this backend in an action.
  */
 final class BackendTable {
 
--- a/src/main/java/passhatch/proxy/Exchange.java
+++ b/src/main/java/passhatch/proxy/Exchange.java
@@ -69,8 +69,8 @@
         }
 
         /**
-         * Returns whether the backend may have run the request: it was written completely, and the
-         * outcome does not prove that it never ran.
+         * Returns whether the backend may have run the request: the request was written completely,
+         * and the outcome does not prove that the backend never ran it.
          */
         boolean mayHaveRun() {
             return writtenAtUs > 0 && (outcome == null || !outcome.provesNotRun);
--- a/src/main/java/passhatch/proxy/ProcessHandover.java
+++ b/src/main/java/passhatch/proxy/ProcessHandover.java
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Returns whether another process of this proxy is running. Looks for one again if none was
-     * found before.
+     * Returns whether another process of this proxy is running. If none was found before, looks for
+     * such a process again.
      */
     boolean otherProcessRuns() {
         if (otherProcess.isEmpty()) {
@@ -79,7 +79,10 @@
         otherProcess = readProcess(pidFile);
     }
 
-    /** Returns the process that a file names, if it is running and is not this one. */
+    /**
+     * Returns the process whose id a file contains; empty if that process is not running or is this
+     * one, or if the file cannot be read.
+     */
     private Optional<ProcessHandle> readProcess(Path file) {
         try {
             long pid = Long.parseLong(Files.readString(file).strip());
--- a/src/main/java/passhatch/proxy/ProxyConfig.java
+++ b/src/main/java/passhatch/proxy/ProxyConfig.java
@@ -110,7 +110,8 @@
     }
 
     /**
-     * Returns the control address, or null if none is set; the control server is then not started.
+     * Returns the address for operators' commands. If none is set, returns null, and the control
+     * server does not listen.
      */
     private static InetSocketAddress controlAddress(String variable, Object configured)
             throws InvalidConfigException {
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -53,12 +53,15 @@
 
     private static final long RESPONSE_MARGIN_DIVISOR = 8;
 
-    /** The allowance for stalls is at most the time that the client allows, divided by this. */
+    /**
+     * After a stall, responses are due earlier, to allow for another stall. This allowance is at
+     * most the time that the client allows, divided by this number.
+     */
     private static final long STALL_ALLOWANCE_DIVISOR = 4;
 
     /**
-     * The proxy itself responds this long after a response was due if the decision module has given
-     * none.
+     * If the decision module has given no response by the time at which it is due, the proxy itself
+     * responds this much later.
      */
     private static final long FALLBACK_DELAY_US = 5_000;
 
@@ -69,17 +72,19 @@
     private static final long PROBE_TIMEOUT_US = 50_000;
 
     /**
-     * The maximum time for a message to reach its server, including the handshake of a new
-     * connection.
+     * Maximum time for a request to reach its backend, including the handshake of a new connection.
      */
     private static final long MAX_TRANSIT_US = 100_000;
 
-    /** Delay of a timer that fires only after the current pass of the event loop. */
+    /**
+     * Delay of each of the two timers that follow a stall. A timer with this delay fires only after
+     * the current pass of the event loop.
+     */
     private static final long POST_STALL_TIMER_DELAY_MS = 1;
 
     /**
-     * Maximum time of an upload. The slowest clients send 64 kB per second, so an upload that takes
-     * longer would never end.
+     * Maximum time of an upload. Even the slowest clients, which send 64 kB per second, finish an
+     * upload sooner, so an upload that takes longer would never end.
      */
     private static final long MAX_UPLOAD_US = 600_000_000;
 
@@ -98,12 +103,18 @@
     private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
     private boolean dispatching;
 
-    /** Whether the event loop was stalled and has not read from all connections since then. */
+    /**
+     * True from the detection of a stall of the event loop until the loop has polled all
+     * connections again.
+     */
     private boolean catchingUp;
 
     private boolean listReceived;
 
-    /** Time from which requests are accepted even if no list has been received. */
+    /**
+     * Time from which this proxy is ready even if it has received no list from discovery; {@code
+     * Long.MAX_VALUE} if its initial list is empty.
+     */
     private final long useInitialListAtUs;
 
     private int unansweredCount;
@@ -111,12 +122,15 @@
     /** The number of unanswered requests whose bodies are still being received. */
     private int uploadingCount;
 
-    /** Time by which every request accepted from now on gets its response. */
+    /**
+     * Latest time at which a response is due, for every request whose deadline starts from now on;
+     * {@code Long.MAX_VALUE} until {@link #limitResponseTime} sets a limit.
+     */
     private long latestDeadlineUs = Long.MAX_VALUE;
 
     /**
-     * An event of which the decision module is notified; {@code exchange} is null if the event does
-     * not concern a request.
+     * An event that waits until the decision module is notified of it; {@code exchange} is null if
+     * the event does not concern a request.
      */
     private record Event(Exchange exchange, Runnable notification) {}
 
@@ -163,8 +177,8 @@
     }
 
     /**
-     * Returns whether a list of backends has been received since the start, or enough time has
-     * passed to use the initial list without one.
+     * Returns whether this proxy may serve: it has received a list of backends since its start, or
+     * it has waited long enough to use its initial list instead.
      */
     @Override
     public boolean ready() {
@@ -181,8 +195,8 @@
     }
 
     /**
-     * Returns the number of requests in memory, including those that only wait for an attempt to
-     * end.
+     * Returns the number of requests in memory, including completed requests that still have an
+     * open attempt.
      */
     int exchangeCount() {
         return exchanges.size();
@@ -331,8 +345,9 @@
 
     private void startDeadline(Exchange exchange, long unreadUs) {
         long nowUs = clock.nowUs();
-        // Stalls cannot be predicted, so after a recent stall the response is due sooner, to allow
-        // for another stall of that length. The deadline limits this allowance.
+        // Stalls cannot be predicted, so after a recent stall the response is due sooner, to
+        // allow for another stall of that length. The time that the client allows limits this
+        // allowance.
         long budgetUs = exchange.request.timeoutUs();
         long marginUs =
                 Math.min(RESPONSE_MARGIN_US, budgetUs / RESPONSE_MARGIN_DIVISOR)
@@ -372,7 +387,7 @@
         }
     }
 
-    /** Responds just before the deadline if the decision module has given no response. */
+    /** Responds just before the client's deadline if the decision module has given no response. */
     private void respondIfOverdue(Exchange exchange) {
         if (!exchange.responseChosen) {
             log.write(
@@ -388,7 +403,10 @@
         }
     }
 
-    /** Makes a streamed response the final one; the results of other attempts no longer count. */
+    /**
+     * Chooses a streamed response as the final response, unless one has been chosen already.
+     * Results of other attempts are then no longer sent to the client.
+     */
     private void onResponseStarted(
             Exchange exchange, Exchange.Attempt attempt, ResponseStream stream) {
         if (exchange.responseChosen) {
@@ -498,9 +516,9 @@
 
     /**
      * Reports a stall to the decision module, as messages from discovery may have arrived during
-     * the stall and may still be unread at the next decision. They have been read once the event
-     * loop has polled all connections again. That is certain after two timers in succession, where
-     * the first one sets the second.
+     * the stall and may still be unread at the next decision. Those messages have been read once
+     * the event loop has polled all connections again. That is certain after two successive timers,
+     * of which the first sets the second.
      */
     private void reportStall() {
         long nowUs = clock.nowUs();
@@ -606,17 +624,17 @@
 
     /**
      * Returns whether a request may still be sent to a backend. The connection may have been
-     * established late, and by then the backend may be draining or removed, or the list may be too
-     * old to exclude that.
+     * established late, and by then the backend may be draining or removed, or the list of backends
+     * may be too old to show that.
      */
     private boolean isUpAt(InetSocketAddress backend, String server) {
         return backends.isUpAt(backend, server) && balancer.mayReach(clock.nowUs(), server);
     }
 
     /**
-     * Returns whether servers would still recognize a repeat of the request as a duplicate, which
-     * matters for keyed requests only. The decision module orders a repeat in time, but its
-     * connection may be established too late.
+     * Returns whether the request may be sent again. A keyed request may be sent again only while
+     * servers would still recognize it as a duplicate. The decision module orders a repeat in time,
+     * but the connection for the repeat may be established too late.
      */
     private boolean mayStillRepeat(Exchange exchange) {
         RequestClass requestClass = classes.get(exchange.request.requestClass());
@@ -767,8 +785,8 @@
     }
 
     /**
-     * Removes a completed request once its last attempt has ended, as the decision module is
-     * notified of the end of every attempt.
+     * Removes a request if it is completed and all its attempts have ended. A completed request is
+     * kept until then, as the decision module is notified of the end of every attempt.
      */
     private void removeIfCompleted(Exchange exchange) {
         if (exchange.completed
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -40,9 +40,9 @@
     private static final long CONNECTION_REUSE_DELAY_US = 20_000;
 
     /**
-     * Time for which a new process accepts only a part of the new connections before it reports
-     * itself ready, if an older process still serves. A new process is slow at first, and the whole
-     * traffic at once would build a queue.
+     * If an older process still serves, a new process reports itself ready only after this time.
+     * Until then the new process accepts only a part of the new connections. A new process is slow
+     * at first, and the whole traffic at once would build a queue.
      */
     private static final long WARM_UP_MS = 2_000;
 
@@ -76,16 +76,24 @@
     private BufferBudget bufferBudget;
     private Control controlServer;
 
-    /** Null if the platform provides no folder for the processes of this proxy. */
+    /**
+     * Tracks the other processes of this proxy; null if no control address is set or the platform
+     * provides no folder for these processes.
+     */
     private ProcessHandover handover;
 
-    /** False during the warm-up of a process that was started while an older one serves. */
+    /**
+     * Whether the warm-up is over, so that this process may report itself ready. In a process that
+     * starts while another process of this proxy runs, this becomes true at the end of the warm-up.
+     * In any other process it is true from the start.
+     */
     private boolean warmedUp;
 
     private InetSocketAddress address;
 
     /**
-     * Whether the proxy could not listen, so that there is nothing to shut down in an orderly way.
+     * True once the proxy has failed to listen. There is then nothing to shut down in an orderly
+     * way.
      */
     private volatile boolean listenFailed;
 
@@ -105,8 +113,8 @@
     }
 
     /**
-     * Runs a proxy until the process receives SIGTERM. If the proxy cannot start, returns the exit
-     * status.
+     * Runs a proxy until the process receives SIGTERM. If the proxy cannot start, returns at once
+     * with the exit status of the process.
      */
     public static int serve(Map<String, String> env, PrintStream err) throws InterruptedException {
         ProxyServer server;
@@ -270,8 +278,9 @@
     }
 
     /**
-     * Returns whether this process is ready to serve, and records that in the shared folder. An
-     * older process may shut down as soon as this method returns true for the first time.
+     * Returns whether this process is ready to serve. If it is, also records this in the shared
+     * folder. An older process may shut down as soon as this method returns true for the first
+     * time.
      */
     private boolean checkReady() {
         boolean ready = frontend.ready() && warmedUp;
@@ -291,7 +300,7 @@
 
     /**
      * Sets the descriptor limit of this process. The configured limit applies to all processes of
-     * this proxy together, and during a handover there are two.
+     * this proxy together, and during a handover two of them run.
      */
     private void updateDescriptorLimit() {
         descriptorLimits.setLimit(otherProcessRuns() ? maxDescriptors / 2 : maxDescriptors);
@@ -344,8 +353,8 @@
      * Shuts down in an orderly way: every accepted request gets its response. If a newer process is
      * ready, this one accepts the connections that wait at its listener and closes each client
      * connection with its response. Otherwise, even if a newer process exists but is not ready,
-     * this process accepts connections for a little longer and serves open ones until shortly
-     * before SIGKILL may come.
+     * this process accepts connections for a little longer and serves open connections until
+     * shortly before SIGKILL may come.
      */
     void shutDown() {
         loop.execute(
--- a/src/main/java/passhatch/proxy/Rehearsal.java
+++ b/src/main/java/passhatch/proxy/Rehearsal.java
@@ -167,8 +167,9 @@
                             try {
                                 body.call();
                             } catch (Exception failed) {
-                                // Either the rehearsal has ended and closed its sockets, or the
-                                // failure shows where the rehearsal waits for a response.
+                                // Ignored: either the rehearsal has ended and closed its
+                                // sockets, or the rehearsal fails when it does not get the
+                                // response.
                             }
                         });
         thread.setDaemon(true);
--- a/src/main/java/passhatch/proxy/base/DescriptorLimits.java
+++ b/src/main/java/passhatch/proxy/base/DescriptorLimits.java
@@ -25,7 +25,7 @@
     private int backendConnections;
 
     /**
-     * Creates counters at 0.
+     * Creates limits with no open connection counted yet.
      *
      * @param maxControlConnections maximum number of open control connections
      */
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Returns whether connections to backends use all descriptors intended for them, so that one
-     * must be closed before another is opened.
+     * Returns whether connections to backends use all descriptors intended for them, so that one of
+     * these connections must be closed before another is opened.
      */
     public boolean backendsFull() {
         return backendConnections >= (int) (maxDescriptors * BACKEND_FRACTION);
--- a/src/main/java/passhatch/proxy/base/LocalFailure.java
+++ b/src/main/java/passhatch/proxy/base/LocalFailure.java
@@ -14,8 +14,8 @@
 
     /**
      * Returns whether a connection failed for lack of local descriptors, ports, buffers or a route.
-     * The JDK has separate exception classes for failures caused by the peer, except for a reset,
-     * which only its message shows.
+     * The JDK has separate exception classes for failures caused by the peer, except for a reset: a
+     * reset can be recognized only by the message of the exception.
      */
     public static boolean isLocal(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
--- a/src/main/java/passhatch/proxy/base/StallDetector.java
+++ b/src/main/java/passhatch/proxy/base/StallDetector.java
@@ -66,8 +66,8 @@
 
     /**
      * Returns how much earlier a response should be due to allow for another stall as long as the
-     * longest of the last ten seconds, after which the client would otherwise count the request as
-     * lost; 0 if every stall was too short for that.
+     * longest of the last ten seconds. Without this margin the client would count the request as
+     * lost after such a stall. Returns 0 if every stall was too short for that.
      */
     public long responseMarginUs() {
         return Math.max(0, maxStallUs - IGNORED_STALL_US);
--- a/src/main/java/passhatch/proxy/control/Control.java
+++ b/src/main/java/passhatch/proxy/control/Control.java
@@ -61,7 +61,8 @@
     }
 
     /**
-     * Creates a server with further commands.
+     * Creates a server that does not listen yet and has commands besides {@code check} and {@code
+     * vars}.
      *
      * @param extraCommands returns the response to a command other than {@code check} and {@code
      *     vars}, or null if there is no such command
--- a/src/main/java/passhatch/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/passhatch/proxy/discovery/DiscoveryClient.java
@@ -64,7 +64,7 @@
         watch.changeAddress(clock.nowUs(), newAddress);
     }
 
-    /** Starts a watch unless a call is open. */
+    /** Starts a watch unless a call to discovery is open. */
     public void startWatch() {
         watch.startWatch(clock.nowUs());
     }
--- a/src/main/java/passhatch/proxy/discovery/JsonObjectScanner.java
+++ b/src/main/java/passhatch/proxy/discovery/JsonObjectScanner.java
@@ -34,12 +34,12 @@
     private boolean escaped;
 
     /**
-     * Whether the rest of the current line is skipped, as it has something other than the start of
-     * an object.
+     * Whether the rest of the current line is skipped. True from the first byte that is not part of
+     * a readable object until the end of its line.
      */
     private boolean skippingLine;
 
-    /** Whether the current line is not empty. */
+    /** Whether the current line contains anything other than spaces, tabs and carriage returns. */
     private boolean lineNotEmpty;
 
     /**
--- a/src/main/java/passhatch/proxy/discovery/ListWatch.java
+++ b/src/main/java/passhatch/proxy/discovery/ListWatch.java
@@ -14,8 +14,8 @@
  * responses and detects broken watches. A watch that ends is resumed from the last version
  * received; if discovery rejects that version, the whole list is fetched first.
  *
- * <p>It has no clock, socket or thread: each event is passed in with its time, and actions are
- * passed to a {@link Transport}. All times are microseconds of one clock.
+ * <p>This class has no clock, socket or thread: each event is passed in with its time, and actions
+ * are passed to a {@link Transport}. All times are microseconds of one clock.
  */
 public final class ListWatch {
 
@@ -23,15 +23,15 @@
     private static final int MAX_LIST_BYTES = 1 << 22;
 
     /**
-     * If discovery must be asked for changes, a watch may receive a change this long after it was
-     * made.
+     * Maximum time from a change of the list until a watch receives the change, if discovery must
+     * be asked for changes.
      */
     private static final long MAX_CHANGE_DELAY_US =
             TimeUnit.MILLISECONDS.toMicros(WatchBudget.EMPTY_LINE_INTERVAL_MS);
 
     /**
-     * Maximum time of a rejection that counts as immediate. A slower one may come from a discovery
-     * service that is down.
+     * If discovery rejects a call within this time after the start of the call, the rejection
+     * counts as immediate. A slower rejection may come from a discovery service that is down.
      */
     private static final long MAX_IMMEDIATE_REJECTION_US = TimeUnit.SECONDS.toMicros(1);
 
@@ -95,7 +95,7 @@
      *
      * @param initialList the list that is known before the first call; empty if there is none
      * @param onRequest whether the decision module chooses when to call again after a watch has
-     *     ended
+     *     ended; if false, the watch is restarted automatically
      * @param zoneNames names of the zones, by index
      * @param modelNames names of the machine types, by index
      * @param drainGraceUs how long a draining server may be sent requests, in microseconds
@@ -136,8 +136,8 @@
 
     /**
      * An abandoned watch that stays open until a later call gets a response, or null if there is
-     * none. This proxy is deemed notified of everything that discovery writes on it, and a message
-     * may still be on its way.
+     * none. This proxy is deemed notified of everything that discovery writes on this watch, and a
+     * message may still be on its way.
      */
     private Call previous;
 
@@ -552,8 +552,8 @@
         }
 
         /**
-         * Closes the call after a message that cannot be read, so that its content is requested
-         * again: later messages do not repeat it.
+         * Closes the call after a message that cannot be read, so that the content of that message
+         * is requested again: later messages do not repeat it.
          */
         @Override
         public void onSkipped(String reason) {
--- a/src/main/java/passhatch/proxy/discovery/WatchBudget.java
+++ b/src/main/java/passhatch/proxy/discovery/WatchBudget.java
@@ -11,7 +11,8 @@
  * @param silenceTimeoutMs a watch without any message for this long is considered broken
  * @param initialMessageTimeoutMs a call that receives no message for this long is abandoned; if
  *     discovery must be asked for changes, each abandoned call doubles this timeout
- * @param maxMessageTimeoutMs the maximum to which that timeout is doubled
+ * @param maxMessageTimeoutMs the maximum of the timeout that starts at {@code
+ *     initialMessageTimeoutMs} and is doubled
  * @param connectTimeoutMs timeout for connecting to discovery
  * @param maxBackoffMs maximum delay between two calls after failures, if changes are pushed;
  *     otherwise the decision module chooses when to call
@@ -30,8 +31,8 @@
     private static final long EMPTY_LINE_MARGIN_MS = 1_000;
 
     /**
-     * A call may be queued at discovery, and a repeat within this time would only make the queue
-     * longer.
+     * A call that receives no message is abandoned after this time. The call may be queued at
+     * discovery, and an earlier repeat would only make the queue longer.
      */
     private static final long INITIAL_MESSAGE_TIMEOUT_MS = 3_500;
 
--- a/src/main/java/passhatch/proxy/flow/BufferBudget.java
+++ b/src/main/java/passhatch/proxy/flow/BufferBudget.java
@@ -13,7 +13,9 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Counts further buffered bytes; a negative number removes them. */
+    /**
+     * Adds the given number to the count of buffered bytes; a negative number reduces the count.
+     */
     public void add(long bytes) {
         bufferedBytes += bytes;
     }
@@ -23,8 +25,8 @@
     }
 
     /**
-     * Returns whether too many bytes are buffered, so that no more should be read from a source of
-     * which some bytes are buffered.
+     * Returns whether more bytes are buffered than the limit allows. As long as that holds, a
+     * source that already has buffered bytes should not be read.
      */
     public boolean exceeded() {
         return bufferedBytes > maxBytes;
--- a/src/main/java/passhatch/proxy/flow/BufferedBytes.java
+++ b/src/main/java/passhatch/proxy/flow/BufferedBytes.java
@@ -4,7 +4,10 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** The start of a body, or the whole of a short one, buffered and counted in the buffer budget. */
+/**
+ * The buffered start of a body, or the whole body if it is short. The bytes are counted in the
+ * buffer budget.
+ */
 public final class BufferedBytes {
 
     private final BufferBudget budget;
--- a/src/main/java/passhatch/proxy/flow/Relay.java
+++ b/src/main/java/passhatch/proxy/flow/Relay.java
@@ -12,21 +12,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Forwards a body to a channel as it arrives. While some of its bytes wait for the channel, the
- * source is paused if the channel is full or too many bytes are buffered for all connections
- * together. A relay without waiting bytes is never paused because of other relays, so a slow relay
- * cannot stop the rest.
+ * Forwards a body to a channel as it arrives. While bytes of the body wait to be written to the
+ * channel, the source is paused if the channel is full or too many bytes are buffered for all
+ * connections together. A relay without waiting bytes is never paused because of other relays, so a
+ * slow relay cannot stop the others.
  */
 public final class Relay {
 
     /**
-     * Numbers of bytes waiting to be written: above the high one a connection is full, and below
-     * the low one it can be written again.
+     * Limits on the number of bytes that wait to be written to a connection. Above the high limit
+     * the connection is full, and below the low limit it can be written again.
      */
     public static final WriteBufferWaterMark WATER_MARK =
             new WriteBufferWaterMark(1 << 14, 1 << 16);
 
-    /** Limits the size of a read, as all that was read is buffered until it has been written. */
+    /**
+     * Limits the size of a read, as all bytes that were read are buffered until they have been
+     * written.
+     */
     public static final RecvByteBufAllocator READ_SIZES =
             new AdaptiveRecvByteBufAllocator(512, 2048, 1 << 14);
 
@@ -42,8 +45,8 @@
     }
 
     /**
-     * Listens for the end of the transfer. One of its methods is called once, but none after {@link
-     * #stop}.
+     * Listens for the end of the transfer. One of its two methods is called, once. After {@link
+     * #stop}, neither is called.
      */
     public interface Listener {
         /** Called when all bytes have been written. */
--- a/src/main/java/passhatch/proxy/flow/RequestBody.java
+++ b/src/main/java/passhatch/proxy/flow/RequestBody.java
@@ -6,8 +6,8 @@
 import io.netty.channel.EventLoop;
 
 /**
- * The body of a request on its way from a client to a backend. A short one is buffered, so it can
- * be sent more than once. A long one is streamed to one backend, and the part that has been sent
+ * The body of a request on its way from a client to a backend. A short body is buffered, so it can
+ * be sent more than once. A long body is streamed to one backend, and the part that has been sent
  * cannot be sent again.
  */
 public final class RequestBody {
@@ -63,7 +63,10 @@
         return ended;
     }
 
-    /** Returns whether more bytes were received than can be buffered. */
+    /**
+     * Returns whether the body is long: more than {@link #MAX_REPLAYABLE_BYTES} bytes were
+     * received, so it is streamed.
+     */
     public boolean isLong() {
         return size > MAX_REPLAYABLE_BYTES;
     }
