--- a/src/main/java/passhatch/Logic.java
+++ b/src/main/java/passhatch/Logic.java
@@ -40,7 +40,7 @@
     /** Probes sent at a time for a request: one may be lost or slow, more than two would mostly be wasted. */
     private static final int PROBES_PER_ROUND = 2;
     /** Mean number of requests per server below which a round of one probe is usually enough. */
-    private static final double LIGHT_LOAD = 0.25;
+    private static final double MAX_LOAD_FOR_SINGLE_PROBE = 0.25;
     /** Rounds of probes for a request before it is sent to the best server known. */
     private static final int MAX_PROBE_ROUNDS = 3;
     /** Probes are sent only while a probe takes at most this fraction of the request's target latency. */
@@ -62,7 +62,7 @@
      * Requests of higher worth may wait up to this many times longer, so that those of least worth are shed
      * first.
      */
-    private static final double MAX_PRIORITY_FACTOR = 2;
+    private static final double MAX_WAIT_FACTOR_BY_PRIORITY = 2;
     /** Requests that the copies together may always have in flight at a server, to keep its cores busy. */
     private static final double MIN_SERVER_CONCURRENCY = 4;
     /**
@@ -531,7 +531,7 @@
             return true;
         }
         int sent = 0;
-        int maxProbes = meanReportedLoad < LIGHT_LOAD ? 1 : PROBES_PER_ROUND;
+        int maxProbes = meanReportedLoad < MAX_LOAD_FOR_SINGLE_PROBE ? 1 : PROBES_PER_ROUND;
         while (request.probeRounds < MAX_PROBE_ROUNDS && sent < maxProbes && probeBudget >= 1) {
             ServerState server = pickServer(nowUs, request, ServerFilter.UNKNOWN_LOAD);
             if (server == null) {
@@ -637,7 +637,7 @@
         // overload the classes of least worth run out of capacity first. It would overload the server if it
         // were most of the traffic.
         double worthRatio = minWorth > 0 ? request.requestClass.worth() / minWorth : 1;
-        double priority = Math.max(1, Math.min(worthRatio / PRIORITY_WORTH_RATIO, MAX_PRIORITY_FACTOR));
+        double priority = Math.max(1, Math.min(worthRatio / PRIORITY_WORTH_RATIO, MAX_WAIT_FACTOR_BY_PRIORITY));
         double timeUs = Math.min((request.usefulUntilUs - nowUs) * priority, minAimUs * worthRatio);
         // An idle server never counts as too slow for long, as its recovery would then not be seen. If only
         // this copy's own requests show load, other copies may congest a server that looks idle, so the
@@ -823,7 +823,7 @@
     @Override
     public void outcome(long nowUs, String requestId, int attemptNumber, String serverId, Outcome outcome,
             long elapsedUs, boolean ended, LoadReport report) {
-        Attempt attempt = findOutstanding(requestId, attemptNumber);
+        Attempt attempt = findOutstandingAttempt(requestId, attemptNumber);
         if (attempt == null) {
             return;
         }
@@ -868,7 +868,7 @@
         lease.requestAccepted(attempt.sentAtUs);
     }
 
-    private Attempt findOutstanding(String requestId, int attemptNumber) {
+    private Attempt findOutstandingAttempt(String requestId, int attemptNumber) {
         RequestState request = requests.get(requestId);
         Attempt attempt = request == null || attemptNumber >= request.attempts.size() ? null
                 : request.attempts.get(attemptNumber);
@@ -975,7 +975,7 @@
     @Override
     public void streamStarted(long nowUs, String requestId, int attemptNumber, String serverId,
             long elapsedUs) {
-        Attempt attempt = findOutstanding(requestId, attemptNumber);
+        Attempt attempt = findOutstandingAttempt(requestId, attemptNumber);
         if (attempt == null || attempt.responseStarted) {
             return;
         }
@@ -1001,7 +1001,7 @@
 
     @Override
     public void bodyWritten(long nowUs, String requestId, int attemptNumber) {
-        Attempt attempt = findOutstanding(requestId, attemptNumber);
+        Attempt attempt = findOutstandingAttempt(requestId, attemptNumber);
         if (attempt != null && attempt.uploading) {
             attempt.uploading = false;
             startResponseTimer(nowUs, attempt);
