--- a/src/main/java/passhatch/Attempt.java
+++ b/src/main/java/passhatch/Attempt.java
@@ -6,12 +6,15 @@
     final long sentAtUs;
 
     /**
-     * Known requests in flight at the server when this attempt was sent, including this attempt's
-     * own work.
+     * Number of known requests in flight at the server when this attempt was sent, plus the work of
+     * this attempt as a multiple of the usual work of a request.
      */
     final double loadAtSend;
 
-    /** Whether {@link #loadAtSend} includes other copies' requests. */
+    /**
+     * True if {@link #loadAtSend} may be used for latency statistics: a load report was valid when
+     * this attempt was sent, or this copy sends no probes.
+     */
     final boolean loadKnown;
 
     final RequestState request;
@@ -48,7 +51,10 @@
         return outstanding && !uploading && !responseStarted;
     }
 
-    /** Returns whether a valid load report showed the server as idle when this attempt was sent. */
+    /**
+     * Returns whether the server counted as idle when this attempt was sent, according to a valid
+     * load report or, if this copy sends no probes, to this copy's own requests in flight.
+     */
     boolean reportedIdle() {
         return loadKnown && loadAtSend == request.relativeWork;
     }
--- a/src/main/java/passhatch/Balancer.java
+++ b/src/main/java/passhatch/Balancer.java
@@ -43,15 +43,21 @@
         OK(false),
         /** The server answered with an error; the request may have run. */
         ERROR(false),
-        /** The server rejected the request without running it: its queue is full, or it drains. */
+        /**
+         * The server rejected the request without running it: the server's queue is full, or the
+         * server drains.
+         */
         FULL(true),
-        /** No response in time; the request may have run or may still run. */
+        /** No response arrived in time; the request may have run or may still run. */
         TIMEOUT(false),
-        /** No connection: the server is down, unreachable, or has no connection left. */
+        /**
+         * No connection could be made: the server is down, unreachable, or accepts no further
+         * connections.
+         */
         CONNECT_FAILED(true),
         /** The connection broke during the attempt. */
         RESET(false),
-        /** Cancelled by this proxy; the request may have run. */
+        /** This proxy cancelled the attempt; the request may have run. */
         CANCELLED(false),
         /**
          * This proxy never sent the attempt, because the request had ended or had no time or no
@@ -80,8 +86,8 @@
     /**
      * How current a list of servers is.
      *
-     * @param asOfUs time as of which the list is complete: it has every change that discovery had
-     *     by then
+     * @param asOfUs time as of which the list is complete: the list has every change that discovery
+     *     had by that time
      * @param watchedUntilUs time until which discovery sends changes as they happen, unless the
      *     watch breaks earlier
      */
@@ -167,7 +173,8 @@
      * @param maxAttempts maximum attempts for one request, at least 1
      * @param cancel whether attempts may be cancelled
      * @param probes whether servers may be probed for their load
-     * @param maxRetryAfterUs the longest retry advice that clients follow; 0 if they follow none
+     * @param maxRetryAfterUs maximum time that clients wait before a retry if they are advised to
+     *     wait; 0 if clients do not follow such advice
      * @param callsPerConnection maximum requests that one connection carries at a time, at least 1
      * @param keepaliveUs how long an idle connection is kept open; 0 if idle connections are closed
      *     at once or this time is unknown
@@ -255,7 +262,7 @@
      * @param tiers number of tiers
      * @param zone the zone of this instance
      * @param watch whether this instance must ask discovery for changes; false if discovery sends
-     *     them unasked
+     *     changes unasked
      * @param overQuotaWorth fraction of the worth left for requests over a tenant's quota, 0 to 1
      * @param tickUs shortest time between two events of this instance
      */
@@ -333,14 +340,14 @@
 
         /**
          * Ends a request as refused: the client may safely retry it, and is advised to wait {@code
-         * retryAfterUs} before that.
+         * retryAfterUs} before the retry.
          */
         void refuse(String request, long retryAfterUs);
 
         /** Ends a request as failed. The request may have run, and a retry may be unsafe. */
         void fail(String request);
 
-        /** Cancels an attempt of a request that is still outstanding. */
+        /** Cancels an outstanding attempt of a request. */
         void cancel(String request, int attempt);
 
         /**
@@ -365,7 +372,8 @@
     /**
      * Replaces or changes the list of servers. The first call after construction passes the list
      * from before this process started. If that list is {@link ListKind#REMEMBERED}, no request is
-     * sent before discovery has sent the list or changes to it.
+     * sent before discovery has sent the list or changes to it or, while discovery cannot be
+     * reached, before {@link ListLease#UNCONFIRMED_START_TIMEOUT_US} has passed.
      *
      * @param freshness how current the list is after this call; unused for a list from before the
      *     start
@@ -373,8 +381,9 @@
     void serversChanged(long nowUs, ListKind kind, List<Server> servers, ListFreshness freshness);
 
     /**
-     * Replaces or changes the list of servers where discovery sends changes at once and a broken
-     * watch is reported. The list then stays current until {@link #discoveryFailed} is called.
+     * Replaces or changes the list of servers in deployments where discovery sends changes at once
+     * and a broken watch is reported. The list then stays current until {@link #discoveryFailed} is
+     * called.
      */
     default void serversChanged(long nowUs, ListKind kind, List<Server> servers) {
         serversChanged(nowUs, kind, servers, new ListFreshness(nowUs, Long.MAX_VALUE));
@@ -385,15 +394,15 @@
 
     /**
      * Reports that a call to discovery failed or that the watch broke. From now on the list may
-     * lack changes. It stays in use until the drain grace after the earliest time at which this
-     * process may be deemed notified of a missing change.
+     * lack changes. The list stays in use until the drain grace has passed since the earliest time
+     * at which this process may be deemed notified of a missing change.
      */
     void discoveryFailed(long nowUs);
 
     /**
-     * Reports that discovery has begun to send a message that is not applied and may never be.
-     * Until the list is confirmed again, this process is deemed notified of the changes in that
-     * message.
+     * Reports that discovery has begun to send a message that this process has not applied and may
+     * never apply. Until the list is confirmed again, this process is deemed notified of the
+     * changes in that message.
      *
      * @param sinceUs when discovery began to send the message
      */
@@ -411,7 +420,7 @@
     void listRead(long nowUs);
 
     /**
-     * Reports that discovery has rejected a call at once, which shows that it is alive but
+     * Reports that discovery has rejected a call at once, which shows that discovery is alive but
      * overloaded.
      */
     void discoveryTurnedAway();
@@ -430,8 +439,8 @@
     void discoveryMoved(long nowUs, long sinceUs);
 
     /**
-     * Returns whether requests may be sent to a server now. The caller checks this just before each
-     * write.
+     * Returns whether requests may be sent to a server now. The caller must call this method just
+     * before each write to a server.
      */
     boolean mayReach(long nowUs, String server);
 
@@ -470,18 +479,18 @@
     void bodySpent(long nowUs, String request);
 
     /**
-     * Reports that a body that is not kept has been sent completely; the server's response time
-     * starts now.
+     * Reports that the body of a request has been sent to the server completely, after {@link
+     * #bodySpent} was called for the request. The server's response time starts now.
      */
     void bodyWritten(long nowUs, String request, int attempt);
 
-    /** Handles a client's disconnection, which completes its request. */
+    /** Handles a client's disconnection, which completes the client's request. */
     void clientGone(long nowUs, String request);
 
     /** Handles the end of a probe; {@code report} is null if the server sent no load report. */
     void probeResult(long nowUs, String server, Outcome outcome, long elapsedUs, LoadReport report);
 
-    /** Handles the arrival of a time that {@link Actions#wakeAt} requested. */
+    /** Reports that a time requested through {@link Actions#wakeAt} has come. */
     void timer(long nowUs);
 
     /**
--- a/src/main/java/passhatch/FailureRates.java
+++ b/src/main/java/passhatch/FailureRates.java
@@ -10,13 +10,18 @@
     /** Weight of the newest outcome in the rates of errors and of resets. */
     private static final double RESPONSE_WEIGHT = 0.04;
     /**
-     * Rate above which connecting counts as failing: one failure keeps the rate above it for ten outcomes.
+     * Rate of failed connections above which connections are considered to fail at present. One failure keeps
+     * the rate above this value for ten outcomes.
      */
     private static final double MAX_CONNECT_FAILURE_RATE = 0.02;
-    /** Failures in a row are significant if less probable than this while all servers fail alike. */
+    /**
+     * Failures in a row at one server are significant if their probability is below this value, assuming that
+     * all servers fail at the same rate.
+     */
     private static final double MAX_CHANCE_PROBABILITY = 0.001;
     /**
-     * Cap on the reset rate in {@link #significantFailures}: ten failures in a row are always significant.
+     * Cap on the reset rate in {@link #significantFailures}: with this cap, ten failures in a row are always
+     * significant.
      */
     private static final double MAX_RESET_RATE = 0.5;
 
@@ -24,7 +29,7 @@
     private double resetRate;
     private double connectFailureRate;
 
-    /** Adds the outcome of an attempt or of a probe that could not connect. */
+    /** Updates the rates with the outcome of an attempt, or of a probe that could not connect. */
     void recordOutcome(Outcome outcome) {
         boolean answered = outcome == Outcome.OK || outcome == Outcome.ERROR;
         if (answered) {
@@ -49,7 +54,7 @@
 
     /**
      * Returns how many failures in a row show that a server itself fails. The more connections break at all
-     * servers, the more often several in a row break at one server by chance.
+     * servers, the more often several connections in a row break at one server by chance.
      *
      * @param minFailures the minimum result, returned while connections seldom break
      */
--- a/src/main/java/passhatch/LatencyStats.java
+++ b/src/main/java/passhatch/LatencyStats.java
@@ -2,10 +2,10 @@
 
 /**
  * Latencies of requests to this tier, measured from their responses. Latencies differ widely between classes,
- * so all values except {@link #relativeLatency} are for a usual request: each sample is divided by the
- * relative latency of its class. Without this, a server that answers a few long requests would look too slow
- * for short requests. It would then get no short requests, so only long ones would be left to measure its
- * latency.
+ * so all values except those that are returned for one class are for a usual request: each sample is divided
+ * by the relative latency of its class. Without this, a server that answers a few long requests would look
+ * too slow for short requests. It would then get no short requests, so only long requests would be left to
+ * measure the server's latency.
  */
 final class LatencyStats {
 
@@ -13,16 +13,23 @@
     static final double MEAN_WEIGHT = 0.1;
     /** Fraction of requests whose latency is below the quick latency. */
     private static final double QUICK_QUANTILE = 0.3;
-    /** Maximum of the mean latency per request in flight, as a multiple of the quick latency. */
+    /**
+     * Cap on the mean latency per request in flight, as a multiple of the quick latency per request in
+     * flight.
+     */
     private static final double MAX_MEAN_TO_QUICK_RATIO = 2;
-    /** Relative step of the running estimate of the quick latency. */
+    /** Size of a step of the running estimate of the quick latency, relative to the estimate. */
     private static final double QUICK_ESTIMATE_STEP = 0.05;
     /**
-     * Relative growth of the baseline at each sample: a minimum of thousands of requests ago may be outdated.
+     * Relative growth of the baseline latency at each sample, as a minimum that was measured thousands of
+     * requests ago may be outdated.
      */
     private static final double BASELINE_GROWTH = 0.0003;
 
-    /** Samples needed before the mean is used: the first responses to arrive are the quickest. */
+    /**
+     * Number of samples needed before the mean latency is used as a baseline: the first responses to arrive
+     * are the quickest.
+     */
     private static final int MIN_SAMPLES = 20;
 
     /** Mean latency of served requests, by class index; 0 for a class of which no request was served yet. */
@@ -55,7 +62,10 @@
         return classLatencyUs[requestClass] * measured / sumUs;
     }
 
-    /** Adds the latency of a completed attempt, divided by the server's load when the attempt was sent. */
+    /**
+     * Adds the latency of an attempt. For the values per request in flight, the latency is divided by the
+     * server's load when the attempt was sent.
+     */
     void addSample(Attempt attempt, boolean served, long elapsedUs) {
         int requestClass = attempt.request.original.requestClass();
         if (served) {
@@ -81,7 +91,9 @@
         server.loadSum += attempt.loadAtSend - server.loadSum * MEAN_WEIGHT;
     }
 
-    /** Returns whether there are enough samples to tell the latency without congestion. */
+    /**
+     * Returns whether there are enough samples to know the baseline, which is the latency without congestion.
+     */
     boolean hasBaseline() {
         return samples >= MIN_SAMPLES;
     }
@@ -92,13 +104,16 @@
     }
 
     /**
-     * Returns the quick latency per request in flight: {@link #QUICK_QUANTILE} of the requests are quicker.
+     * Returns the quick latency per request in flight: the fraction {@link #QUICK_QUANTILE} of the requests
+     * is quicker.
      */
     double quickUnitLatencyUs() {
         return quickUnitLatencyUs;
     }
 
-    /** Lowers the estimate of the quick latency by as much as a quick response does. */
+    /**
+     * Lowers the estimate of the quick latency by as much as a response slower than the estimate raises it.
+     */
     void lowerQuickEstimate() {
         quickUnitLatencyUs *= 1 - QUICK_ESTIMATE_STEP * QUICK_QUANTILE;
     }
@@ -109,8 +124,8 @@
     }
 
     /**
-     * Returns the recent minimum of the mean latency, without congestion; {@link Double#MAX_VALUE} if
-     * unknown.
+     * Returns the baseline latency, which is the recent minimum of the mean latency and stands for the
+     * latency without congestion; {@link Double#MAX_VALUE} while unknown.
      */
     double baselineLatencyUs() {
         return baselineLatencyUs;
--- a/src/main/java/passhatch/ListLease.java
+++ b/src/main/java/passhatch/ListLease.java
@@ -7,25 +7,27 @@
 /**
  * Tracks how long the list of servers may be used without confirmation by discovery. Some time
  * after a change was made, this process is deemed notified of it, even if the notice never arrived.
- * From then on, requests may be sent to a server that the change takes out of use for the drain
- * grace only. So this process holds a lease on the list: the lease is valid while a watch is alive,
- * and expires some time after the watch has ended. While nothing shows that discovery can be
- * reached, a server that accepted a request a moment ago may be used without a valid list.
+ * If the change takes a server out of use, requests may be sent to that server only until the drain
+ * grace has passed since that time. So this process holds a lease on the list: the lease is valid
+ * while a watch is alive, and expires some time after the watch has ended. While nothing shows that
+ * discovery can be reached, a server that accepted a request a moment ago may be used without a
+ * valid list.
  *
  * <p>The class reads no clock; all times are in microseconds of one clock.
  */
 public final class ListLease {
 
     /**
-     * This long after discovery had a change, this process is deemed notified of it, whether or not
-     * a notice arrived.
+     * How long after discovery had a change this process is deemed notified of that change, whether
+     * or not a notice arrived.
      */
     public static final long NOTIFY_TIMEOUT_US = 6_000_000;
 
     /**
      * Within this time after a change of discovery's address, this process is deemed notified of
-     * all changes that discovery had by then. Of each change that discovery gets up to this long
-     * after the address change, this process is deemed notified within this time.
+     * all changes that discovery had by then. If discovery gets a change up to this long after the
+     * address change, this process is deemed notified of that change within this time after
+     * discovery got it.
      */
     public static final long ADDRESS_CHANGE_NOTIFY_TIMEOUT_US = 4_000_000;
 
@@ -47,7 +49,7 @@
      */
     private static final long ACCEPTANCE_VALIDITY_US = 1_200_000;
 
-    /** Time of an event that has not happened. */
+    /** Value of the time of an event that has not happened. */
     static final long NEVER = Long.MIN_VALUE;
 
     private static final long NOT_PENDING = Long.MAX_VALUE;
@@ -61,7 +63,10 @@
     private long unreadSinceUs = NOT_PENDING;
     private long lastAcceptedSendUs = NEVER;
 
-    /** Whether discovery has shown that it is alive since the list was last confirmed. */
+    /**
+     * True once discovery has rejected a call, which shows that discovery is alive; false again
+     * when the list is confirmed.
+     */
     private boolean discoveryAlive;
 
     /** A change of discovery's address at some time between two known times. */
@@ -79,7 +84,7 @@
     }
 
     /**
-     * Returns a lease that holds no list yet.
+     * Returns a lease for a process that has no list of servers yet.
      *
      * @param mustAsk whether this process must ask discovery for changes
      */
@@ -95,8 +100,9 @@
     }
 
     /**
-     * Records that discovery can be reached. From then on a list remembered from before the start
-     * is not used unconfirmed, as this process is deemed notified of all that discovery has.
+     * Records that discovery can be reached. From then on, a list remembered from before the start
+     * is not used unless discovery confirms it, as this process is deemed notified of all that
+     * discovery has.
      */
     void discoveryReached() {
         rememberedListUsableFromUs = Long.MAX_VALUE;
@@ -116,8 +122,8 @@
     }
 
     /**
-     * Records that discovery began at this time to send a message that is not applied. This process
-     * is deemed notified of the changes in that message.
+     * Records that discovery began at the given time to send a message that this process has not
+     * applied. This process is deemed notified of the changes in that message.
      */
     void markPending(long sinceUs) {
         pendingSinceUs = Math.min(pendingSinceUs, sinceUs);
@@ -131,14 +137,14 @@
         discoveryAlive = true;
     }
 
-    /** Records that a server accepted a request that was sent at this time. */
+    /** Records that a server accepted a request that was sent at the given time. */
     void requestAccepted(long sentUs) {
         lastAcceptedSendUs = Math.max(lastAcceptedSendUs, sentUs);
     }
 
     /**
-     * Records that nothing from discovery was read since this time. This process is deemed notified
-     * of the changes that discovery sent since.
+     * Records that this process has read nothing from discovery since the given time. This process
+     * is deemed notified of the changes that discovery sent after that time.
      */
     void markUnread(long sinceUs) {
         unreadSinceUs = Math.min(unreadSinceUs, sinceUs);
@@ -158,7 +164,7 @@
         watchedUntilUs = NEVER;
     }
 
-    /** Records that the list has all changes that discovery had by this time. */
+    /** Records that the list has all changes that discovery had by the given time. */
     private void setCurrentAsOf(long timeUs) {
         currentAsOfUs = Math.max(currentAsOfUs, timeUs);
         while (!addressChanges.isEmpty()
@@ -193,7 +199,8 @@
     }
 
     /**
-     * Returns whether the list alone allows requests to its servers, whatever they have accepted.
+     * Returns whether requests may be sent to the listed servers because of the list alone,
+     * regardless of which requests these servers have accepted.
      */
     boolean usable(long nowUs) {
         return usable(nowUs, NEVER);
@@ -205,8 +212,8 @@
 
     /**
      * Returns whether a server may be used because it accepted a request a moment ago. After a
-     * change of discovery's address it may not: this process is then soon deemed notified of all
-     * that discovery has, whether or not discovery can be reached.
+     * change of discovery's address, the server may not be used for this reason: this process is
+     * then soon deemed notified of all that discovery has, whether or not discovery can be reached.
      */
     private boolean usableByAcceptance(long nowUs, long acceptedUs) {
         return acceptedUs != NEVER
--- a/src/main/java/passhatch/Logic.java
+++ b/src/main/java/passhatch/Logic.java
@@ -13,8 +13,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Makes all decisions of the balancer: server selection, retries, probes, slow start and load shedding. Its
- * types, events and actions are declared in {@link Balancer}.
+ * Makes all decisions of the balancer: server selection, retries, probes, slow start and load shedding. The
+ * types, events and actions are declared in {@link Balancer}. A copy is one of the instances of this class,
+ * in different proxies, that send to the same tier of servers.
  *
  * <p>While nothing fails, a request goes to the server with the fewest of this copy's own requests in flight,
  * and among equals to the server to which a request was assigned least recently; see {@link #ranksBefore}.
@@ -22,94 +23,144 @@
  */
 public final class Logic implements Balancer {
 
-    /** Failures in a row before a cooldown while few connections fail: one may be chance, two are not. */
+    /**
+     * Number of failures in a row that start a server's cooldown while few connections break: one failure may
+     * be chance, two are not.
+     */
     private static final int FAILURES_BEFORE_COOLDOWN = 2;
-    /** Length of a cooldown. A restart takes some seconds, and a few failed attempts a minute do no harm. */
+    /**
+     * Length of a server's first cooldown, in which the server gets no requests. A server's restart takes
+     * some seconds, and a few failed attempts a minute do no harm.
+     */
     private static final long FAILURE_COOLDOWN_US = 3_000_000;
-    /** Retries that each request adds to the budget: retries add at most a tenth of load in the long run. */
+    /**
+     * Number of retries that each request adds to the retry budget, so that retries add at most a tenth of
+     * the load in the long run.
+     */
     private static final double RETRIES_PER_REQUEST = 0.1;
     /** Maximum number of retries that are saved up for a burst of failures. */
     private static final double MAX_RETRY_BUDGET = 5;
-    /** First delay before a failed call to discovery is repeated; doubled at each further failure. */
+    /**
+     * Delay before the first repetition of a failed call to discovery; each further failure doubles the
+     * delay.
+     */
     private static final long DISCOVERY_RETRY_DELAY_US = 250_000;
     /**
-     * Maximum cost of probes over all tiers as a fraction of all worth; no probes are sent if two per request
-     * cost more.
+     * Maximum cost of the probes of all tiers, as a fraction of the worth of all requests. No probes are sent
+     * if two probes per request would cost more.
      */
     private static final double MAX_PROBE_COST_TO_WORTH = 0.02;
-    /** Probes sent at a time for a request: one may be lost or slow, more than two would mostly be wasted. */
+    /**
+     * Maximum number of probes sent at the same time for a request: one probe may be lost or slow, and more
+     * than two would mostly be wasted.
+     */
     private static final int PROBES_PER_ROUND = 2;
-    /** Mean number of requests per server below which a round of one probe is usually enough. */
+    /**
+     * Mean load, in requests per server, below which a round has only one probe, as one is usually enough.
+     */
     private static final double MAX_LOAD_FOR_SINGLE_PROBE = 0.25;
-    /** Rounds of probes for a request before it is sent to the best server known. */
+    /**
+     * Maximum number of rounds of probes for a request. After these rounds, the request is sent to the best
+     * server known.
+     */
     private static final int MAX_PROBE_ROUNDS = 3;
-    /** Probes are sent only while a probe takes at most this fraction of the request's target latency. */
+    /**
+     * Probes are sent for a request only while the mean probe latency is at most this fraction of the
+     * request's target latency.
+     */
     private static final double MAX_PROBE_LATENCY_FRACTION = 0.02;
     /** The reply to a probe is overdue after this multiple of the mean probe latency. */
     private static final double PROBE_OVERDUE_FACTOR = 3;
     /**
-     * A busy server's load report is valid for this fraction of the time that the reported requests take, as
-     * most of that work is then still left.
+     * A busy server's load report is valid for this fraction of the time that the reported requests take.
+     * Most of the reported work is still left at the end of this time.
      */
     private static final double BUSY_REPORT_FACTOR = 0.25;
-    /** Weight of a request's work beyond the usual: hints about work err, and not all latency is work. */
+    /**
+     * Weight of the part of a request's expected work that exceeds the usual work. The expectation may be
+     * wrong, and work causes only part of the latency.
+     */
     private static final double EXTRA_WORK_FACTOR = 0.5;
     /**
-     * Maximum expected wait as a fraction of a request's spare time: the longest waits far exceed the mean.
+     * Maximum expected wait of a request at a server, as a fraction of the time that the request has left
+     * beyond the baseline latency. The longest waits far exceed the mean wait.
      */
     private static final double MAX_SPARE_TIME_FRACTION = 0.36;
     /**
-     * Requests of higher worth may wait up to this many times longer, so that those of least worth are shed
-     * first.
+     * Maximum factor by which priority lengthens the allowed wait of requests of higher worth, so that
+     * requests of least worth are shed first.
      */
     private static final double MAX_WAIT_FACTOR_BY_PRIORITY = 2;
-    /** Requests that the copies together may always have in flight at a server, to keep its cores busy. */
+    /**
+     * Number of requests that all copies together may always have in flight at a server, to keep the server's
+     * cores busy.
+     */
     private static final double MIN_SERVER_CONCURRENCY = 4;
     /**
-     * A server is congested if the next request would take more than this multiple of the baseline;
-     * values from 2 to 3 have the same effect.
+     * A server is congested if the next request would take more than this multiple of the baseline latency,
+     * which is the latency without congestion. Values from 2 to 3 have the same effect.
      */
     private static final double CONGESTED_FACTOR = 2.3;
     /**
-     * No server is congested while the mean latency is below this multiple of the baseline: a burst after
-     * calm is no congestion.
+     * No server is congested while the mean latency over all servers is below this multiple of the baseline
+     * latency: a burst of requests after a time of little load is no congestion.
      */
     private static final double OVERALL_CONGESTION_FACTOR = 1.3;
     /**
-     * Classes worth up to this multiple of the lowest worth get no priority: they may be half of all traffic.
+     * Classes whose worth is at most this multiple of the lowest worth get no priority, as they may be half
+     * of all traffic.
      */
     private static final double PRIORITY_WORTH_RATIO = 4;
-    /** A server gets turns at most this many times less often, or more often, than the usual server. */
+    /**
+     * A slow server gets turns at most this many times less often than the usual server, and a quick server
+     * at most this many times more often.
+     */
     private static final double MAX_SLOWDOWN = 20;
-    /** All copies together send a cold server at most this fraction of the load that would overload it. */
+    /**
+     * All copies together send a cold server, which started a short time ago, at most this fraction of the
+     * load that would overload it.
+     */
     private static final double COLD_LOAD_FRACTION = 0.5;
     /**
-     * A queued request is sent only while it has this multiple of the usual latency left: of requests sent at
-     * the last moment, half would be late.
+     * A queued request is sent only while it has at least this multiple of the usual latency left. Half of
+     * the requests that are sent at the last moment would be late.
      */
     private static final double MIN_QUEUED_TIME_FACTOR = 1.4;
-    /** Maximum number of times that a cooldown is doubled, once at each further failure. */
+    /** Maximum number of times that a server's cooldown is doubled; each further failure doubles it once. */
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
     /** An attempt is overdue after this multiple of the expected latency, as latencies spread widely. */
     private static final double ATTEMPT_OVERDUE_FACTOR = 5;
     /**
-     * Overdue attempts in a row that start a cooldown; cap on the penalty for overdue attempts and unanswered
-     * probes.
+     * Number of overdue attempts in a row that start a server's cooldown. When servers are ranked, overdue
+     * attempts and unanswered probes count as additional load, up to this number.
      */
     private static final int MAX_UNANSWERED = 2;
-    /** Rounds by which the turn of a server in another zone is postponed, to use this copy's zone first. */
+    /**
+     * Number of rounds by which the turn of a server in another zone is postponed, so that servers in this
+     * copy's zone are used first. In a round, this copy sends one request to each server of its subset.
+     */
     private static final double CROSS_ZONE_DELAY_ROUNDS = 1;
     /** Weight of the newest response in the running mean of a server's error rate. */
     private static final double ERROR_WEIGHT = 0.2;
     /** Error rate above which a server may enter a cooldown. */
     private static final double MAX_ERROR_RATE = 0.35;
-    /** Maximum time for which a slow server gets no request, as it may have recovered. */
+    /**
+     * Maximum time for which a slow server gets no request. After this time, the server may have recovered.
+     */
     private static final double MAX_SLOW_SERVER_DELAY_US = 24_000_000;
-    /** Load assumed for a server that rejected a request as full. */
+    /**
+     * Number of requests in flight that is assumed for a server that rejected a request because it is full.
+     */
     private static final int FULL_LOAD = 1000;
-    /** Copies that use each server if no reports show its load: each copy should see most of that load. */
+    /**
+     * Number of copies that use each server if no reports show the server's load: each of these copies should
+     * see most of that load in its own requests.
+     */
     private static final double COPIES_PER_SERVER = 2;
-    /** Minimum number of servers that a copy uses: with fewer, a slow or dead one matters too much. */
+    /**
+     * Minimum number of servers that a copy uses: with fewer servers, one slow or dead server has too much
+     * effect.
+     */
     private static final int MIN_SUBSET_SIZE = 4;
     /**
      * Minimum number of servers that a copy uses if probes report load: enough to find an idle server, few
@@ -119,14 +170,16 @@
     /** Minimum time between two rate-limited log lines, as failures come in bursts. */
     private static final long LOG_INTERVAL_US = 10_000_000;
 
-    /** Which servers a selection considers: any, those reported as idle, or those whose load is unknown. */
+    /**
+     * Which servers a selection considers: any server, servers reported as idle, or servers of unknown load.
+     */
     private enum ServerFilter { ANY, REPORTED_IDLE, UNKNOWN_LOAD }
 
     private final Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
     private final Map<String, ServerState> serversById = new HashMap<>();
-    /** Ids of the listed servers that drain. */
+    /** Ids of the servers that drain according to discovery's list. */
     private final Set<String> drainingIds = new HashSet<>();
     private final List<ServerState> servers = new ArrayList<>();
     private final Map<String, RequestState> requests = new HashMap<>();
@@ -149,7 +202,7 @@
     private long nextLogAtUs = Long.MIN_VALUE;
     private long watchRequestAtUs = Long.MAX_VALUE;
     private int discoveryFailures;
-    /** Number of probes that the price allows for each request; 0 if no probes are sent. */
+    /** Number of probes per request that the price of a probe allows; 0 if no probes are sent. */
     private final double probesPerRequest;
     private double probeBudget;
     private double probeLatencyUs;
@@ -157,14 +210,14 @@
     private double meanReportedLoad;
     private final LatencyStats latencies;
     private double meanWorkUs;
-    /** Time that clients wait for the response to a request that is not a retry. */
+    /** How long the client waits for a response to the latest request that is not a client's retry. */
     private double firstTryTimeoutUs;
     private final TenantQuotas tenantQuotas;
     private double meanSendGapUs;
     private long lastSentAtUs = Long.MIN_VALUE;
 
     /**
-     * Creates a copy that knows no server yet.
+     * Creates the balancer of one copy. It knows no servers yet.
      *
      * @throws IllegalArgumentException if a setting is missing or contradicts another; the message names the
      *     setting
@@ -265,8 +318,8 @@
 
     /**
      * Closes the idle connections to a draining server, as open connections would keep the server from
-     * stopping. Called at the notice of the drain, and after each later outcome for the connection that it
-     * freed.
+     * stopping. This method is called when the drain is notified, and again after each later outcome, to
+     * close the connection that the attempt no longer uses.
      */
     private void closeIdle(String serverId) {
         if (settings.rules().closeWithinUs() > 0) {
@@ -275,7 +328,9 @@
     }
 
     /**
-     * Returns whether a comes after b in the list: this copy's zone first, then by hash, as at every copy.
+     * Returns whether server a comes after server b in the list. Servers in this copy's zone come first,
+     * unless crossing zones is free. Servers that this does not separate are ordered by the hash of their id,
+     * so the order is the same at every copy.
      */
     private boolean sortsAfter(ServerState a, ServerState b) {
         return crossZoneDelayRounds(a) != crossZoneDelayRounds(b)
@@ -285,10 +340,10 @@
 
     /**
      * Sets when a newly listed server gets its first request. If turns went by assignment time alone, the
-     * server would be next at every copy at once, so it gets the turn of another server chosen at random.
-     * With many copies, a round takes so long that a wait of whole rounds would leave a cold server without
-     * requests. So each copy admits the server at a random time, and only some of the copies use it while it
-     * is cold.
+     * server would be next at every copy at once, so the new server gets the turn of another server chosen at
+     * random. With many copies, a round takes so long that a wait of whole rounds would leave a cold server
+     * without requests. So each copy admits the server at a random time, and only some of the copies use the
+     * server while it is cold.
      */
     private void scheduleSlowStart(long nowUs, ServerState server) {
         int start = random.nextInt(servers.size());
@@ -343,10 +398,10 @@
      * Returns the size of this copy's subset, the servers that it uses. If many copies send to a server and
      * no probe reports its load, a copy's own requests in flight tell little about that load. If a connection
      * carries one request at a time, the connections of many copies exhaust a server even while they are
-     * idle. So each copy uses only a few servers, from a place in the list given by its own index, which
-     * spreads the copies evenly. If probes report load, the subset is larger, but it does not hold hundreds
-     * of servers, as ranking them for each request costs too much. Servers in cooldown are skipped and do not
-     * count.
+     * idle. So each copy uses only a few servers. Its subset starts at a position in the list that depends on
+     * the copy's index, which spreads the copies evenly. If probes report load, the subset is larger, but it
+     * does not hold hundreds of servers, as ranking them for each request costs too much. Servers in cooldown
+     * are skipped and do not count.
      */
     private int subsetSize(long nowUs) {
         int all = servers.size();
@@ -356,9 +411,9 @@
     }
 
     /**
-     * Returns a server's latency as a multiple of the usual latency. Turns depend on it because idle servers
-     * are ordered by turn only: if turns went by assignment time alone, slow servers would get as many
-     * requests as quick servers.
+     * Returns a server's latency as a multiple of the usual latency. A server's turns depend on this multiple
+     * because idle servers are ordered by turn only: if turns went by assignment time alone, slow servers
+     * would get as many requests as quick servers.
      */
     private double slowdown(ServerState server) {
         return server.loadSum == 0 || latencies.unitLatencyUs() == 0 ? 1 : Math.min(MAX_SLOWDOWN,
@@ -366,7 +421,8 @@
     }
 
     /**
-     * Returns by how many rounds a server's turn is postponed: 0 in this copy's zone or if crossing is free.
+     * Returns the number of rounds by which a server's turn is postponed because the server is in another
+     * zone. The result is 0 for a server in this copy's zone, and for all servers if crossing zones is free.
      */
     private double crossZoneDelayRounds(ServerState server) {
         return settings.prices().crossZone() > 0 && server.zone != settings.zone()
@@ -457,7 +513,11 @@
         dispatch(nowUs, state);
     }
 
-    /** Sends a request to the server whose turn it is, or queues the request until a server may be used. */
+    /**
+     * Sends a request to the best server, or lets the request wait for a server, for replies to probes or for
+     * a list. If no response can be in time, or if the request is over quota and no server is idle, this
+     * method ends the request.
+     */
     private void dispatch(long nowUs, RequestState request) {
         if (nowUs + minLatencyUs(request) > request.usefulUntilUs || nowUs >= request.usefulUntilUs) {
             if (!request.queued) {
@@ -504,7 +564,10 @@
         }
     }
 
-    /** Queues a request until the list may be used, but refuses it in time for its client to go elsewhere. */
+    /**
+     * Lets a request wait until the list of servers may be used. If that takes too long, refuses the request
+     * in time for its client to go elsewhere.
+     */
     private void waitForList(long nowUs, RequestState request) {
         if (nowUs >= request.listWaitUntilUs) {
             logRateLimited(nowUs, request.requestClass.name(),
@@ -634,10 +697,11 @@
     private boolean hasCapacity(long nowUs, RequestState request, ServerState server) {
         // A class with a long target latency must not fill the servers at the cost of other classes, unless
         // it is worth more. A class that is worth far more may also load a server further, so that under
-        // overload the classes of least worth run out of capacity first. It would overload the server if it
-        // were most of the traffic.
+        // overload the classes of least worth run out of capacity first. This would overload the server if
+        // such a class were most of the traffic.
         double worthRatio = minWorth > 0 ? request.requestClass.worth() / minWorth : 1;
-        double priority = Math.max(1, Math.min(worthRatio / PRIORITY_WORTH_RATIO, MAX_WAIT_FACTOR_BY_PRIORITY));
+        double priority =
+                Math.max(1, Math.min(worthRatio / PRIORITY_WORTH_RATIO, MAX_WAIT_FACTOR_BY_PRIORITY));
         double timeUs = Math.min((request.usefulUntilUs - nowUs) * priority, minAimUs * worthRatio);
         // An idle server never counts as too slow for long, as its recovery would then not be seen. If only
         // this copy's own requests show load, other copies may congest a server that looks idle, so the
@@ -656,7 +720,7 @@
     /**
      * Returns whether a server has fewer requests in flight than it may always have. Until there are enough
      * samples to know the baseline latency, requests are sent up to this number whatever latency the first
-     * ones had: a copy that starts under full load would otherwise learn the baseline too late.
+     * requests had: a copy that starts under full load would otherwise learn the baseline too late.
      */
     private boolean belowMinConcurrency(long nowUs, ServerState server) {
         double copiesPerServer = Math.max(1, (double) settings.copies() * subsetSize(nowUs) / servers.size());
@@ -665,11 +729,11 @@
 
     /**
      * Returns whether one more request would only lengthen a server's queue. The target latency may leave
-     * room for many requests, but if they take far longer than the baseline, a longer queue serves no request
-     * sooner, and some servers become slower once congested and stay slow. Such requests wait at this copy,
-     * from where they can go to the first server that is free. If the cores of a server share its work,
-     * latencies stay near the baseline and no request waits here. A general slowdown of a tier below looks
-     * like congestion: a copy then sends only the minimum concurrency to each server.
+     * room for many requests, but if requests take far longer than the baseline latency, a longer queue
+     * serves no request sooner, and some servers become slower once congested and stay slow. Such requests
+     * wait at this copy, from where they can go to the first server that is free. If the cores of a server
+     * share its work, latencies stay near the baseline and no request waits here. A general slowdown of a
+     * tier below looks like congestion: a copy then sends only the minimum concurrency to each server.
      */
     private boolean isCongested(long nowUs, RequestState request, ServerState server, double expectedUs) {
         return !belowMinConcurrency(nowUs, server)
@@ -702,8 +766,8 @@
     }
 
     /**
-     * Returns a server's known requests in flight: those of this copy, or of all copies while a report is
-     * valid.
+     * Returns the known number of requests in flight at a server: those of this copy, or those of all copies
+     * while the server's load report is valid.
      */
     private static int load(long nowUs, ServerState server) {
         return server.reportValidUntilUs > nowUs ? Math.max(server.inFlight, server.reportedLoad)
@@ -782,8 +846,9 @@
     }
 
     /**
-     * Returns whether a request may be sent to a server. It may not if its class may not run there, if it was
-     * sent there before, or if it may have run elsewhere and this server would not drop it as a repeat.
+     * Returns whether a request may be sent to a server. The request may not be sent if its class may not run
+     * on the server or if the request was sent to the server before. A request that is not safe to repeat and
+     * may have run at another server may be sent only if this server would drop the repeat.
      */
     private static boolean mayUse(RequestState request, ServerState server) {
         if (!placementAllows(request.requestClass, server)) {
@@ -889,8 +954,8 @@
 
     /**
      * Updates a server's error rate, and starts a cooldown if the server answers with errors far more often
-     * than others: as errors come at once, such a server always looks idle and attracts ever more requests.
-     * Errors that all servers show alike come from a tier below and start no cooldown.
+     * than others: as error responses come at once, such a server always looks idle and attracts ever more
+     * requests. Errors at the same rate at all servers come from a tier below and start no cooldown.
      */
     private void updateErrorRate(long nowUs, ServerState server, boolean error) {
         server.errorRate += ERROR_WEIGHT * ((error ? 1 : 0) - server.errorRate);
@@ -905,7 +970,9 @@
         }
     }
 
-    /** Updates a server's error rate and failure count; only connections that fail or break are failures. */
+    /**
+     * Updates a server's error rate and failure count; only failed and broken connections count as failures.
+     */
     private void recordOutcome(long nowUs, ServerState server, Outcome outcome) {
         failureRates.recordOutcome(outcome);
         if (outcome == Outcome.OK || outcome == Outcome.ERROR) {
@@ -1031,7 +1098,8 @@
 
     /**
      * Handles an overdue attempt at a server, which may hang although connections stay open and probes are
-     * answered. The server is demoted, and enters a cooldown if another attempt is overdue before a response.
+     * answered. The server is demoted. If a second attempt at the server becomes overdue before the server
+     * responds, the server enters a cooldown, provided that enough servers stay in use.
      */
     private void onUnanswered(long nowUs, ServerState server) {
         server.overdueAttempts++;
@@ -1058,8 +1126,8 @@
     }
 
     /**
-     * Returns whether one more cooldown leaves half of the servers in use, so that false alarms stop no
-     * traffic.
+     * Returns whether at least half of the servers stay in use after one more cooldown, so that cooldowns
+     * that start by mistake cannot stop the traffic.
      */
     private boolean mayStartCooldown(long nowUs) {
         int inUse = 0;
@@ -1082,8 +1150,8 @@
             server.reportedLoad = (int) Math.round(Math.max(report.inFlight(), report.queue()));
             meanReportedLoad += MEAN_WEIGHT * (server.reportedLoad - meanReportedLoad);
             if (server.reportedLoad > 0) {
-                // Without this, servers that are never idle would be probed first each time, and their loads
-                // would be taken for the loads of all servers.
+                // Without this, servers that are never idle would be probed first each time, and the loads of
+                // these servers would be taken for the loads of all servers.
                 server.turnAtUs = Math.max(server.turnAtUs, nowUs);
             }
             server.reportValidUntilUs = nowUs + (long) (server.reportedLoad > 0
@@ -1143,7 +1211,8 @@
     }
 
     /**
-     * Performs all due work: asks discovery, handles overdue attempts, and sends or ends waiting requests.
+     * Performs all due work: asks discovery for changes, handles overdue attempts, and sends or ends waiting
+     * requests.
      */
     private void performDueWork(long nowUs) {
         if (watchRequestAtUs <= nowUs && !watching) {
@@ -1165,8 +1234,8 @@
             scheduleWake(sentAttempts.peek().overdueAtUs);
         }
         if (!waiting.isEmpty()) {
-            // Newest first: under overload, the responses to requests that waited longest would mostly be
-            // late.
+            // The newest requests are sent first: under overload, the responses to the requests that waited
+            // longest would mostly be late.
             ArrayDeque<RequestState> queued = new ArrayDeque<>(waiting);
             waiting.clear();
             while (!queued.isEmpty()) {
--- a/src/main/java/passhatch/ReportTrust.java
+++ b/src/main/java/passhatch/ReportTrust.java
@@ -9,7 +9,8 @@
 final class ReportTrust {
 
     /**
-     * Maximum number of times that the pause in the use of reports is doubled, once at each further pause.
+     * Maximum number of times that the length of a pause in the use of reports is doubled. Each further pause
+     * doubles it once.
      */
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
@@ -34,7 +35,10 @@
         this.maxRefutedRate = maxRefutedRate;
     }
 
-    /** Records whether the outcome of an attempt refuted a report that its server was idle. */
+    /**
+     * Records a report that a server was idle, and whether the outcome of an attempt at that server refuted
+     * the report.
+     */
     void recordReport(long nowUs, boolean refuted) {
         refutedRate += weight * ((refuted ? 1 : 0) - refutedRate);
         if (refutedRate > maxRefutedRate) {
--- a/src/main/java/passhatch/RequestState.java
+++ b/src/main/java/passhatch/RequestState.java
@@ -9,8 +9,9 @@
 final class RequestState {
 
     /**
-     * Fraction of its useful time for which a request waits for a list of servers; a refusal after
-     * half of the useful time would come too late.
+     * Fraction of a request's useful time for which the request waits for a list of servers. The
+     * useful time is the time in which a response has worth. A refusal after half of this time
+     * would come too late.
      */
     private static final double LIST_WAIT_FRACTION_OF_USEFUL_TIME = 0.4;
 
@@ -45,8 +46,8 @@
     boolean overQuota;
 
     /**
-     * Whether this request had to wait for a server; such a request is sent only if its response is
-     * likely to be in time.
+     * True once this request has had to wait for a server. Such a request is sent only if its
+     * response is likely to be in time.
      */
     boolean queued;
 
--- a/src/main/java/passhatch/ServerState.java
+++ b/src/main/java/passhatch/ServerState.java
@@ -5,8 +5,8 @@
     final String id;
 
     /**
-     * Hash of the id; the list of servers is sorted by it, so that its order is the same at every
-     * copy.
+     * Hash of this server's id. Servers of the same zone are sorted by this hash, so that their
+     * order is the same at every copy.
      */
     final int hashOrder;
 
@@ -22,21 +22,22 @@
     boolean listed;
 
     /**
-     * Whether this server drains; its idle connections are then closed at the notice and after each
-     * outcome.
+     * Whether this server drains according to discovery. Its idle connections are closed when the
+     * drain is notified, and after each outcome while this server drains.
      */
     boolean draining;
 
     /**
-     * Number of this copy's attempts at this server that await a response; also counted while this
-     * server drains or is not listed.
+     * Number of this copy's attempts at this server that await a response. Attempts count even
+     * while this server drains or is not listed.
      */
     int inFlight;
 
     /**
      * Time that orders servers by turn, the lowest first: when this server was last assigned a
      * request, shifted to a later time if this server is slow and to an earlier time if it is
-     * quick. A random value below all times while this server was never used.
+     * quick. Before the first request, the turn is taken from another server or drawn at random; a
+     * random turn in this copy's zone is below all times.
      */
     long turnAtUs;
 
@@ -54,7 +55,9 @@
     /** Running mean of the fraction of errors among this server's responses, 0 to 1. */
     double errorRate;
 
-    /** Number of this server's cooldowns because of errors since its last recovery. */
+    /**
+     * Number of cooldowns that errors of this server have caused since its error rate was last low.
+     */
     int errorCooldowns;
 
     /** Number of overdue attempts since this server's last response. */
--- a/src/main/java/passhatch/SettingsBuilder.java
+++ b/src/main/java/passhatch/SettingsBuilder.java
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Sets the fraction of its worth that a request over its tenant's quota keeps, 0 to 1. Default:
-     * 1, with which quotas have no effect.
+     * Sets the fraction of the worth that is left for a request over its tenant's quota, 0 to 1.
+     * Default: 1; quotas then have no effect.
      */
     public SettingsBuilder overQuotaWorth(double fraction) {
         overQuotaWorth = fraction;
@@ -88,7 +88,7 @@
 
     /**
      * Sets the index of the tier that this instance sends to, from 0, and the number of tiers.
-     * Default: tier 0 of one.
+     * Default: tier 0 of one tier.
      */
     public SettingsBuilder tier(int index, int count) {
         tier = index;
@@ -104,7 +104,7 @@
 
     /**
      * Sets whether this instance must ask discovery for changes. Default: false, as discovery
-     * pushes them.
+     * pushes changes by default.
      */
     public SettingsBuilder watch(boolean required) {
         watch = required;
--- a/src/main/java/passhatch/TenantQuotas.java
+++ b/src/main/java/passhatch/TenantQuotas.java
@@ -6,12 +6,16 @@
 /** Rate limits of the tenants. Each copy allows a tenant an equal part of the tenant's quota. */
 final class TenantQuotas {
 
-    /** Maximum burst of a tenant: it may send as much at once as its quota allows in this time. */
+    /**
+     * Maximum burst of a tenant, given as a time: the tenant may send at once as many requests as its quota
+     * allows in this time.
+     */
     private static final double MAX_BURST_US = 2_000_000;
 
     private final Settings settings;
     /**
-     * By tenant index: when its next request would arrive if all had come evenly at the rate of its quota.
+     * For each tenant, by index: when the tenant's next request would arrive if all of the tenant's requests
+     * had come evenly at the rate of the quota.
      */
     private final double[] theoreticalArrivalUs;
 
--- a/src/main/java/passhatch/adapter/Adapter.java
+++ b/src/main/java/passhatch/adapter/Adapter.java
@@ -6,8 +6,8 @@
 import java.io.PrintStream;
 
 /**
- * Runs the balancers of a simulator's instances. It reads events and writes actions in batches, one
- * JSON object per line.
+ * Runs the balancers of the proxies that a simulator simulates. It reads the events of these
+ * proxies and writes the balancers' actions in batches, one JSON object per line.
  */
 public final class Adapter {
 
--- a/src/main/java/passhatch/adapter/Wire.java
+++ b/src/main/java/passhatch/adapter/Wire.java
@@ -23,8 +23,8 @@
 import passhatch.SettingsReader;
 
 /**
- * Hosts the instances of one process: passes to each instance its events and writes the instance's
- * actions.
+ * Runs the balancer instances of one process. It passes each event to the instance that the event
+ * is for, and writes the actions of the instances to the output.
  */
 final class Wire {
 
@@ -285,7 +285,7 @@
         json.writeEndObject();
     }
 
-    /** Writes the actions of the current instance. */
+    /** Writes the actions of the instance that handles the current event. */
     private final class ActionWriter implements Actions {
 
         @Override
--- a/src/main/java/passhatch/lab/disk/FaultyDisk.java
+++ b/src/main/java/passhatch/lab/disk/FaultyDisk.java
@@ -68,7 +68,10 @@
         }
     }
 
-    /** The file that a name refers to from now on; null if the name is removed. */
+    /**
+     * A change of a name: {@code file} is the file that the name refers to after the change, or
+     * null if the change removes the name.
+     */
     private record NameChange(String name, FileState file) {}
 
     private final Map<String, FileState> files = new TreeMap<>();
@@ -91,27 +94,34 @@
         this.capacityBytes = capacity;
     }
 
-    /** Injects a fault at a later call that changes the disk; 0 is the next such call. */
+    /**
+     * Injects a fault at a later call that changes the disk. The index counts such calls from now
+     * on; 0 is the next one.
+     */
     public void injectFaultAt(long callIndex, Fault newFault) {
         faultCallIndex = changingCallCount + callIndex;
         fault = newFault;
     }
 
-    /** Returns the number of calls so far that were to change the disk. */
+    /**
+     * Returns the number of calls so far of operations that change the disk, including calls that
+     * failed.
+     */
     public long changingCallCount() {
         return changingCallCount;
     }
 
     /**
-     * Sets whether a force has no effect although it reports success, to check that a test notices
-     * a missing force.
+     * Sets whether forces are ignored: an ignored force reports success but has no effect. This
+     * serves to check that a test notices a missing force.
      */
     public void ignoreForce(boolean ignore) {
         forceIgnored = ignore;
     }
 
     /**
-     * Returns a new disk with the contents that survive a power loss, which are drawn at random.
+     * Returns a new disk with the contents of this disk that survive a power loss. It is drawn at
+     * random which changes survive.
      */
     public FaultyDisk afterPowerLoss(UniformRandomProvider random) {
         Map<String, FileState> names = new HashMap<>(durableNames);
--- a/src/main/java/passhatch/lab/load/ClientChannel.java
+++ b/src/main/java/passhatch/lab/load/ClientChannel.java
@@ -52,7 +52,7 @@
         channel.close();
     }
 
-    /** Closes this connection because its request has already completed without a response. */
+    /** Closes this connection because its request is given up without a response. */
     void abandon() {
         pendingRequest = null;
         if (channel != null) {
--- a/src/main/java/passhatch/lab/load/LoadGenerator.java
+++ b/src/main/java/passhatch/lab/load/LoadGenerator.java
@@ -48,7 +48,8 @@
     }
 
     /**
-     * Starts the load; the first requests are due when {@link System#nanoTime} reaches this value.
+     * Starts the load; the first requests are due when {@link System#nanoTime} reaches {@code
+     * startNs}.
      */
     public void start(long startNs) {
         senders.forEach(s -> s.start(startNs));
--- a/src/main/java/passhatch/lab/load/LoadStats.java
+++ b/src/main/java/passhatch/lab/load/LoadStats.java
@@ -25,7 +25,7 @@
         private final Map<Outcome, Integer> countsByOutcome = new EnumMap<>(Outcome.class);
         private final Histogram latencyUs = new Histogram(MAX_RECORDED_US, 2);
 
-        /** Returns the number of requests of this step that had an outcome. */
+        /** Returns the number of requests of this step that had the given outcome. */
         public int count(Outcome outcome) {
             return countsByOutcome.getOrDefault(outcome, 0);
         }
@@ -110,7 +110,7 @@
         return clientRetries;
     }
 
-    /** Returns the number of requests that had an outcome, over all steps. */
+    /** Returns the number of requests over all steps that had the given outcome. */
     public long count(Outcome outcome) {
         return steps.stream().mapToLong(s -> s.count(outcome)).sum();
     }
--- a/src/main/java/passhatch/lab/load/Outcome.java
+++ b/src/main/java/passhatch/lab/load/Outcome.java
@@ -6,13 +6,13 @@
     SERVED,
     /** A backend's complete response arrived after the deadline. */
     LATE,
-    /** The request was rejected with the promise that a retry is harmless. */
+    /** The request was rejected with the promise that it can be retried safely. */
     REFUSED,
     /** The request was answered with an error. */
     FAILED,
     /**
-     * No response arrived because an injected fault killed or stopped the proxy of the request, or
-     * because no proxy could be reached.
+     * No response arrived because an injected fault killed or stopped the proxy to which the
+     * request was sent, or because no proxy could be reached.
      */
     CUT,
     /** No response arrived although the proxy was running, which violates the protocol. */
--- a/src/main/java/passhatch/lab/load/ProxyPool.java
+++ b/src/main/java/passhatch/lab/load/ProxyPool.java
@@ -47,7 +47,9 @@
         endpoints.get(proxy).admitted = admitted;
     }
 
-    /** Sets whether a proxy is stopped or killed by a fault; if false, it serves again. */
+    /**
+     * Sets whether a fault has stopped or killed a proxy; false means that the proxy serves again.
+     */
     public void setFaulty(int proxy, boolean faulty) {
         ProxyEndpoint endpoint = endpoints.get(proxy);
         endpoint.lastFaultChangeNs = System.nanoTime();
@@ -55,8 +57,8 @@
     }
 
     /**
-     * Returns the next admitted proxy, searching from an index on and leaving out {@code except}.
-     * If there is no other admitted proxy, returns {@code except} if that is admitted, or else
+     * Returns the first admitted proxy other than {@code except}, searching from {@code startIndex}
+     * on. If there is no such proxy, returns {@code except} if that proxy is admitted, or else
      * null.
      */
     ProxyEndpoint nextAdmitted(int startIndex, ProxyEndpoint except) {
--- a/src/main/java/passhatch/lab/load/Sender.java
+++ b/src/main/java/passhatch/lab/load/Sender.java
@@ -11,7 +11,10 @@
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** Sends one thread's part of the load. Each sender has its own connections and statistics. */
+/**
+ * Sends the requests of one of the load generator's threads. Each sender has separate connections
+ * and statistics.
+ */
 final class Sender {
 
     /**
@@ -20,7 +23,7 @@
      */
     private static final int MAX_OPEN_CONNECTIONS = 2_000;
 
-    /** A request without a response counts as lost this long after its deadline. */
+    /** How long after its deadline a request without a response is given up. */
     private static final long RESPONSE_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final LoadPlan plan;
@@ -279,8 +282,9 @@
         }
 
         /**
-         * Retries this request if a retry is allowed, harmless and before the deadline; otherwise
-         * completes this request with the outcome.
+         * Retries this request if it can be repeated safely, the maximum number of retries is not
+         * reached, the deadline has not passed and a proxy is admitted. Otherwise completes this
+         * request with the outcome. A lost request is never retried.
          */
         private void retryOrComplete(Outcome outcome, boolean repeatable) {
             ProxyPool.ProxyEndpoint target = proxies.nextAdmitted(nextProxyIndex++, proxy);
--- a/src/main/java/passhatch/lab/sim/EventQueue.java
+++ b/src/main/java/passhatch/lab/sim/EventQueue.java
@@ -79,7 +79,8 @@
     /**
      * Removes the next event and sets the clock to its time.
      *
-     * @param limitUs the latest time in microseconds, inclusive, of an event to poll
+     * @param limitUs latest time, inclusive, at which the polled event may take place, in
+     *     microseconds
      * @return the event, or null if no event takes place up to that time; the clock is then
      *     unchanged
      */
@@ -95,7 +96,7 @@
     }
 
     /**
-     * Advances the clock to a time not after the next event.
+     * Advances the clock without polling an event.
      *
      * @param timeUs the new time in microseconds; neither before now nor after the next event
      */
--- a/src/main/java/passhatch/lab/standin/BackendServer.java
+++ b/src/main/java/passhatch/lab/standin/BackendServer.java
@@ -37,8 +37,8 @@
 public final class BackendServer {
 
     /**
-     * How long after proxies are deemed notified of a drain they may still send requests to the
-     * backend: the protocol's grace of 750 ms and its margin of 50 ms.
+     * How long proxies may still send requests to the backend after they are deemed notified of its
+     * drain: the protocol's grace of 750 ms and its margin of 50 ms.
      */
     private static final long DRAIN_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(750 + 50);
 
@@ -123,8 +123,8 @@
     }
 
     /**
-     * Returns the body of the response to a request; clients check the bodies that they receive
-     * against this one.
+     * Returns the body of the response to a request; clients compare the body that they receive
+     * with this body.
      */
     public static byte[] responseBodyFor(String id) {
         return ("answer to " + id).getBytes(StandardCharsets.US_ASCII);
--- a/src/main/java/passhatch/lab/standin/DiscoveryServer.java
+++ b/src/main/java/passhatch/lab/standin/DiscoveryServer.java
@@ -40,9 +40,9 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Stand-in for discovery that behaves as the protocol describes: it serves the whole list of
- * backends, and watches that get one line per change. It can go down, stall or notify late. All of
- * its state belongs to one event loop.
+ * Stand-in for discovery that behaves as the protocol describes: it answers calls with the whole
+ * list of backends, and sends one line per change to each open watch. It can go down, stall or
+ * notify late. All of its state belongs to one event loop.
  */
 public final class DiscoveryServer {
 
@@ -54,7 +54,10 @@
      */
     private static final long OLD_ADDRESS_CLOSE_DELAY_MS = 1_500;
 
-    /** Time that a call waits in the queue of an overloaded service before it is rejected. */
+    /**
+     * Time that a call waits in the queue of an overloaded service before the service rejects the
+     * call.
+     */
     private static final long OVERLOAD_QUEUE_WAIT_MS = 2_000;
 
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/passhatch/lab/standin/UdpRelay.java
+++ b/src/main/java/passhatch/lab/standin/UdpRelay.java
@@ -21,10 +21,11 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Simulates the network between the program's processes. For each process, the relay has one
- * address that stands for each other process. A datagram sent to such an address is delivered to
- * the process that the address stands for, from the address that stands for the sender. Datagrams
- * may be delayed, duplicated, reordered, truncated or lost.
+ * Simulates the network between the program's processes. For each process, the relay has a separate
+ * set of addresses, each of which stands for one of the processes. A datagram sent to such an
+ * address is delivered to the process that the address stands for. The receiver sees it coming from
+ * the relay address that stands for the sender. Datagrams may be delayed, duplicated, reordered,
+ * truncated or lost.
  *
  * <p>One thread carries all datagrams. A datagram larger than the platform's maximum of 256 bytes
  * is counted but not delivered.
@@ -111,8 +112,8 @@
     }
 
     /**
-     * Returns the relay addresses at which a member reaches each member, in order of the numbers of
-     * those members.
+     * Returns the relay addresses that the given member uses to reach the members, in order of
+     * member number. The list includes an address for the given member itself.
      */
     public List<InetSocketAddress> relayAddressesOf(int member) throws IOException {
         List<InetSocketAddress> peers = new ArrayList<>();
@@ -140,7 +141,9 @@
         return delivered.sum();
     }
 
-    /** Returns the number of datagrams lost by a fault or because their receiver is missing. */
+    /**
+     * Returns the number of datagrams lost because of a fault or because their receiver is missing.
+     */
     public long dropped() {
         return dropped.sum();
     }
