--- a/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
@@ -76,7 +76,7 @@
     private final Map<String, List<Node>> subscribersByService = new HashMap<>();
     private final Map<String, Double> figures = new TreeMap<>();
     private final Deque<PendingChange> pendingChanges = new ArrayDeque<>();
-    private long createdCount;
+    private long createdChangeCount;
     private long maxLeaderWaitUs;
 
     DistributionScaleRun(int subscribers, int zones, int regions, int changesPerEvent, long seed) {
@@ -211,7 +211,7 @@
      */
     private void createChange(Predicate<Node> measured) {
         String service = "service-" + random.nextInt(SERVICES);
-        String value = Long.toString(1 + createdCount++ % 60_000);
+        String value = Long.toString(1 + createdChangeCount++ % 60_000);
         pendingChanges.add(new PendingChange(service, value, simulation.nowUs(), measured));
         submitPendingChanges();
     }
--- a/src/main/java/passhatch/proxy/client/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/client/ClientConnection.java
@@ -85,7 +85,7 @@
     private long idleSinceUs;
     private long awaitingRequestSinceUs;
     private long readingBodySinceUs;
-    private long bodyBytes;
+    private long receivedBodyBytes;
 
     /**
      * Whether the connection is being closed, after an invalid request or by the proxy. Further
@@ -245,7 +245,7 @@
     }
 
     private void onReadTimeout() {
-        long leftUs = readDeadlineUs() - frontend.nowUs();
+        long leftUs = requestReceiptDeadlineUs() - frontend.nowUs();
         if (leftUs <= 0) {
             channel.close();
         } else {
@@ -253,14 +253,15 @@
         }
     }
 
-    private long readDeadlineUs() {
+    private long requestReceiptDeadlineUs() {
         long headUs = awaitingRequestSinceUs + HEAD_TIMEOUT_US;
         if (incoming == null) {
             return headUs;
         }
         long sinceUs = bodyPaused ? frontend.nowUs() : readingBodySinceUs;
         return Math.max(
-                headUs, sinceUs + MAX_BODY_PAUSE_US + (long) (bodyBytes / MIN_BODY_BYTES_PER_US));
+                headUs,
+                sinceUs + MAX_BODY_PAUSE_US + (long) (receivedBodyBytes / MIN_BODY_BYTES_PER_US));
     }
 
     private void cancelReadTimeout() {
@@ -273,7 +274,7 @@
     private void setBodyReading(boolean on) {
         if (on && bodyPaused) {
             readingBodySinceUs = frontend.nowUs();
-            bodyBytes = 0;
+            receivedBodyBytes = 0;
         }
         bodyPaused = !on;
         updateReading();
@@ -317,7 +318,7 @@
         incoming = pending;
         requestStarted = true;
         readingBodySinceUs = frontend.nowUs();
-        bodyBytes = 0;
+        receivedBodyBytes = 0;
         startReadTimeout();
         updateReading();
         try {
@@ -360,7 +361,7 @@
                         HttpResponseStatus.BAD_REQUEST,
                         "the body is not HTTP: " + content.decoderResult().cause().getMessage());
             }
-            bodyBytes += content.content().readableBytes();
+            receivedBodyBytes += content.content().readableBytes();
             if (pending.request != null) {
                 addToBody(pending, content, last);
             }
--- a/src/main/java/passhatch/proxy/client/HttpFrontend.java
+++ b/src/main/java/passhatch/proxy/client/HttpFrontend.java
@@ -280,7 +280,7 @@
         descriptors.addClients(1);
         newConnections.add(connection);
         if (descriptors.limitExceeded()) {
-            evictOne(connection);
+            evictConnectionFor(connection);
         }
     }
 
@@ -327,7 +327,7 @@
      * Next come those that have been idle for {@link #MIN_IDLE_US}, which clients expect, then
      * those that may never send a request, and last those of clients that were served recently.
      */
-    private void evictOne(ClientConnection newcomer) {
+    private void evictConnectionFor(ClientConnection newcomer) {
         evictedCount++;
         if (clock.nowUs() >= nextLogUs) {
             nextLogUs = clock.nowUs() + LOG_INTERVAL_US;
