--- a/src/main/java/passhatch/cli/AgentCall.java
+++ b/src/main/java/passhatch/cli/AgentCall.java
@@ -12,7 +12,9 @@
 import passhatch.proxy.base.Addresses;
 import picocli.CommandLine.Option;
 
-/** The options and the connection that are shared by the commands that query a running agent. */
+/**
+ * Sends calls to a running agent. Contains the options that all commands that query an agent share.
+ */
 final class AgentCall {
 
     private static final int TIMEOUT_MS = 5_000;
@@ -30,7 +32,8 @@
     private boolean json;
 
     /**
-     * Prints the agent's reply to a call: as received with {@code --json}, otherwise as a table.
+     * Sends a call to the agent and prints the reply. With {@code --json}, prints the reply as it
+     * was received; otherwise prints it as a table.
      */
     void print(String call, PrintWriter out, BiConsumer<Map<String, Object>, PrintWriter> table)
             throws IOException {
@@ -46,7 +49,8 @@
     /**
      * Sends a call to the agent and returns its reply.
      *
-     * @throws IOException if there is no reply, or if it does not start with {@code expectedPrefix}
+     * @throws IOException if there is no reply, or if the reply does not start with {@code
+     *     expectedPrefix}
      */
     String ask(String call, String expectedPrefix) throws IOException {
         InetSocketAddress address = parseAddress(control);
--- a/src/main/java/passhatch/cli/ChangesCall.java
+++ b/src/main/java/passhatch/cli/ChangesCall.java
@@ -8,8 +8,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * The option and the calls that the subcommands of {@code changes} share. A call tries the given
- * agents one after the other.
+ * Sends the calls of the subcommands of {@code changes}, and contains the option that these
+ * subcommands share. A call is tried on the given agents one after the other.
  */
 final class ChangesCall {
 
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Checks all addresses before the first call, so that a malformed address is reported even if
-     * it would not be tried.
+     * Checks the addresses of all agents. Must run before the first call, so that a malformed
+     * address is reported even if an earlier agent would answer the call.
      */
     private void checkAddresses() {
         controls.forEach(AgentCall::parseAddress);
@@ -64,8 +64,8 @@
      * Submits a change to the leader and waits until it is committed.
      *
      * @return the version of the change
-     * @throws IOException if the change is refused, if none of the agents is the leader, or if the
-     *     outcome of the change is not known
+     * @throws IOException if the change is refused, if none of the agents accepts it as the leader,
+     *     or if the outcome of the change is not known
      */
     long submit(String call) throws IOException, InterruptedException {
         checkAddresses();
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Sends the change and returns the reply. A change that has been sent may have been made even
-     * if no reply arrives, so its outcome is then unknown.
+     * Sends the change and returns the agent's reply. If no reply arrives, the change may have been
+     * made all the same, so its outcome is unknown.
      */
     private static String sendChange(Socket socket, String call) throws OutcomeUnknownException {
         try {
--- a/src/main/java/passhatch/cli/ChangesCommand.java
+++ b/src/main/java/passhatch/cli/ChangesCommand.java
@@ -48,7 +48,7 @@
         }
     }
 
-    /** The base of the subcommands that make a change. */
+    /** The base of the subcommands that change a key of the configuration. */
     private abstract static class Change extends Subcommand {
         @Parameters(
                 index = "0",
--- a/src/main/java/passhatch/cli/DutiesCommand.java
+++ b/src/main/java/passhatch/cli/DutiesCommand.java
@@ -11,7 +11,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code duties}: queries a running agent, or makes it give up a duty. */
+/**
+ * The command {@code duties}: shows the duties of a running agent, makes the agent give up a duty,
+ * or lets it vote for the first time.
+ */
 @Command(
         name = "duties",
         mixinStandardHelpOptions = true,
--- a/src/main/java/passhatch/cli/Main.java
+++ b/src/main/java/passhatch/cli/Main.java
@@ -11,18 +11,18 @@
 
 /**
  * The entry point of the program. The commands that the platform runs are recognized here without
- * picocli, because they have no options, and at half a core there is no time to load a library at
- * startup. All other commands are parsed by {@link Commands}.
+ * the library picocli. They have no options, and on half a core there is no time to load a library
+ * at startup. All other commands are parsed by {@link Commands}.
  */
 public final class Main {
 
     private Main() {}
 
-    /** Runs the command and exits with its status. */
+    /** Runs the command that the arguments name, and exits with its exit code. */
     public static void main(String[] args) throws Exception {
         if (args.length != 1 || !args[0].equals("adapter")) {
-            // Otherwise Netty finds the agent's logging library in the jar, and a proxy would load
-            // it and log through it.
+            // By default, Netty would find the agent's logging library in the jar, and a proxy
+            // would load that library and log through it.
             InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         }
         int status =
--- a/src/main/java/passhatch/cli/MembersCommand.java
+++ b/src/main/java/passhatch/cli/MembersCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The command {@code members}: shows the members that a running agent knows. */
+/** The command {@code members}: shows the members of the fleet that a running agent knows. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
--- a/src/main/java/passhatch/cli/StoreCommand.java
+++ b/src/main/java/passhatch/cli/StoreCommand.java
@@ -22,8 +22,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command {@code store} with its subcommands, which do not read a folder that is in use by
- * another process.
+ * The command {@code store} with its subcommands. They read the folder of a store, and fail if
+ * another process is using the folder.
  */
 @Command(
         name = "store",
@@ -38,7 +38,9 @@
                 .addSubcommand(new Salvage());
     }
 
-    /** The base of the subcommands that read a folder and leave it unchanged. */
+    /**
+     * The base of the subcommands that read the folder of a store and leave its records unchanged.
+     */
     private abstract static class ReadOnlySubcommand implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
--- a/src/main/java/passhatch/lab/scale/AgentMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/AgentMeasurement.java
@@ -11,12 +11,15 @@
 import passhatch.lab.Seeds;
 import passhatch.lab.drill.AgentProcess;
 
-/** Measures one agent process in a fleet. Most of the other members run inside this process. */
+/**
+ * Measures one agent process in a fleet. Most of the fleet's other members run inside the process
+ * of the measuring tool.
+ */
 final class AgentMeasurement {
 
     /**
-     * Number of voters on a duty. Each voter is an agent process of its own; without duties, one
-     * agent process is enough.
+     * Number of agents that vote on the holder of a duty. Each of them is a separate agent process.
+     * A measurement without duties needs only one agent process.
      */
     static final int VOTERS = 3;
 
@@ -56,10 +59,12 @@
     }
 
     /**
-     * Measures the first agent of a fleet that has this number of members.
+     * Measures the resources that the first agent of a fleet uses.
      *
-     * @throws IOException if an agent ended, or the first one did not see all members alive within
-     *     60 s
+     * @param members number of members of the fleet
+     * @param duties whether the agents are voters and candidates for a duty
+     * @throws IOException if an agent ended, or if the first agent did not see all members alive
+     *     within 60 s
      */
     AgentResult.Point measure(int members, boolean duties)
             throws IOException, InterruptedException {
--- a/src/main/java/passhatch/lab/scale/AgentResult.java
+++ b/src/main/java/passhatch/lab/scale/AgentResult.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * Resources that one agent uses in fleets of several sizes.
+ * The resources that one agent uses in fleets of several sizes.
  *
- * @param failures descriptions of failed measurements, each with its fleet size; a measurement
- *     fails if an agent ends early or never sees all members alive
+ * @param failures descriptions of the failed measurements, each with the size of the fleet; a
+ *     measurement fails if an agent ends early or if the measured agent never sees all members
+ *     alive
  */
 record AgentResult(
         long seed,
@@ -19,7 +20,8 @@
     /**
      * The resources that one agent used in a fleet without failures or changes.
      *
-     * @param processes number of members that are agent processes; the others run inside the tool
+     * @param processes number of members that are agent processes; the others run inside the
+     *     measuring tool
      * @param duties whether three agent processes are voters and candidates for a duty
      * @param processorShare processor time of the agent, as a fraction of one core
      */
--- a/src/main/java/passhatch/lab/scale/DistributionEvent.java
+++ b/src/main/java/passhatch/lab/scale/DistributionEvent.java
@@ -7,24 +7,24 @@
 
 /** Events that {@code scale distribution} measures, in the order in which they run. */
 enum DistributionEvent {
-    /** No changes. */
+    /** No changes are made. */
     IDLE,
-    /** Changes without a fault. */
+    /** Changes are made, and no fault occurs. */
     CHANGES,
-    /** A relay is killed in the middle of changes. */
+    /** A relay is killed halfway through a series of changes. */
     RELAY_KILLED,
-    /** The leader is killed in the middle of changes. */
+    /** The leader is killed halfway through a series of changes. */
     LEADER_KILLED,
-    /** A zone is partitioned from the others during changes, and reconnects. */
+    /** A zone is partitioned from the others while changes are made, and then reconnected. */
     ZONE_CUT,
-    /** A region is partitioned from the others during changes, and reconnects. */
+    /** A region is partitioned from the others while changes are made, and then reconnected. */
     REGION_CUT,
     /**
-     * A tenth of the subscribers are stopped during changes, and then start from disk at the same
-     * time.
+     * A tenth of the subscribers are stopped while changes are made. They then start at the same
+     * time from the state on their disks.
      */
     TENTH_RESTARTED,
-    /** All subscribers start with an empty disk at the same time. */
+    /** All subscribers are restarted at the same time with empty disks. */
     COLD;
 
     /**
--- a/src/main/java/passhatch/lab/scale/DistributionMeter.java
+++ b/src/main/java/passhatch/lab/scale/DistributionMeter.java
@@ -38,12 +38,15 @@
     private final Map<Node, TreeMap<Long, ExpectedChange>> expectedChanges = new HashMap<>();
     private final List<Long> delaysUs = new ArrayList<>();
 
-    /** Number of expected changes whose version a later leader assigned to a different change. */
+    /**
+     * Number of expected changes whose version a later leader assigned to a different change, so
+     * that they count as missing. A change counts once for each subscriber.
+     */
     private long supersededCount;
 
     private Clock clock = () -> 0;
 
-    /** Source of the simulated time in microseconds, as {@link Simulation#nowUs}. */
+    /** Source of the simulated time in microseconds, such as {@link Simulation#nowUs}. */
     interface Clock {
         long nowUs();
     }
@@ -53,8 +56,8 @@
     }
 
     /**
-     * Expects a change to come into force at each given subscriber that is running and has not
-     * reached the change's version.
+     * Starts to measure the delay until a change is in force at the given subscribers. Leaves out
+     * subscribers that are not running or have already reached the change's version.
      *
      * @param createdUs simulated time at which the delay starts
      */
@@ -72,8 +75,8 @@
 
     /**
      * Records the delay of each expected change that is now in force at a node. A change is in
-     * force if the node has the change's version of its key, or a newer one; the version of the
-     * node's whole state is not sufficient.
+     * force if the node holds the changed key at the change's version or at a newer one. It is not
+     * sufficient that the node's whole state has reached this version.
      */
     @Override
     public void versionApplied(Node node, long epoch, long version) {
@@ -123,8 +126,8 @@
     }
 
     /**
-     * Returns the number of expected changes that are not in force, counted once for each
-     * subscriber.
+     * Returns the number of expected changes that have not come into force. A change counts once
+     * for each subscriber at which it is not in force.
      */
     long missingCount() {
         return supersededCount + expectedChanges.values().stream().mapToLong(Map::size).sum();
--- a/src/main/java/passhatch/lab/scale/DistributionScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleCommand.java
@@ -17,7 +17,10 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command {@code scale distribution}: simulates changes in fleets of several sizes. */
+/**
+ * The command {@code scale distribution}: simulates changes of the configuration in fleets of
+ * several sizes.
+ */
 @Command(
         name = "distribution",
         mixinStandardHelpOptions = true,
--- a/src/main/java/passhatch/lab/scale/DistributionScalePlot.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScalePlot.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Plots the bytes a second at a relay against the number of subscribers, with a line for each
- * event.
+ * Plots the bytes a second that a relay sends and receives against the number of subscribers, with
+ * a line for each event.
  */
 final class DistributionScalePlot {
 
--- a/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/DistributionScaleRun.java
@@ -38,8 +38,8 @@
     private static final int SERVICES_PER_SUBSCRIBER = 30;
 
     /**
-     * Simulated time before the first event. It is longer than the time for which a follower avoids
-     * its preferred source.
+     * Simulated time before the first event. It is longer than the time after which a follower that
+     * has left its preferred source tries that source again.
      */
     private static final long WARM_UP_US = 60 * SECOND_US;
 
@@ -112,7 +112,10 @@
         }
     }
 
-    /** Measures the given events in the order of the enum, and returns all figures by name. */
+    /**
+     * Measures the given events in the order of {@link DistributionEvent}, and returns all figures
+     * by name.
+     */
     Map<String, Double> run(Set<DistributionEvent> events) {
         for (Node node : simulation.nodes()) {
             node.setDisk(fleet.initialDisk(node));
@@ -206,8 +209,8 @@
     }
 
     /**
-     * Creates a change and tries to submit it. The change's delay is measured from now, so it
-     * includes the time until a majority of the replicas has the change.
+     * Creates a change and tries to submit it. The delay of the change is measured from its
+     * creation, so it includes the time until a majority of the replicas has the change.
      */
     private void createChange(Predicate<Node> measured) {
         String service = "service-" + random.nextInt(SERVICES);
@@ -217,8 +220,8 @@
     }
 
     /**
-     * Submits the pending changes in order. Stops at the first change that is not accepted, because
-     * there is no leader or the leader rejects the change.
+     * Submits the pending changes in order. Stops at the first change that is not accepted. A
+     * change is not accepted if there is no leader or if the leader rejects it.
      */
     private void submitPendingChanges() {
         while (!pendingChanges.isEmpty() && trySubmit(pendingChanges.peekFirst())) {
@@ -275,8 +278,8 @@
     }
 
     /**
-     * Kills the leader in the middle of changes. A change that no leader accepts is submitted again
-     * later; its delay is still measured from its creation.
+     * Kills the leader halfway through a series of changes. A change that no leader accepts is
+     * submitted again later, but its delay is measured from its creation.
      */
     private void measureLeaderKill(String phase) {
         maxLeaderWaitUs = 0;
@@ -301,7 +304,10 @@
         measurePartition(phase, node -> node.location().zone() == zone, ZONE_PARTITION_US);
     }
 
-    /** Partitions a region that has a replica but not the leader. */
+    /**
+     * Measures a partition of one region from the others. The region has a replica but not the
+     * leader.
+     */
     private void measureRegionPartition(String phase) {
         int leaderRegion = lease.holder().location().region();
         int region =
@@ -314,8 +320,9 @@
     }
 
     /**
-     * Partitions the nodes that {@code inside} selects from all others while changes continue. The
-     * delay of the changes is measured at the other subscribers.
+     * Partitions the nodes for which {@code inside} is true from all others while changes continue,
+     * and measures the delay of the changes at the subscribers among the others. Then ends the
+     * partition, and measures how long the partitioned subscribers take to catch up.
      */
     private void measurePartition(String phase, Predicate<Node> inside, long durationUs) {
         meter.reset();
@@ -333,8 +340,8 @@
     }
 
     /**
-     * Records the simulated time until the nodes have all changes that are committed now; waits for
-     * up to 60 simulated seconds.
+     * Records the simulated time until the given nodes have all changes that the replicas have now.
+     * Waits for up to 60 simulated seconds.
      */
     private void measureCatchUp(String phase, List<Node> nodes) {
         long head = highestReplicaVersion();
--- a/src/main/java/passhatch/lab/scale/LatencyCommand.java
+++ b/src/main/java/passhatch/lab/scale/LatencyCommand.java
@@ -149,7 +149,8 @@
     }
 
     /**
-     * Measures direct requests and all paths at the same request rate, directly after one another.
+     * Measures direct requests and then each path, one directly after the other and all at the same
+     * request rate.
      */
     private List<LatencyResult.Step> measureAtRate(
             LatencyMeasurement measurement, int size, int rate, ScaleOptions.Progress progress)
@@ -165,8 +166,9 @@
     }
 
     /**
-     * Returns the latency of each path minus the latency of direct requests at the same load. Paths
-     * whose step is void or saturated are left out.
+     * Returns the latency of each path minus the latency of direct requests at the same load. A
+     * path is left out if it was saturated, or if the load tool fell behind while it measured the
+     * path or the direct requests.
      */
     static List<LatencyResult.Added> computeAddedLatency(List<LatencyResult.Step> steps) {
         List<LatencyResult.Added> added = new ArrayList<>();
--- a/src/main/java/passhatch/lab/scale/LatencyMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/LatencyMeasurement.java
@@ -14,7 +14,8 @@
 import passhatch.lab.load.ProxyPool;
 
 /**
- * Runs loads on the paths of a chain, one at a time, and measures the latency of their requests.
+ * Sends load through the paths of a chain of proxies, one path at a time, and measures the latency
+ * of the requests.
  */
 final class LatencyMeasurement {
 
@@ -23,8 +24,8 @@
     private static final long START_DELAY_MS = 50;
 
     /**
-     * Number of the load's first time steps, one second in all, that are left out of the quantiles
-     * because their requests open connections.
+     * Number of time steps at the start of a load that are left out of the quantiles. They are one
+     * second in all. The requests in these steps open connections, which takes time.
      */
     private static final int SKIPPED_STEPS = 1_000 / LoadStats.STEP_MS;
 
@@ -48,12 +49,14 @@
     private final int maxAttempts;
 
     /**
-     * Creates a measurement on a chain of proxies.
+     * Prepares measurements on a chain of proxies.
      *
      * @param seconds duration of each step, not counting the first second, which is left out
-     * @param maxBehindUs maximum time from when a request is due until it is sent, at the 99th
-     *     percentile; a step with a longer time is void
-     * @param maxAttempts maximum number of runs of a step; it is run again only while it is void
+     * @param maxBehindUs maximum time in microseconds from when a request is due until it is sent,
+     *     at the 99th percentile; a step that exceeds this time is void, which means that it has no
+     *     latencies
+     * @param maxAttempts maximum number of times that a step is run; a step is run again only if
+     *     its last run was void
      */
     LatencyMeasurement(
             ProxyChain chain, Seeds seeds, int seconds, int maxBehindUs, int maxAttempts) {
@@ -71,7 +74,11 @@
     }
 
     /**
-     * Measures one load on one path, and repeats the measurement if the load generator fell behind.
+     * Measures one load on one path. If the load generator falls behind, repeats the measurement
+     * until {@code maxAttempts} is reached.
+     *
+     * @param proxyCount number of proxies on the path; 0 for direct requests
+     * @param entries length of the last proxy's list, which is only recorded in the result
      */
     LatencyResult.Step measureStep(int proxyCount, int entries, int requestsPerSecond)
             throws IOException, InterruptedException {
--- a/src/main/java/passhatch/lab/scale/LatencyResult.java
+++ b/src/main/java/passhatch/lab/scale/LatencyResult.java
@@ -4,12 +4,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Latency of requests on paths of several lengths, and the part of it that the proxies added.
+ * The latency of requests on paths through several numbers of proxies, and the part of the latency
+ * that the proxies added.
  *
  * @param topology how the proxies were chained
  * @param targetUs maximum latency that the longest path may add at the 99th percentile, in
  *     microseconds
- * @param tooBusy whether the load tool fell behind in any step; such a step has no figures
+ * @param tooBusy whether the load tool fell behind in any step; a step in which it did has no
+ *     latencies
  */
 record LatencyResult(
         long seed,
@@ -23,7 +25,8 @@
         List<Verdict> verdicts) {
 
     /**
-     * Quantiles of the latency in microseconds, measured from the time at which a request was due.
+     * Quantiles of the latency in microseconds. The latency of a request counts from the time at
+     * which the request was due to be sent.
      */
     record Quantiles(long p50, long p99, long p999) {
         static Quantiles of(Histogram latencyUs) {
@@ -47,7 +50,8 @@
      *     proxies on the path; null for direct requests, and if the load tool fell behind
      * @param busiestShare fraction of a core that the busiest proxy used; null for direct requests,
      *     and if the load tool fell behind
-     * @param saturated whether too few requests were served, or a proxy used nearly all of its core
+     * @param saturated whether the path was overloaded, because too few requests were served or a
+     *     proxy used nearly all of its core
      */
     record Step(
             int proxies,
--- a/src/main/java/passhatch/lab/scale/MembershipMemory.java
+++ b/src/main/java/passhatch/lab/scale/MembershipMemory.java
@@ -11,7 +11,8 @@
 
 /**
  * Measures the memory of one {@link Membership} as the growth of the used heap. The {@code
- * Membership} learns of each member from a datagram that this member sent, as an agent does.
+ * Membership} learns of each other member from a datagram that the other member has sent, as an
+ * agent does.
  */
 final class MembershipMemory {
 
@@ -23,12 +24,13 @@
     private MembershipMemory() {}
 
     /**
-     * Returns the bytes of heap per known member, including the updates that are still queued for
-     * gossip.
+     * Returns the number of bytes of heap per member that the {@link Membership} knows. They
+     * include the updates that are still queued for gossip.
      */
     static double measureBytesPerMember(int members) {
         // The warm-up run loads the classes, whose memory belongs to no member. It has few members
-        // and another seed, as updates that the codec has already seen would not be counted.
+        // and a different seed. The codec shares the objects of equal updates, so updates that it
+        // has decoded in the warm-up would not be counted in the measurement.
         measureHeapGrowthBytes(WARM_UP_MEMBERS, WARM_UP_SEED);
         return (double) measureHeapGrowthBytes(members, 0) / members;
     }
@@ -51,7 +53,7 @@
         return growth;
     }
 
-    /** Returns the first datagram that the process with this number sends. */
+    /** Returns the first datagram that the member with the given number sends. */
     private static byte[] createFirstDatagram(int number, int members, long seed) {
         Recorder recorder = new Recorder();
         Membership sender = createMembership(number, members, seed, recorder);
--- a/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleCommand.java
@@ -26,7 +26,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code scale membership}: measures the cost of membership at several fleet sizes. */
+/**
+ * The command {@code scale membership}: measures the cost of the membership protocol at several
+ * fleet sizes.
+ */
 @Command(
         name = "membership",
         mixinStandardHelpOptions = true,
@@ -113,7 +116,8 @@
         for (int members : sizes) {
             Size size = new Size(members, runScenarios(members));
             measured.add(size);
-            // Writes after each size, so that an interrupted run keeps the results so far.
+            // The results are written after each size, so that an interrupted run keeps the results
+            // so far.
             MembershipScaleText.print(out, size);
             write(createResult(measured));
         }
--- a/src/main/java/passhatch/lab/scale/MembershipScaleFits.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleFits.java
@@ -18,7 +18,7 @@
     /**
      * Returns a line for each figure that was measured at two fleet sizes or more.
      *
-     * @param target fleet size at which the lines are evaluated
+     * @param target fleet size for which each fit gives the value of its line
      */
     static List<Fit> fitLines(List<Size> sizes, int target) {
         Map<String, String> units = new LinkedHashMap<>();
--- a/src/main/java/passhatch/lab/scale/MembershipScaleResult.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleResult.java
@@ -5,7 +5,8 @@
 /**
  * The result of {@code scale membership}.
  *
- * @param fits the line fitted to each figure that was measured at two fleet sizes or more
+ * @param fits the lines that are fitted to the figures, one for each figure that was measured at
+ *     two fleet sizes or more
  */
 record MembershipScaleResult(
         long seed,
@@ -16,7 +17,7 @@
         List<Fit> fits) {
 
     /**
-     * The outcomes of the scenarios at one fleet size; the outcome of a scenario that did not
+     * The outcomes of the scenarios at one fleet size. The outcome of a scenario that did not
      * finish has no figures.
      */
     record Size(int members, List<Outcome> outcomes) {}
@@ -24,7 +25,8 @@
     /**
      * The outcome of one scenario at one fleet size.
      *
-     * @param problem the reason why there are no figures; null if there are
+     * @param problem the reason why the scenario did not finish and has no figures; null if it
+     *     finished
      */
     record Outcome(
             MembershipScenario scenario,
--- a/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleRun.java
@@ -13,12 +13,13 @@
 /**
  * Runs scenarios of {@code scale membership} at one fleet size.
  *
- * @param bytesPerSecond send limit of each process
+ * @param bytesPerSecond limit of the bytes a second that each process sends
  * @param loss fraction of datagrams lost in the scenario {@code LOSS}
- * @param simulatedSeconds simulated time of each measurement in {@code REST}, {@code CHURN} and
- *     {@code LOSS}
- * @param partitionSeconds simulated time for which a region is partitioned
- * @param wallSeconds limit of real time for each scenario
+ * @param simulatedSeconds simulated time in seconds of each measurement in {@code REST}, {@code
+ *     CHURN} and {@code LOSS}
+ * @param partitionSeconds simulated time in seconds for which a region is partitioned from the
+ *     others
+ * @param wallSeconds limit in seconds of the real time that each scenario may take
  */
 record MembershipScaleRun(
         long seed,
@@ -29,17 +30,17 @@
         int partitionSeconds,
         long wallSeconds) {
 
-    /** Number of machines of the whole fleet that fail in a day. */
+    /** Number of machines that fail in a day in the whole real fleet. */
     private static final int FAILURES_PER_DAY = 35;
 
-    /** Number of processes of the whole fleet that restart in a day. */
+    /** Number of processes that restart in a day in the whole real fleet. */
     private static final int RESTARTS_PER_DAY = 1_800;
 
     private static final double SECONDS_PER_DAY = 86_400;
 
     /**
-     * Factor by which failures and restarts are more frequent than in the real fleet, so that their
-     * cost is visible in a short run.
+     * Factor by which failures and restarts are more frequent in the simulation than in the real
+     * fleet. It makes their cost visible in a short run.
      */
     private static final int CHURN_FACTOR = 20;
 
@@ -51,15 +52,18 @@
 
     private static final long RESTART_DOWNTIME_US = 2 * SECOND_US;
 
-    /** Number of unexpected suspicions and failures, added up over all observers. */
+    /**
+     * Numbers of unexpected suspicions and of unexpected failures, each added up over all members
+     * that observe them.
+     */
     private static final class FalseAlarms {
         private long suspicions;
         private long falseFailures;
     }
 
     /**
-     * Runs a scenario. If the scenario takes too long, its outcome has a problem instead of
-     * figures.
+     * Runs a scenario. If it takes longer than {@code wallSeconds}, the outcome contains a
+     * description of the problem and no figures.
      */
     Outcome run(MembershipScenario scenario) {
         long startNs = System.nanoTime();
@@ -236,13 +240,14 @@
     }
 
     /**
-     * Starts to count how often an observer wrongly suspects a member or declares it failed. Status
+     * Starts to count how often one member wrongly regards another as suspect or as failed. Status
      * changes of killed members, and of members on the other side of the partition, are expected
      * and not counted.
      *
-     * @param partitionedCount number of members, from the first on, that are partitioned from the
-     *     others
-     * @param killedCount number of members, from the first on, that are killed
+     * @param partitionedCount number of members that are partitioned from the others; these are the
+     *     members with the lowest numbers
+     * @param killedCount number of members that are killed; these are the members with the lowest
+     *     numbers
      */
     private static FalseAlarms countFalseAlarms(
             FleetSim sim, int partitionedCount, int killedCount) {
--- a/src/main/java/passhatch/lab/scale/MembershipScenario.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScenario.java
@@ -2,7 +2,7 @@
 
 /** What happens in the simulated fleet while it is measured. */
 enum MembershipScenario {
-    /** Nothing happens; the memory of the membership state that one agent holds is measured. */
+    /** Nothing happens. The memory that one agent uses for its membership state is measured. */
     MEMORY,
     /** No process fails or restarts, and no datagram is lost. */
     REST,
@@ -12,11 +12,11 @@
     LOSS,
     /** One process is killed. */
     DEATH,
-    /** One process restarts and learns of all other members. */
+    /** One process restarts, and then learns of all other members again. */
     REJOIN,
     /** One process in 25 is killed, all at the same time. */
     ZONE,
-    /** One process in ten is killed, all at the same time, and started again. */
+    /** One process in ten is killed, all at the same time, and started again shortly afterwards. */
     TENTH,
     /** One process in seven is partitioned from the others for a limited time. */
     REGION
--- a/src/main/java/passhatch/lab/scale/MembershipTrial.java
+++ b/src/main/java/passhatch/lab/scale/MembershipTrial.java
@@ -6,8 +6,9 @@
 import passhatch.lab.fleet.FleetSim;
 
 /**
- * One simulated fleet whose members know each other from the start. It is simulated in short steps,
- * up to a limit of real time.
+ * One simulated fleet whose members know each other from the start. The fleet is simulated in short
+ * steps. If a limit of real time is exceeded, the methods that run the fleet throw a {@link
+ * TimeoutException}.
  */
 final class MembershipTrial {
 
@@ -27,7 +28,7 @@
     private final int members;
     private final long deadlineNs;
 
-    /** Starts the fleet and runs it until its first probes are completed. */
+    /** Starts the fleet and runs it for a warm-up time, in which the first probes complete. */
     MembershipTrial(long seed, int members, long bytesPerSecond, long maxWallSeconds)
             throws TimeoutException {
         this.members = members;
@@ -55,7 +56,7 @@
     }
 
     /**
-     * Runs the fleet until a condition holds, and returns the simulated time until then in seconds.
+     * Runs the fleet until a condition holds, and returns how long that took in simulated seconds.
      */
     double advanceUntil(BooleanSupplier condition) throws TimeoutException {
         long startUs = sim.nowUs();
--- a/src/main/java/passhatch/lab/scale/ProcessUsage.java
+++ b/src/main/java/passhatch/lab/scale/ProcessUsage.java
@@ -6,27 +6,25 @@
 import java.util.List;
 
 /**
- * Resources that a process uses, as read from {@code /proc} at one moment.
+ * The resources that a process uses, as read from {@code /proc} at one moment.
  *
- * @param residentKb resident memory
+ * @param residentKb resident memory, in kilobytes
  * @param proportionalKb proportional set size: resident memory, with each shared page divided among
  *     the processes that share it; null if the kernel does not report it
- * @param processorSeconds user and system time since the start of the process
+ * @param processorSeconds user and system time in seconds since the start of the process
  */
 record ProcessUsage(long residentKb, Long proportionalKb, int threads, double processorSeconds) {
 
     /**
-     * Clock ticks per second, in which {@code stat} gives times; the same on all current Linux
-     * systems.
+     * Number of clock ticks per second, which is the same on all current Linux systems. The file
+     * {@code stat} gives times in clock ticks.
      */
     private static final double TICKS_PER_SECOND = 100;
 
-    /** Index in {@code stat} of the user time, counted from the field after the command's name. */
+    /** Index of the user time among the fields of {@code stat} that follow the command's name. */
     private static final int USER_TIME_INDEX = 11;
 
-    /**
-     * Index in {@code stat} of the system time, counted from the field after the command's name.
-     */
+    /** Index of the system time among the fields of {@code stat} that follow the command's name. */
     private static final int SYSTEM_TIME_INDEX = 12;
 
     /**
--- a/src/main/java/passhatch/lab/scale/ProxyChain.java
+++ b/src/main/java/passhatch/lab/scale/ProxyChain.java
@@ -28,7 +28,7 @@
 
     private static final int STAND_IN_THREADS = 2;
 
-    /** Backends respond immediately, because only the path to them is measured. */
+    /** Lets the backends respond immediately, because only the path to them is measured. */
     private static final BackendServer.Capacity BACKEND_CAPACITY =
             new BackendServer.Capacity(
                     1 << 16,
@@ -58,7 +58,7 @@
     private final ProxyTestbed testbed;
     private int listedBackendCount;
 
-    /** Starts the proxies and backends; the list of the last proxy has all backends at first. */
+    /** Starts the proxies and backends. At first, the list of the last proxy has all backends. */
     ProxyChain(ProxyTestbed testbed, int depth, int backendCount, long seed)
             throws IOException, InterruptedException {
         this.testbed = testbed;
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Returns the address to which a request must be sent to pass this number of proxies. For 0
-     * proxies it is the address of a backend.
+     * Returns the address to which a request must be sent so that it passes through the given
+     * number of proxies. For 0 proxies, this is the address of a backend.
      */
     InetSocketAddress entryAddress(int proxyCount) {
         return proxyCount == 0
@@ -130,8 +130,8 @@
     }
 
     /**
-     * Returns the proxies that a request sent to {@link #entryAddress} passes for the same number
-     * of proxies.
+     * Returns the proxies through which a request passes if it is sent to the {@link #entryAddress}
+     * for the given number of proxies.
      */
     List<ProxyProcess> proxiesOnPath(int proxyCount) {
         return proxies.subList(0, proxyCount);
--- a/src/main/java/passhatch/lab/scale/ProxyCommand.java
+++ b/src/main/java/passhatch/lab/scale/ProxyCommand.java
@@ -15,7 +15,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command {@code scale proxy}: measures the resources that a proxy without requests uses. */
+/**
+ * The command {@code scale proxy}: measures the resources that a proxy uses while it receives no
+ * requests.
+ */
 @Command(
         name = "proxy",
         mixinStandardHelpOptions = true,
--- a/src/main/java/passhatch/lab/scale/ProxyMeasurement.java
+++ b/src/main/java/passhatch/lab/scale/ProxyMeasurement.java
@@ -17,8 +17,9 @@
 import passhatch.lab.standin.DiscoveryServer;
 
 /**
- * Measures proxies one after another, with a new proxy process for each length of the list of
- * backends. No requests are sent, so nothing needs to listen on the addresses in the list.
+ * Measures the resources that a proxy uses. Each length of the list of backends is measured with a
+ * new proxy process, one after the other. No requests are sent, so nothing needs to listen on the
+ * addresses in the list.
  */
 final class ProxyMeasurement {
 
@@ -43,8 +44,8 @@
     }
 
     /**
-     * Measures a proxy with a list of one length at all rates of changes. If the proxy fails, the
-     * remaining rates are skipped.
+     * Measures a proxy whose list has the given number of entries, at one rate of changes after the
+     * other. If the proxy fails, the remaining rates are skipped.
      */
     List<ProxyResult.Point> measure(
             int entries, List<Integer> rates, ScaleOptions.Progress progress)
--- a/src/main/java/passhatch/lab/scale/ProxyTestbed.java
+++ b/src/main/java/passhatch/lab/scale/ProxyTestbed.java
@@ -77,7 +77,8 @@
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException jvmShutsDown) {
-            // The JVM is shutting down: the hook runs, and no process is left to end.
+            // The JVM is shutting down, so the hook can no longer be removed. The processes have
+            // ended already.
         }
     }
 
--- a/src/main/java/passhatch/lab/scale/ScaleOptions.java
+++ b/src/main/java/passhatch/lab/scale/ScaleOptions.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 
 /**
- * Options that are shared by the commands that measure processes, including the folder for their
+ * The options that are shared by all commands that measure processes, such as the folder for their
  * files.
  */
 final class ScaleOptions {
@@ -26,8 +26,8 @@
     private static final int MAX_VALUES = 20;
 
     /**
-     * File name of the class data archive that the build creates; measured processes use it if it
-     * exists, as deployed ones do.
+     * File name of the class data archive that the build creates. The measured processes use the
+     * archive if it exists, as deployed processes do.
      */
     private static final String CLASS_ARCHIVE = "passhatch.jsa";
 
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Returns the JVM options for the measured processes, without the options that limit memory.
+     * Returns the JVM options for the measured processes, except for the options that limit memory.
      */
     List<String> jvmOptions() {
         Path archive = programJar().resolveSibling(CLASS_ARCHIVE);
@@ -92,7 +92,9 @@
         return folder.toAbsolutePath();
     }
 
-    /** Checks the length and the values of a list of sizes or rates, and returns a copy of it. */
+    /**
+     * Checks the length and the values of a list of sizes or rates, and returns a copy of the list.
+     */
     static List<Integer> requireWithin(String option, List<Integer> values, int min, int max) {
         if (values.isEmpty() || values.size() > MAX_VALUES) {
             throw new InvalidInputException(option + ": expected 1 to " + MAX_VALUES + " values");
@@ -106,7 +108,10 @@
         return new ArrayList<>(values);
     }
 
-    /** Returns a progress bar on standard error, which shows nothing with {@code --quiet}. */
+    /**
+     * Returns the progress of a command, which is shown as a bar on standard error unless {@code
+     * --quiet} is set.
+     */
     Progress createProgress(String task, int steps) {
         return quiet ? new Progress(null) : new Progress(createProgressBar(task, steps));
     }
--- a/src/main/java/passhatch/lab/scale/Verdict.java
+++ b/src/main/java/passhatch/lab/scale/Verdict.java
@@ -1,11 +1,11 @@
 package passhatch.lab.scale;
 
 /**
- * A measured or extrapolated figure compared with its limit.
+ * The comparison of a measured or extrapolated figure with its limit.
  *
  * @param extrapolated whether the figure is extrapolated beyond the measured range
  * @param met whether the figure is within the limit
- * @param part the figure divided by the limit; a figure that equals the limit has 1
+ * @param part the figure divided by the limit; 1 if the figure equals the limit
  */
 record Verdict(
         String quantity,
--- a/src/main/java/passhatch/proxy/backend/BackendChannel.java
+++ b/src/main/java/passhatch/proxy/backend/BackendChannel.java
@@ -10,10 +10,11 @@
     private final ByteBuffer singleByte = ByteBuffer.allocate(1);
 
     /**
-     * Returns whether nothing has arrived since the last read, not even the peer's close. The event
-     * loop sees new input only in its next iteration, so a request that is written now could meet a
-     * closed connection, or its response could follow bytes that do not belong to it. A connection
-     * with unread input must not be used again.
+     * Returns true if nothing has arrived since the last read, neither bytes nor the peer's close.
+     * The event loop sees new input only in its next iteration. If a request were written on a
+     * connection with unread input, the peer might already have closed the connection, or bytes
+     * that do not belong to the response might precede it. After this method has returned false,
+     * the connection must not be used again.
      */
     boolean hasNoInput() {
         try {
--- a/src/main/java/passhatch/proxy/backend/BackendPool.java
+++ b/src/main/java/passhatch/proxy/backend/BackendPool.java
@@ -45,9 +45,10 @@
 import passhatch.proxy.flow.ResponseStream;
 
 /**
- * A pool of HTTP/1.1 connections to the backends. A connection carries one request at a time and is
- * kept for the next one. The pool never sends a request twice, not even after a stale connection
- * failed: the decision module alone decides on retries.
+ * A pool of HTTP/1.1 connections to the backends. A connection carries one request at a time, and
+ * is kept for a later request. The pool never sends a request twice, even if it used an idle
+ * connection that the backend had closed. Only the decision module, {@link passhatch.Balancer},
+ * decides on retries.
  */
 public final class BackendPool {
 
@@ -58,8 +59,8 @@
     private static final int MAX_IDLE_PER_BACKEND = 8;
 
     /**
-     * Fraction of the backends' idle timeout after which an idle connection is closed here, before
-     * the backend may close it.
+     * The pool closes an idle connection after this fraction of the backends' idle timeout, so that
+     * it does so before the backend may close the connection.
      */
     private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
@@ -70,22 +71,24 @@
     private static final int MAX_BUFFERED_BYTES = 1 << 16;
 
     /**
-     * Time in milliseconds after which an incomplete response is streamed if it may be longer than
-     * {@link #MAX_BUFFERED_BYTES}. Until it is streamed, the request of a truncated response can
-     * still be retried on another backend; broken responses often declare a wrong length.
+     * Time in milliseconds, counted from the head of a response, after which an incomplete response
+     * is streamed. This applies only to a response that may be longer than {@link
+     * #MAX_BUFFERED_BYTES}. Until the response is streamed, the request can still be retried on
+     * another backend, as is necessary if the response turns out to be truncated. Broken responses
+     * often declare a wrong length.
      */
     private static final long MAX_BUFFERING_MS = 200;
 
     /**
-     * Time in milliseconds after which a streamed response is aborted if nothing has arrived
-     * although the proxy was reading. The client then sees that the response is incomplete. Slow
-     * peers pause for one or two seconds.
+     * Time in milliseconds between two checks of a streamed response. The response is aborted if
+     * nothing has arrived since the last check although the proxy was reading. The client then sees
+     * that the response is incomplete. Slow peers pause for one or two seconds.
      */
     private static final long RESPONSE_IDLE_TIMEOUT_MS = 5_000;
 
     /**
-     * Time in microseconds for which connections are reused only after a delay, counted from the
-     * last time that a backend sent unsolicited data.
+     * For this time, in microseconds, after a backend has sent unsolicited data, the connections to
+     * all backends are reused only after a delay.
      */
     private static final long DISTRUST_PERIOD_US = 60_000_000;
 
@@ -124,7 +127,7 @@
         void cancel();
 
         /**
-         * Replaces the request's timeout by one of {@code timeoutUs} microseconds that starts now.
+         * Restarts the request's timeout: it now expires {@code timeoutUs} microseconds from now.
          */
         void setTimeout(long timeoutUs);
     }
@@ -132,12 +135,12 @@
     /**
      * A request to send.
      *
-     * @param message supplies the HTTP message when it can be written; supplies only the head if
-     *     there is a body
+     * @param message supplies the HTTP message, or only its head if there is a body; called when
+     *     the message can be written
      * @param body the body that is streamed after the head; null if the message is complete without
-     *     one
-     * @param stillWanted called just before the message is written; the request is not sent if it
-     *     returns false
+     *     a body
+     * @param stillWanted called just before the message is written; if it returns false, the
+     *     request is not sent
      * @param timeoutUs timeout of the whole request, including the connection setup, in
      *     microseconds
      * @param timeoutOutcome the outcome if the timeout expires after the request was written
@@ -157,8 +160,9 @@
     private final long reuseDelayUs;
 
     /**
-     * Time in microseconds until which a connection is reused only after {@link #reuseDelayUs}.
-     * While no backend sends unsolicited data, the delay would only cost more connections.
+     * Until this time, in microseconds, a connection is reused only {@link #reuseDelayUs} after its
+     * last response. Later there is no delay: while no backend sends unsolicited data, the delay
+     * would only cost more connections.
      */
     private long distrustUntilUs = Long.MIN_VALUE;
 
@@ -176,7 +180,7 @@
      * @param reuseDelayUs time after a response, in microseconds, for which its connection is not
      *     reused while backends send unsolicited data. A second response to the same request may
      *     follow some milliseconds later and would be taken for the response to the next request
-     * @param descriptors counts the open connections, together with those of clients
+     * @param descriptors counts the open connections, both those to backends and those of clients
      */
     public BackendPool(
             EventLoop loop,
@@ -351,7 +355,8 @@
         connection.channel = channel;
         request.connection = connection;
         descriptors.addBackends(1);
-        // Runs in a later iteration of the event loop, even if connecting fails at once.
+        // The result of the connect is handled in a later iteration of the event loop, even if the
+        // connect fails at once.
         connecting.addListener(
                 connected ->
                         loop.execute(
@@ -368,7 +373,8 @@
     }
 
     /**
-     * Completes a request as not sent because of a local failure, which is not the backend's fault.
+     * Completes a request as not sent. The cause is a local failure, so the backend is not to
+     * blame.
      */
     private void completeAsNotSent(
             OutgoingRequest request, InetSocketAddress address, Throwable cause) {
@@ -378,7 +384,10 @@
         }
     }
 
-    /** One request that the pool sends, until its only result has been reported. */
+    /**
+     * A request that the pool sends, from the call of {@link BackendPool#send} until its single
+     * result has been reported.
+     */
     private final class OutgoingRequest implements Handle {
         final RequestSpec spec;
         private final Listener listener;
@@ -386,8 +395,8 @@
         Future<?> timeoutTimer;
 
         /**
-         * Whether the message has been handed to the network completely, so that the backend may
-         * run the request.
+         * Whether the complete message has been passed to the operating system. Once it has, the
+         * backend may run the request.
          */
         boolean written;
 
@@ -420,7 +429,7 @@
             }
         }
 
-        /** Called when the message has been handed to the network completely. */
+        /** Called when the complete message has been passed to the operating system. */
         void onWritten() {
             if (!completed) {
                 written = true;
@@ -458,7 +467,7 @@
         }
     }
 
-    /** A connection and the request that it carries now. */
+    /** A connection to a backend, and the request that it carries at present. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final InetSocketAddress address;
         final ResponseDecoder decoder = new ResponseDecoder();
@@ -468,19 +477,22 @@
         long reusableFromUs;
 
         /**
-         * The response to the current request; null before its head has arrived and after all input
-         * that arrived with it has been read.
+         * The response to the current request; null until its head has arrived, and again after the
+         * response has completed.
          */
         private IncomingResponse response;
 
-        /** Whether the input belongs to an interim (1xx) response at present. */
+        /** True while the input belongs to an interim (1xx) response. */
         private boolean interim;
 
         Connection(InetSocketAddress address) {
             this.address = address;
         }
 
-        /** Writes the message, unless the request has completed or must no longer be sent. */
+        /**
+         * Writes the message of a request, unless the request has completed, the connection has
+         * been lost or the request is no longer wanted.
+         */
         void write(OutgoingRequest toWrite) {
             if (toWrite.completed) {
                 channel.close();
@@ -509,8 +521,9 @@
         }
 
         /**
-         * Starts to stream the response if its declared length exceeds the buffer. Returns whether
-         * the response is streamed; its start then arrived before the timeout.
+         * Called when the request's timeout expires. Starts to stream the response if its head has
+         * arrived and declares a length that exceeds the buffer. Returns whether the response is
+         * streamed from now on.
          */
         boolean streamIfLong() {
             return response != null && response.streamIfLong();
@@ -532,8 +545,9 @@
         }
 
         /**
-         * Completes the request after the connection is lost. A request that was not written
-         * completely cannot have run.
+         * Completes the request after the connection has been lost. A request that was not written
+         * completely cannot have run, so it completes as if the connection had not been
+         * established.
          */
         void onConnectionLost() {
             OutgoingRequest lost = request;
@@ -650,7 +664,9 @@
         }
     }
 
-    /** Receives the outcome of streaming a request's body. */
+    /**
+     * Is notified when a request's body has been streamed to the backend, or when that has failed.
+     */
     private record BodyListener(OutgoingRequest request) implements Relay.Listener {
         @Override
         public void completed() {
@@ -682,7 +698,7 @@
         private boolean fullyReceived;
         private boolean malformed;
 
-        /** Whether no second response to the same request has arrived. */
+        /** True until a second response to the same request arrives. */
         private boolean onlyResponse = true;
 
         IncomingResponse(Connection connection, OutgoingRequest request, HttpResponse head) {
@@ -703,9 +719,10 @@
         }
 
         /**
-         * Records a second response to the same request. It is dropped, and the connection is not
-         * reused. A second response that is not valid HTTP may be the rest of a first body that was
-         * longer than declared, so the first response then counts as malformed.
+         * Called when a second response to the same request arrives. The second response is
+         * dropped, and the connection is not reused. A second response that is not valid HTTP may
+         * be the rest of a first body that was longer than declared, so the first response then
+         * counts as malformed.
          */
         void onExtraResponse(HttpResponse extra) {
             onlyResponse = false;
@@ -732,8 +749,8 @@
         }
 
         /**
-         * Starts to stream the response. The body of a response that is not a 200 is not needed, so
-         * then the request completes and the connection is closed.
+         * Starts to stream a 200 response. The body of any other response is not needed, so the
+         * request is completed without it and the connection is closed.
          */
         private void startStreaming() {
             if (streaming || fullyReceived || malformed || connection.response != this) {
@@ -752,9 +769,9 @@
         }
 
         /**
-         * Starts to stream the response if its declared length exceeds the buffer, because the
-         * timeout of such a response ends with its first bytes, not with its last. Returns whether
-         * the response is streamed.
+         * Called when the request's timeout expires. Starts to stream the response if its declared
+         * length exceeds the buffer: the timeout limits the time until the first bytes of such a
+         * response, not until its last. Returns whether the response is streamed from now on.
          */
         boolean streamIfLong() {
             if (declaredLength > MAX_BUFFERED_BYTES) {
@@ -795,7 +812,8 @@
 
         @Override
         public void sendTo(Channel client, Relay.Listener listener) {
-            // Once the response is complete, its connection may carry another request.
+            // Once the response is complete, its connection may carry another request, so this
+            // response must no longer pause the reading.
             relay =
                     new Relay(
                             loop,
@@ -821,7 +839,13 @@
             return fullyReceived && onlyResponse && !malformed && HttpUtil.isKeepAlive(head);
         }
 
-        /** Completes the request once all input that arrived with the response has been read. */
+        /**
+         * Completes the request. Called after all input that arrived with the end of the response
+         * has been read.
+         *
+         * @param unsolicited whether bytes follow the end of the response; the response counts as
+         *     broken in this case unless it is streamed
+         */
         void finish(boolean unsolicited) {
             cancelTimers();
             byte[] body = streaming ? null : buffered.take();
@@ -862,7 +886,8 @@
         if (status.equals(HttpResponseStatus.OK)) {
             return new Result(Outcome.OK, body, report);
         }
-        // Without this header a 503 or 504 may come from a later tier, after the request ran.
+        // Without the header X-Not-Run, a 503 or 504 may come from a later tier, after the backend
+        // ran the request.
         boolean rejected =
                 (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                                 || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
--- a/src/main/java/passhatch/proxy/backend/LoadReportParser.java
+++ b/src/main/java/passhatch/proxy/backend/LoadReportParser.java
@@ -12,8 +12,9 @@
     private LoadReportParser() {}
 
     /**
-     * Returns the load report in a text; null if the text is null, contains no field of a report,
-     * or contains a malformed number.
+     * Returns the load report in a text; a value that the text does not contain is -1. Returns null
+     * if the text is null, contains no field of the form {@code name=number}, or contains a
+     * malformed number.
      */
     public static LoadReport parse(String text) {
         if (text == null) {
--- a/src/main/java/passhatch/proxy/backend/ResponseDecoder.java
+++ b/src/main/java/passhatch/proxy/backend/ResponseDecoder.java
@@ -8,10 +8,11 @@
 
 /**
  * Decodes a backend's responses and detects malformed HTTP that Netty's decoder accepts. Netty
- * takes a header line without a colon for a header without a value, bytes after the end of a
- * response for the start of the next one, and any end of the connection, even a reset, for the end
- * of a response without a length. The channel must allow half-closure, because only then can an
- * orderly close by the peer be distinguished from any other end of the connection.
+ * takes a header line without a colon for a header without a value. It takes bytes after the end of
+ * a response for the start of the next response. If a response has no length, Netty takes any end
+ * of the connection, even a reset, for the end of the response. The channel must allow
+ * half-closure, because only then can an orderly close by the peer be distinguished from any other
+ * end of the connection.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
@@ -44,8 +45,8 @@
     }
 
     /**
-     * Returns whether undecoded bytes remain, which belong to none of the responses that have been
-     * read.
+     * Returns whether undecoded bytes remain. Such bytes do not belong to any of the responses that
+     * have been read.
      */
     boolean hasUnsolicitedBytes() {
         return actualReadableBytes() > 0;
@@ -66,8 +67,8 @@
     }
 
     /**
-     * Completes a response at the end of the connection only if the peer closed it in an orderly
-     * way.
+     * Completes a response at the end of the connection only if the peer closed the connection in
+     * an orderly way.
      */
     @Override
     protected void decodeLast(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
--- a/src/main/java/passhatch/proxy/client/AcceptRetry.java
+++ b/src/main/java/passhatch/proxy/client/AcceptRetry.java
@@ -8,13 +8,15 @@
 
 /**
  * Resumes accepting connections soon after an accept has failed. By default Netty stops accepting
- * for one second, and requests with short deadlines expire in the listener's queue meanwhile.
+ * for one second. Meanwhile, requests with short deadlines expire, because their connections wait
+ * in the listener's queue.
  */
 final class AcceptRetry extends ChannelInboundHandlerAdapter {
 
     /**
-     * Delay in milliseconds before the next accept. It is long enough not to spin while no file
-     * descriptor is free, and short compared with every request's deadline.
+     * Delay in milliseconds after a failed accept until the proxy accepts connections again. It is
+     * long enough not to spin while no file descriptor is free, and short compared with every
+     * request's deadline.
      */
     static final long RETRY_DELAY_MS = 10;
 
--- a/src/main/java/passhatch/proxy/client/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/client/ClientConnection.java
@@ -34,15 +34,16 @@
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
     /**
-     * Maximum number of unanswered requests on one connection; further requests are not processed
-     * until one has been answered.
+     * Maximum number of unanswered requests on one connection. Further requests on it are not
+     * processed until one of these has been answered.
      */
     private static final int MAX_PIPELINED = 4;
 
     /**
-     * Time in microseconds within which the head of a request must be complete, counted from the
-     * connect or from the start of the request. The connection is closed otherwise. Slow clients
-     * take up to 2 s, and a connection without a complete head must be closed within 3 s.
+     * Time in microseconds within which the head of a request must be received completely. It
+     * counts from the connect for the first request, and from the start of the request for later
+     * ones. The connection is closed when the time is over. Slow clients take up to 2 s, and a
+     * connection without a complete head must be closed within 3 s.
      */
     private static final long HEAD_TIMEOUT_US = 2_500_000;
 
@@ -54,7 +55,7 @@
 
     /**
      * Minimum rate of a request body, in bytes per microsecond. It is half of the 64 kB a second
-     * that the slowest clients send, because they send in bursts.
+     * that the slowest clients send, because these clients send in bursts.
      */
     private static final double MIN_BODY_BYTES_PER_US = 0.032;
 
@@ -70,38 +71,48 @@
      */
     private PendingRequest incoming;
 
-    /** Whether the incoming body is not read at present, because its destination is full. */
+    /** True while the incoming body is not read because its destination is full. */
     private boolean bodyPaused;
 
     /**
-     * Timer that closes the connection unless a complete request arrives first; null while no
-     * request is expected.
+     * Timer that closes the connection if a request does not arrive in time. It runs from the
+     * connect, or from the start of a request, until the request has been received completely; null
+     * at other times.
      */
     private Future<?> readTimeoutTimer;
 
-    /** A request has been received in part, but not completely. */
+    /** True while a request has been received in part, but not completely. */
     private boolean requestStarted;
 
     private long idleSinceUs;
+
+    /**
+     * Time in microseconds at which {@link #readTimeoutTimer} was first started for the current
+     * request.
+     */
     private long awaitingRequestSinceUs;
+
+    /** Time in microseconds at which reading of the current body started or last resumed. */
     private long readingBodySinceUs;
+
+    /** Number of bytes of the body that were received since {@link #readingBodySinceUs}. */
     private long receivedBodyBytes;
 
     /**
-     * Whether the connection is being closed, after an invalid request or by the proxy. Further
-     * input is ignored.
+     * True from the moment at which an invalid request arrives or the proxy begins to close the
+     * connection. Further input is then ignored.
      */
     private boolean closing;
 
     /**
-     * Whether a response has announced that the connection closes; later requests are not
-     * processed.
+     * Whether a response has announced that the connection closes. Requests that arrive after that
+     * are not processed.
      */
     private boolean closeAnnounced;
 
     /**
-     * Whether the connection closes once the current request body has been received; the body
-     * itself is no longer needed.
+     * Whether the connection is to be closed once the body of the current request has been
+     * received. The request has then been answered already, so its body is no longer needed.
      */
     private boolean closeAfterBody;
 
@@ -112,7 +123,10 @@
         this.readAhead = frontend.newReadAhead();
     }
 
-    /** Returns the handler that buffers input before the decoder in the channel's pipeline. */
+    /**
+     * Returns the handler that buffers input. In the channel's pipeline, it stands before the
+     * decoder.
+     */
     ChannelInboundHandlerAdapter readAhead() {
         return readAhead;
     }
@@ -137,8 +151,8 @@
     }
 
     /**
-     * Closes the connection so that the last response still reaches a client that is sending.
-     * Further input is ignored.
+     * Closes the connection in such a way that the last response reaches even a client that is
+     * still sending. Further input is ignored.
      */
     void closeGracefully() {
         closing = true;
@@ -156,7 +170,7 @@
         private final HttpVersion version;
         boolean keepAlive;
 
-        /** The parsed request; null if it is not forwarded. */
+        /** The parsed request; null if the request is not forwarded to a backend. */
         ProxyRequest request;
 
         boolean accepted;
@@ -197,8 +211,8 @@
         }
 
         /**
-         * Returns whether only the close of the connection shows the client where the response
-         * ends.
+         * Returns whether the client can recognize the end of the response only by the close of the
+         * connection. This is so if the length is unknown and the client does not use HTTP/1.1.
          */
         boolean endsWithClose() {
             return stream != null && stream.length() < 0 && !version.equals(HttpVersion.HTTP_1_1);
@@ -208,7 +222,10 @@
             return response != null || stream != null;
         }
 
-        /** Abandons the request, whether or not the {@link RequestHandler} has accepted it. */
+        /**
+         * Abandons the request: notifies the {@link RequestHandler} if it has accepted the request,
+         * and drops the request's body otherwise.
+         */
         void abandon() {
             if (request != null) {
                 connection.frontend.log().trace("abandoned", request.id(), connection.channel.id());
@@ -253,6 +270,11 @@
         }
     }
 
+    /**
+     * Returns the time in microseconds by which the head of the next request, or the rest of the
+     * request that is being received, must have arrived. While the proxy does not read the body of
+     * a request, the deadline for the body moves on.
+     */
     private long requestReceiptDeadlineUs() {
         long headUs = awaitingRequestSinceUs + HEAD_TIMEOUT_US;
         if (incoming == null) {
@@ -412,8 +434,8 @@
 
     private void reject(PendingRequest pending, RequestParser.BadRequestException badRequest) {
         if (channel.isActive()) {
-            // On a closed connection the request is merely truncated, because its peer left or was
-            // closed.
+            // Nothing is logged for a closed connection, because its request is merely truncated by
+            // the close.
             frontend.log()
                     .write(
                             "request rejected with "
@@ -436,7 +458,10 @@
 
     // ---- responses
 
-    /** Writes the available responses, up to the first request that has none. */
+    /**
+     * Writes the available responses in the order of the requests. Stops at the first request whose
+     * response is missing or has not been streamed completely.
+     */
     void writeResponses() {
         while (!pendingRequests.isEmpty() && pendingRequests.peek().hasResponse()) {
             PendingRequest pending = pendingRequests.peek();
@@ -463,8 +488,8 @@
     }
 
     /**
-     * Sends 100 Continue if the first pending request expects it; its response is the next to be
-     * written.
+     * Sends 100 Continue if the first pending request expects it. Later requests have to wait,
+     * because the client takes a 100 response for the answer to its first unanswered request.
      */
     private void sendContinue() {
         PendingRequest next = pendingRequests.peek();
@@ -480,8 +505,9 @@
 
     /**
      * Returns whether the connection stays open after the response to this request. While later
-     * requests are pending, the proxy does not close the connection, because it has accepted them;
-     * the response to the last of them then announces the close.
+     * requests are pending, the proxy does not close the connection on its own initiative, because
+     * it has already begun to process them. If the proxy shuts down, the response to the last of
+     * them announces the close.
      */
     private boolean keepAliveAfterResponse(PendingRequest pending) {
         boolean allowed = frontend.keepAliveAfterResponse();
@@ -573,8 +599,9 @@
     }
 
     /**
-     * Aborts a streamed response so that the client sees that it is incomplete. The connection is
-     * reset if an orderly close would mark the end of the response.
+     * Closes the connection during a streamed response, in such a way that the client sees that the
+     * response is incomplete. If the client would take an orderly close for the end of the
+     * response, the connection is reset instead.
      */
     private void abortStream(PendingRequest pending) {
         if (pending.endsWithClose()) {
@@ -594,8 +621,8 @@
     }
 
     /**
-     * Abandons all pending requests. Sends a 502 response if the first of them has no response yet,
-     * because the client may still read; otherwise closes the connection.
+     * Abandons all pending requests. If the response to the first of them has not started yet,
+     * sends a 502 response, because the client may still read. Otherwise closes the connection.
      */
     private void failAll() {
         boolean awaitsResponse = !pendingRequests.isEmpty() && !pendingRequests.peek().streaming;
@@ -610,8 +637,8 @@
     }
 
     /**
-     * Handles a half-close by the client as a disconnect; a client that still reads gets a 502
-     * response.
+     * Abandons the pending requests if the client has closed its side of the connection, as after a
+     * disconnect. A client that still reads gets a 502 response.
      */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
--- a/src/main/java/passhatch/proxy/client/HttpFrontend.java
+++ b/src/main/java/passhatch/proxy/client/HttpFrontend.java
@@ -31,26 +31,27 @@
     private static final int ACCEPT_BACKLOG = 1024;
 
     /**
-     * While a newer process takes over, the connection is closed after one in this many responses.
+     * While a newer process takes over from this one, one response in this many closes the
+     * connection on which it is sent.
      */
     private static final int RESPONSES_PER_HANDOVER_CLOSE = 8;
 
     /**
-     * Minimum time between two log lines about evicted connections, in microseconds, because there
-     * may be hundreds of evictions a second.
+     * Minimum time in microseconds between two log lines about evicted connections. There may be
+     * hundreds of evictions a second.
      */
     private static final long LOG_INTERVAL_US = 10_000_000;
 
     /**
-     * Time without an open request, in microseconds, after which clients expect that a connection
-     * may be closed.
+     * Clients expect that a connection may be closed once it has had no open request for this time,
+     * in microseconds.
      */
     private static final long MIN_IDLE_US = 2_000_000;
 
     /**
-     * Maximum number of bytes to read ahead per connection. It equals the maximum size of a
-     * buffered body, which is enough for the rest of most larger bodies, or for some hundred
-     * requests.
+     * Maximum number of bytes per connection that are read and buffered before the proxy wants
+     * them. It equals the maximum size of a body that can be sent again. That is enough for the
+     * rest of most larger bodies, or for some hundred requests.
      */
     private static final int MAX_READ_AHEAD_BYTES = RequestBody.MAX_REPLAYABLE_BYTES;
 
@@ -64,14 +65,14 @@
     private final StallDetector stallDetector;
 
     /**
-     * Connections that have been served and have no open request, in order of idle time, longest
-     * first.
+     * Connections that have been served and have no open request. The connection that has been idle
+     * longest comes first.
      */
     private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
 
     /**
-     * Connections that have never sent a complete request, in order of the time since their last
-     * input, longest first.
+     * Connections that have never sent a complete request. The connection whose last input is
+     * longest ago comes first.
      */
     private final Set<ClientConnection> newConnections = new LinkedHashSet<>();
 
@@ -90,9 +91,9 @@
     /**
      * Creates a server that does not listen yet.
      *
-     * @param budget limits the buffered bytes of bodies
-     * @param descriptors counts the open connections, together with those to backends; if there are
-     *     too many, a client connection is closed
+     * @param budget limits the bytes of client input, including request bodies, that are buffered
+     * @param descriptors counts the open connections, both those of clients and those to backends;
+     *     if a new client connection exceeds the limit, one client connection is closed
      * @param stallDetector measures how long the event loop was stalled
      */
     public HttpFrontend(
@@ -124,7 +125,8 @@
                         .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .handler(new AcceptRetry(log))
-                        // During a change of version two processes listen on this address.
+                        // While a process of a newer version takes over, both processes listen on
+                        // this address.
                         .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Relay.WATER_MARK)
@@ -168,8 +170,8 @@
     }
 
     /**
-     * Returns whether clients should send requests to this proxy, which they should while the list
-     * of servers is known and connections are accepted.
+     * Returns whether clients should send requests to this proxy. They should while it accepts
+     * connections and knows the list of servers, until {@link #markUnready} is called.
      */
     public boolean ready() {
         return listener != null && listener.isActive() && !markedUnready && requests.ready();
@@ -189,8 +191,8 @@
     }
 
     /**
-     * Sets whether a newer process takes over. If so, some responses close their connections, so
-     * that the clients move to the newer process a few at a time.
+     * Sets whether a newer process is taking over from this one. While it is, some responses close
+     * their connections, so that the clients move to the newer process a few at a time.
      */
     public void setHandover(boolean on) {
         handingOver = on;
@@ -198,8 +200,8 @@
 
     /**
      * Counts a response and returns whether its connection may stay open. The connection must close
-     * if this process shuts down, if descriptors are scarce, or, during a handover, after one in
-     * {@link #RESPONSES_PER_HANDOVER_CLOSE} responses.
+     * if this process shuts down or if file descriptors are scarce. During a handover to a newer
+     * process, it must also close after one in {@link #RESPONSES_PER_HANDOVER_CLOSE} responses.
      */
     boolean keepAliveAfterResponse() {
         responseCount++;
@@ -221,7 +223,7 @@
 
     /**
      * Closes the connections that have no open request and have received no part of a new one.
-     * Clients are prepared for this.
+     * Clients are prepared for such a close.
      */
     public void closeIdleConnections() {
         connectionsWithoutOpenRequest()
@@ -231,8 +233,8 @@
     }
 
     /**
-     * Returns whether any connection is still being closed, so that its client may not have seen
-     * the close yet. A close does not last long.
+     * Returns whether any connection is still being closed. The client of such a connection may not
+     * have seen the close yet. Closing a connection does not take long.
      */
     public boolean closing() {
         return !closingConnections.isEmpty();
@@ -269,7 +271,9 @@
         return new ReadAhead(budget, MAX_READ_AHEAD_BYTES);
     }
 
-    /** Creates the body that follows a request's head. */
+    /**
+     * Creates an empty body for the request with the given head. The body fills as it is received.
+     */
     RequestBody newBody(HttpRequest head, Relay.Source source) {
         long declared =
                 head.decoderResult().isSuccess() ? HttpUtil.getContentLength(head, -1L) : -1;
@@ -296,8 +300,8 @@
     }
 
     /**
-     * Called when a connection must no longer count as idle or new, such as when it has an open
-     * request.
+     * Called when a connection counts neither as idle nor as new from now on, for example because
+     * it has an open request.
      */
     void markBusy(ClientConnection connection) {
         idleConnections.remove(connection);
@@ -323,9 +327,11 @@
     }
 
     /**
-     * Closes one connection to make room. Connections that are already being closed come first.
-     * Next come those that have been idle for {@link #MIN_IDLE_US}, which clients expect, then
-     * those that may never send a request, and last those of clients that were served recently.
+     * Closes one connection, because the newcomer exceeds the limit. Connections that are already
+     * being closed are chosen first. Next come those that have been idle for {@link #MIN_IDLE_US},
+     * because their clients expect it. Then come those that may never send a request, and after
+     * them those of clients that were served recently. If there is no other connection, the
+     * newcomer is closed.
      */
     private void evictConnectionFor(ClientConnection newcomer) {
         evictedCount++;
--- a/src/main/java/passhatch/proxy/client/ListeningChannel.java
+++ b/src/main/java/passhatch/proxy/client/ListeningChannel.java
@@ -16,8 +16,8 @@
         try {
             List<Object> accepted = new ArrayList<>(1);
             while (doReadMessages(accepted) > 0) {
-                // One by one, so that for each connection over the limit another one can be closed
-                // first.
+                // Passes the connections on one by one. If one of them exceeds the limit, another
+                // connection can be closed before the next one is accepted.
                 accepted.forEach(pipeline()::fireChannelRead);
                 accepted.clear();
             }
--- a/src/main/java/passhatch/proxy/client/ProxyResponse.java
+++ b/src/main/java/passhatch/proxy/client/ProxyResponse.java
@@ -6,7 +6,8 @@
 /**
  * A final response to a client.
  *
- * @param retryAfter the value of the Retry-After header in seconds, or null
+ * @param retryAfter the value of the Retry-After header in seconds; null if the response has no
+ *     such header
  */
 public record ProxyResponse(HttpResponseStatus status, String retryAfter, byte[] body) {
 
@@ -17,7 +18,7 @@
     }
 
     /**
-     * Returns a 503 response, which tells the client that a retry is harmless.
+     * Returns a 503 response, which tells the client that it can safely send the request again.
      *
      * @param retryAfterUs value of the Retry-After header in microseconds; the header is omitted if
      *     it is 0 or less
--- a/src/main/java/passhatch/proxy/client/ReadAhead.java
+++ b/src/main/java/passhatch/proxy/client/ReadAhead.java
@@ -8,9 +8,9 @@
 
 /**
  * Keeps reading from a client even while the proxy wants no more requests or body bytes from it,
- * because a disconnect is seen only after everything that was sent before it has been read. The
- * input is buffered up to a limit. Beyond the limit, reading stops until input is wanted again, and
- * a disconnect is not seen until then.
+ * because the proxy sees a disconnect only after it has read everything that the client sent
+ * before. The input is buffered up to a limit. Beyond the limit, reading stops until input is
+ * wanted again, and a disconnect is not seen until then.
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
 
@@ -26,7 +26,8 @@
      * Creates a handler that forwards all input at first.
      *
      * @param budget counts the buffered bytes
-     * @param maxBytes number of buffered bytes at which reading stops; a single read may exceed it
+     * @param maxBytes number of buffered bytes at which reading stops; the last read before that
+     *     may exceed it
      */
     ReadAhead(BufferBudget budget, int maxBytes) {
         this.budget = budget;
@@ -34,8 +35,8 @@
     }
 
     /**
-     * Sets whether the proxy wants input from the client at present; if so, buffered input is
-     * forwarded.
+     * Sets whether the proxy wants input from the client at present. If it does, the buffered input
+     * is forwarded.
      */
     void setInputWanted(boolean value) {
         inputWanted = value;
--- a/src/main/java/passhatch/proxy/client/RequestDecoder.java
+++ b/src/main/java/passhatch/proxy/client/RequestDecoder.java
@@ -4,8 +4,8 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Decodes requests, and rejects a request whose head declares its length in two ways, because
- * implementations differ on which of the two counts.
+ * Decodes requests. Rejects a request that has both Content-Length and Transfer-Encoding, because
+ * HTTP implementations differ on which of the two headers determines the length of the body.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
--- a/src/main/java/passhatch/proxy/client/RequestHandler.java
+++ b/src/main/java/passhatch/proxy/client/RequestHandler.java
@@ -11,14 +11,15 @@
         void respond(ProxyResponse response);
 
         /**
-         * Streams a response, and notifies the listener once whether the stream completed or
-         * failed.
+         * Streams a response to the client. The listener is called once, when the whole response
+         * has been written or when the transfer has failed.
          */
         void stream(ResponseStream response, Relay.Listener listener);
 
         /**
-         * Called when the response passed to {@link #stream} cannot be completed: aborts it if it
-         * has started, and sends a 502 response otherwise.
+         * Must be called when the response that was passed to {@link #stream} cannot be completed.
+         * Aborts the response if its head has been sent to the client, and sends a 502 response
+         * otherwise.
          */
         void streamFailed();
     }
@@ -35,7 +36,7 @@
     boolean accept(ProxyRequest request, long unreadUs, Responder responder);
 
     /**
-     * Called when the body of a request that was accepted earlier has become complete. The
+     * Called when the body of a request that was accepted earlier has been received completely. The
      * request's timeout starts now.
      *
      * @param unreadUs how long the body's last bytes may have waited unread, in microseconds
--- a/src/main/java/passhatch/proxy/client/RequestParser.java
+++ b/src/main/java/passhatch/proxy/client/RequestParser.java
@@ -26,7 +26,9 @@
     private static final Pattern ID_PATTERN = Pattern.compile("[\\x21-\\x7e]{1,128}");
     private static final String MALFORMED_DEADLINE = "X-Deadline is malformed";
 
-    /** Thrown if a request is invalid; has the status of the response to send. */
+    /**
+     * Thrown if a request is invalid. Contains the status of the response to send to the client.
+     */
     static final class BadRequestException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
@@ -52,7 +54,7 @@
         this.tenants = tenants;
     }
 
-    /** Parses the head of a request, which {@code body} follows. */
+    /** Parses the head of a request, and returns the request with the given body. */
     ProxyRequest parse(HttpRequest http, RequestBody body) throws BadRequestException {
         if (http.decoderResult().isFailure()) {
             throw badRequest(
