--- a/src/main/java/passhatch/fleet/AntiEntropy.java
+++ b/src/main/java/passhatch/fleet/AntiEntropy.java
@@ -22,12 +22,12 @@
      * Number of comparisons at the short interval after one that found a difference. There are
      * several because datagrams get lost.
      */
-    private static final int EAGER_ROUNDS = 8;
+    private static final int COMPARISONS_AFTER_DIFFERENCE = 8;
 
     private final View view;
     private final Outbox outbox;
     private final RandomGenerator random;
-    private int eagerRoundsLeft;
+    private int eagerComparisonsLeft;
 
     AntiEntropy(View view, Outbox outbox, RandomGenerator random) {
         this.view = view;
@@ -42,8 +42,8 @@
     boolean startComparison(Member peer) {
         outbox.sendSync(
                 peer.addressIndex(), Digests.ROOT, view.digests().childDigests(Digests.ROOT));
-        eagerRoundsLeft = Math.max(0, eagerRoundsLeft - 1);
-        return eagerRoundsLeft > 0;
+        eagerComparisonsLeft = Math.max(0, eagerComparisonsLeft - 1);
+        return eagerComparisonsLeft > 0;
     }
 
     /**
@@ -59,7 +59,7 @@
             }
         }
         if (!different.isEmpty()) {
-            eagerRoundsLeft = EAGER_ROUNDS;
+            eagerComparisonsLeft = COMPARISONS_AFTER_DIFFERENCE;
         }
         while (different.size() > MAX_CHILDREN_PER_REPLY) {
             Collections.swap(different, random.nextInt(different.size()), different.size() - 1);
--- a/src/main/java/passhatch/fleet/MemberStates.java
+++ b/src/main/java/passhatch/fleet/MemberStates.java
@@ -113,7 +113,7 @@
             }
         }
         if (aboutSelf) {
-            supersedeIfAbsent(nowUs, member);
+            adoptNewerEpochIfAbsent(nowUs, member);
         }
     }
 
@@ -163,7 +163,7 @@
             } else {
                 // The update is about an earlier run of this process whose epoch was lost, for
                 // example because the machine was restored from a snapshot.
-                supersede(nowUs, update);
+                adoptNewerEpoch(nowUs, update);
             }
         } else if (update.status() == Status.ALIVE) {
             // The update is about an earlier run of this process or about another process with its
@@ -187,14 +187,14 @@
         }
     }
 
-    private void supersedeIfAbsent(long nowUs, Member own) {
+    private void adoptNewerEpochIfAbsent(long nowUs, Member own) {
         if (!own.status().present()) {
-            supersede(nowUs, own.lastUpdate());
+            adoptNewerEpoch(nowUs, own.lastUpdate());
         }
     }
 
     /** Adopts an incarnation that is newer than the one of a run that has ended. */
-    private void supersede(long nowUs, MemberUpdate endedRun) {
+    private void adoptNewerEpoch(long nowUs, MemberUpdate endedRun) {
         long epoch = endedRun.incarnation().epoch() + 1;
         if (actions.persistEpoch(epoch)) {
             self.superseded(false);
@@ -273,7 +273,7 @@
             if (nowUs >= suspicionDeadlineUs(member)) {
                 Member failed = changeMember(nowUs, member, failedUpdate(member.lastUpdate()));
                 if (member.name().equals(self.name())) {
-                    supersedeIfAbsent(nowUs, failed);
+                    adoptNewerEpochIfAbsent(nowUs, failed);
                 }
             }
         }
