--- a/src/main/java/passhatch/agent/Agent.java
+++ b/src/main/java/passhatch/agent/Agent.java
@@ -36,8 +36,8 @@
     private static final long LEAVE_GOSSIP_MS = 1_000;
 
     /**
-     * Name of the folder for the records of the distribution of changes; it lies in the store's
-     * folder.
+     * Name of the folder for the records of the distribution of configuration changes. It is a
+     * subfolder of the store's folder.
      */
     private static final String CHANGES_FOLDER = "changes";
 
@@ -47,13 +47,18 @@
     private AgentConfig config;
     private AgentStore store;
 
-    /** The node that drives the membership; null if no fleet is configured. */
+    /**
+     * Drives the membership in the fleet; null if the configuration has no {@code [fleet]} section.
+     */
     private FleetNode fleetNode;
 
-    /** The node that drives the duties; null if no duties are configured. */
+    /** Drives the duties; null if the configuration has no {@code [duties]} section. */
     private DutyNode dutyNode;
 
-    /** The node that drives the distribution of changes; null if none is configured. */
+    /**
+     * Drives the distribution of configuration changes; null if the configuration has no {@code
+     * [changes]} section.
+     */
     private ChangesNode changesNode;
 
     private ChangesCalls changesCalls;
@@ -93,7 +98,7 @@
                                     agent.stop();
                                     Runtime.getRuntime().halt(0);
                                 }));
-        // The shutdown hook ends the process.
+        // Waits forever, because the shutdown hook ends the process.
         new CountDownLatch(1).await();
     }
 
@@ -188,8 +193,9 @@
     }
 
     /**
-     * Reloads the configuration. If the new configuration is invalid or differs in something that
-     * cannot change while the agent runs, the current configuration stays in force unchanged.
+     * Reloads the configuration from its file. The current configuration stays in force if the new
+     * one is invalid or if it changes any value other than {@code fleet.members} and {@code
+     * fleet.own}.
      */
     private void reload() {
         try {
--- a/src/main/java/passhatch/agent/AgentConfig.java
+++ b/src/main/java/passhatch/agent/AgentConfig.java
@@ -16,15 +16,18 @@
 import passhatch.proxy.base.Addresses;
 
 /**
- * A validated agent configuration. Keys that the {@code [fleet]} section omits are taken from what
- * the platform passes to each proxy: the name from {@code PROXY_NAME}, the listen address and the
- * members from the file that {@code PROXY_CONFIG} names.
+ * A validated agent configuration. If the {@code [fleet]} section omits {@code self}, {@code
+ * listen} or {@code members}, the value is taken from what the platform passes to each proxy:
+ * {@code self} from the environment variable {@code PROXY_NAME}, and the other two from the file
+ * that the environment variable {@code PROXY_CONFIG} names.
  *
  * @param control address for operators' calls
  * @param store folder for the data that must survive a power loss
- * @param fleet null if the process is not a member of a fleet
- * @param duties null if the process neither votes nor wants a duty
- * @param changes null if the process takes no part in the distribution of changes
+ * @param fleet membership in the fleet; null if the file has no {@code [fleet]} section
+ * @param duties the exclusive jobs of the fleet, each held by lease; null if the file has no {@code
+ *     [duties]} section
+ * @param changes distribution of configuration changes; null if the file has no {@code [changes]}
+ *     section
  */
 record AgentConfig(
         InetSocketAddress control, Path store, Fleet fleet, Duties duties, ChangesConfig changes) {
@@ -34,7 +37,7 @@
 
     private static final Duration MAX_PROBE_PERIOD = Duration.ofMinutes(1);
 
-    /** Minimum send rate; the probes alone need this much. */
+    /** Minimum send rate limit, in bytes per second; the probes alone need this much. */
     private static final long MIN_BYTES_PER_SECOND = 2_048;
 
     private static final int MAX_MEMBERS = 4_096;
@@ -64,11 +67,11 @@
     /**
      * The {@code [duties]} section.
      *
-     * @param voters names of the members that vote
+     * @param voters names of the members that vote on who holds a duty
      * @param epoch epoch of the set of voters; increases by one with each change of the set
      * @param wanted names of the duties for which this process is a candidate
-     * @param rank rank of this process as a candidate; candidates with rank 0 are preferred as
-     *     holders
+     * @param rank rank of this process as a candidate; a candidate with rank 0 is preferred as the
+     *     holder of a duty
      */
     record Duties(
             List<String> voters,
@@ -96,7 +99,10 @@
             long bytesPerSecond,
             Duration forgetAfter) {
 
-        /** Returns whether another section equals this one, except perhaps in the members. */
+        /**
+         * Returns whether another section has the same values as this one. The list of members and
+         * the index of this process's own address are not compared.
+         */
         boolean equalsExceptMembers(Fleet other) {
             return other != null
                     && other.equals(
@@ -130,8 +136,9 @@
             AgentSection agent, FleetSection fleet, Duties duties, ChangesConfig.Section changes) {}
 
     /**
-     * Reads a configuration file and completes it from the environment; throws {@link
-     * InvalidInputException} with the key and the reason if a value is invalid.
+     * Reads a configuration file and completes it with default values and from the environment. If
+     * a value is invalid, throws {@link InvalidInputException} with a message that names the key
+     * and the reason.
      */
     static AgentConfig read(Path path, Map<String, String> env) {
         TomlFile given = TomlFile.read(path);
@@ -271,8 +278,8 @@
     }
 
     /**
-     * Parses the address given for a key; throws {@link InvalidInputException} with the key if the
-     * address is malformed.
+     * Parses the address that the file gives for a key. If the address is malformed, throws {@link
+     * InvalidInputException} with a message that names the key.
      */
     static InetSocketAddress parseAddress(TomlFile file, String key, String text) {
         try {
--- a/src/main/java/passhatch/agent/AgentStore.java
+++ b/src/main/java/passhatch/agent/AgentStore.java
@@ -16,8 +16,8 @@
 import passhatch.store.StoreException;
 
 /**
- * The durable state of this machine's agent: the latest epoch that it has used, and its promises as
- * a voter.
+ * The durable state of this machine's agent: the latest epoch that the agent has used, and the
+ * promises that it has made as a voter on duties.
  */
 final class AgentStore implements AutoCloseable {
 
@@ -34,15 +34,16 @@
     /**
      * Opens the store of a process and makes the next epoch durable.
      *
-     * @throws StoreException if the store is damaged, in use by another process or owned by another
-     *     name, or if the disk fails
+     * @throws StoreException if the store is damaged, if another process uses it, if it belongs to
+     *     a process with another name, or if the disk fails
      */
     AgentStore(Path folder, String owner) throws IOException, StoreException {
         FolderDisk disk = FolderDisk.open(folder);
         try {
             recordLog = RecordLog.open(disk, owner, this::replay);
-            // The store's own epoch counts as well. So the new epoch is greater than all used
-            // before, even if a salvage lost the record of the last one.
+            // The record log counts its openings as an epoch of its own. The greater of the two
+            // numbers is used, so that the new epoch is greater than all used before, even if the
+            // record of the last one was lost when a damaged log was salvaged.
             epoch = Math.max(epoch + 1, recordLog.epoch());
             // Written as a snapshot so that the log does not grow with each start.
             List<Entry> state = new ArrayList<>(List.of(toEntry(epoch)));
@@ -95,22 +96,25 @@
         }
     }
 
-    /** Returns the epoch of this start, or a greater one that was made durable since then. */
+    /**
+     * Returns the epoch that this process uses: the one of its start, or a greater one that was
+     * made durable since then.
+     */
     long epoch() {
         return epoch;
     }
 
-    /** Returns the warnings that opening the store gave. */
+    /** Returns the warnings for the operator that arose when the store was opened. */
     List<String> warnings() {
         return recordLog.warnings();
     }
 
-    /** Returns the last promise for each duty. */
+    /** Returns the last promise that this voter has made for each duty. */
     Collection<Promise> promises() {
         return promises.values();
     }
 
-    /** Makes a new epoch durable, which must be greater than the current one. */
+    /** Makes a new epoch durable. The new epoch must be greater than the current one. */
     void persistEpoch(long newEpoch) throws StoreException {
         recordLog.append(List.of(toEntry(newEpoch)));
         epoch = newEpoch;
--- a/src/main/java/passhatch/agent/ChangesCalls.java
+++ b/src/main/java/passhatch/agent/ChangesCalls.java
@@ -15,10 +15,16 @@
 import passhatch.distribution.Participant;
 import passhatch.fleet.DropReason;
 
-/** Answers operators' calls about the distribution of changes at the control address. */
+/**
+ * Answers the calls about the distribution of configuration changes that operators make at the
+ * control address.
+ */
 final class ChangesCalls {
 
-    /** Maximum number of followers behind the current version that are listed by name. */
+    /**
+     * Maximum number of lagging followers that are listed by name. A follower lags while it has not
+     * confirmed the current version.
+     */
     private static final int MAX_LAGGARDS = 50;
 
     private static final long ANY_VERSION = -1;
@@ -39,7 +45,10 @@
         return word.equals("changes") || word.startsWith("change-") || word.equals("changes-found");
     }
 
-    /** Answers a call, given as its name and arguments; returns null if the call is not known. */
+    /**
+     * Answers a call, which is given as its name followed by its arguments. Returns null if no call
+     * has that name.
+     */
     String answer(String... words) {
         return switch (words[0]) {
             case "changes" -> describeStatus();
@@ -166,15 +175,15 @@
     }
 
     /**
-     * Returns the time since the state was last known to be current, in milliseconds, or -1 if it
-     * has not been known to be current since the start.
+     * Returns how many milliseconds ago the state of this process was last known to be current, or
+     * -1 if it was never known to be current since the process started.
      */
     private long stateAgeMs() {
         long ageMs = changesNode.participant().stateAgeUs(FleetNode.nowUs()) / 1_000;
         return ageMs < Long.MAX_VALUE / 8_000 ? ageMs : -1;
     }
 
-    /** Returns the metrics for {@code vars}, one per line. */
+    /** Returns the metrics for the operators' call {@code vars}, one per line. */
     String metrics() {
         Participant participant = changesNode.participant();
         StringBuilder text = new StringBuilder();
--- a/src/main/java/passhatch/agent/ChangesConfig.java
+++ b/src/main/java/passhatch/agent/ChangesConfig.java
@@ -13,7 +13,8 @@
 import passhatch.distribution.Setting;
 
 /**
- * The validated {@code [changes]} section, which configures the distribution of changes.
+ * The validated {@code [changes]} section, which configures how this process takes part in the
+ * distribution of configuration changes.
  *
  * @param listen address of the UDP socket for the distribution
  * @param role role of this process in the distribution
@@ -21,7 +22,8 @@
  * @param replicas addresses of all replicas, including this one; empty unless this is a replica
  * @param sources addresses of the nodes to follow, the preferred one first; empty for a replica
  * @param services names of the services whose keys a subscriber receives
- * @param publish file to which the values in force are written, or null
+ * @param publish file to which the values in force are written; null if they are not written to a
+ *     file
  */
 record ChangesConfig(
         Role role,
@@ -32,7 +34,7 @@
         List<String> services,
         Path publish) {
 
-    /** Name of the duty whose holder is the leader. */
+    /** Name of the duty whose holder leads the replication of configuration changes. */
     static final String DUTY = "changes";
 
     /** Default values, in TOML, for the keys that a file may omit. */
@@ -58,7 +60,10 @@
             List<String> services,
             String publish) {}
 
-    /** Validates the section; throws an exception that names the key if a value is invalid. */
+    /**
+     * Validates the section. If a value is invalid, throws an exception whose message names the
+     * key.
+     */
     static ChangesConfig validate(
             TomlFile file, Section section, AgentConfig.Fleet fleet, AgentConfig.Duties duties) {
         file.require(fleet != null, "changes", "a part [fleet] beside it");
@@ -100,7 +105,7 @@
         return roles.get(labels.indexOf(label));
     }
 
-    /** Returns the name of a role in configuration and output. */
+    /** Returns the name that stands for a role in the configuration and in output. */
     static String label(Role role) {
         return role.name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/passhatch/agent/ChangesNode.java
+++ b/src/main/java/passhatch/agent/ChangesNode.java
@@ -32,9 +32,9 @@
 import passhatch.store.StoreException;
 
 /**
- * Drives this machine's part in the distribution of changes on the agent's event loop, with a UDP
- * socket and a store of its own. A replica is the leader while this process holds the duty {@link
- * ChangesConfig#DUTY}.
+ * Runs this machine's participant in the distribution of configuration changes on the agent's event
+ * loop. The participant has a UDP socket and a store that nothing else uses. A replica is the
+ * leader while its process holds the duty {@link ChangesConfig#DUTY}.
  */
 final class ChangesNode implements DistributionActions, DutyListener {
 
@@ -55,7 +55,10 @@
     private final SubmittedChanges submittedChanges = new SubmittedChanges();
     private final Map<DropReason, Long> dropped = new EnumMap<>(DropReason.class);
 
-    /** The store; null if a follower runs without a disk because its store could not be opened. */
+    /**
+     * The store of the participant's records. Null before {@link #start} and after {@link #close},
+     * and in a follower whose store could not be opened.
+     */
     private ChangesStore store;
 
     private Participant participant;
@@ -128,14 +131,14 @@
     }
 
     /**
-     * Sets the action that is run when this replica can no longer be the leader; it must give up
-     * the duty.
+     * Sets the action to run when this replica can no longer be the leader. The action must give up
+     * the duty {@link ChangesConfig#DUTY}.
      */
     void onStepDown(Runnable action) {
         giveUpDuty = action;
     }
 
-    /** Returns the state machine, which must be used on the loop only. */
+    /** Returns the state machine of the participant. It must be used only on the event loop. */
     Participant participant() {
         return participant;
     }
@@ -163,7 +166,10 @@
         }
     }
 
-    /** Makes this replica count towards majorities although its disk is empty. */
+    /**
+     * Makes this replica count towards majorities although its disk is empty; see {@link
+     * Participant#initialize}.
+     */
     boolean initialize() {
         return participant.initialize();
     }
--- a/src/main/java/passhatch/agent/ChangesStore.java
+++ b/src/main/java/passhatch/agent/ChangesStore.java
@@ -18,15 +18,15 @@
 import passhatch.store.StoreException;
 
 /**
- * Stores the records of a participant in the distribution of changes on disk. Records that are
- * written together form a group and are replayed together or not at all. After a crash, a group
- * without its last record is skipped.
+ * Stores on disk the records of a participant in the distribution of configuration changes. Records
+ * that are written together form a group. Either all records of a group are replayed or none: after
+ * a crash, a group without its last record is skipped.
  */
 final class ChangesStore implements AutoCloseable {
 
     /**
-     * Kind of an entry that holds a group of one record. The next three kinds give the position of
-     * a record in a larger group.
+     * Kind of a log entry whose record forms a group by itself. The next three kinds are for a
+     * record of a larger group and give its position in the group.
      */
     private static final int KIND_SINGLE = 1;
 
@@ -35,14 +35,14 @@
     private static final int KIND_LAST = 4;
 
     /**
-     * Kind of an entry that lists the services whose keys the records cover, one per line; written
-     * for subscribers only.
+     * Kind of a log entry that lists, one per line, the services whose keys are stored. Only the
+     * stores of subscribers have such an entry.
      */
     private static final int KIND_SERVICES = 5;
 
     /**
-     * Maximum size of the records that are forced to disk together, in bytes; a larger group is
-     * written in chunks.
+     * When the records collected from a group exceed this size, in bytes, they are forced to disk
+     * as one chunk. A larger group is therefore written in several chunks.
      */
     private static final int MAX_FORCED_BYTES = 1 << 20;
 
@@ -74,8 +74,8 @@
      * Opens the store on a disk.
      *
      * @param services names of the services that a subscriber wants; empty for other roles
-     * @throws StoreException if a replica's records are damaged, if they belong to another owner,
-     *     or if the disk fails
+     * @throws StoreException if a replica's records are damaged, if the store belongs to another
+     *     owner, or if the disk fails
      * @throws IOException if a record cannot be read because a newer release wrote it
      */
     static ChangesStore open(Disk disk, String name, Role role, Collection<String> services)
@@ -128,9 +128,10 @@
     }
 
     /**
-     * Returns the values of the records without their versions. Used when the services have
-     * changed: the records lack the keys of the added services, so the whole state must be fetched.
-     * The old values are used until it is received.
+     * Returns records that hold the same values but give no version of the state. Used when a
+     * subscriber's services have changed: its records lack the keys of the added services, so the
+     * subscriber must fetch the whole state. It uses the old values until it has received that
+     * state.
      */
     private static List<DiskRecord> withoutVersions(List<DiskRecord> records) {
         List<DiskRecord> values = new ArrayList<>();
@@ -156,7 +157,7 @@
         return all;
     }
 
-    /** Returns the warnings that opening the store gave. */
+    /** Returns the warnings for the operator that arose when the store was opened. */
     List<String> warnings() {
         return recordLog.warnings();
     }
--- a/src/main/java/passhatch/agent/DutyListener.java
+++ b/src/main/java/passhatch/agent/DutyListener.java
@@ -1,6 +1,9 @@
 package passhatch.agent;
 
-/** Listener for a part of this process that is active only while the process holds a duty. */
+/**
+ * Notifies a part of this process when the process acquires or loses a duty. The part is active
+ * only while the process holds the duty.
+ */
 interface DutyListener {
 
     /**
--- a/src/main/java/passhatch/agent/DutyNode.java
+++ b/src/main/java/passhatch/agent/DutyNode.java
@@ -24,8 +24,9 @@
 import passhatch.store.StoreException;
 
 /**
- * Drives the duties of this machine's agent on the agent's event loop. The agent is a candidate for
- * each wanted duty, and a voter if the configuration lists it.
+ * Runs the duties of this machine's agent on the agent's event loop. A duty is an exclusive job
+ * that one process of the fleet holds by lease. The agent is a candidate for each duty that it
+ * wants. It is also a voter if the configuration lists it among the voters.
  */
 final class DutyNode {
 
@@ -103,10 +104,10 @@
     }
 
     /**
-     * Starts the voter and the candidates; to be called on the loop.
+     * Starts the voter and the candidates. Must be called on the loop.
      *
-     * @param listeners the listener for each duty that a part of this process needs; this process
-     *     is a candidate for these duties in addition to the configured ones
+     * @param listeners listeners by the name of the duty that they need; this process is a
+     *     candidate for these duties in addition to the configured ones
      */
     DutyNode(
             EventLoop loop,
@@ -144,8 +145,8 @@
     }
 
     /**
-     * Asks the other voters for the promises that this voter has lost, and repeats this until this
-     * voter may vote.
+     * Asks the other voters for the latest terms that they know, because this voter has lost its
+     * promises. Repeats this at intervals until this voter may vote.
      */
     private void recallPromises() {
         if (voter != null && !voter.isVoting()) {
@@ -157,8 +158,8 @@
     }
 
     /**
-     * Allows this voter to vote although it has no stored promises, when the set of voters is first
-     * initialized. Returns the answer for the operator.
+     * Allows this voter to vote although it has no stored promises. The operator requests this when
+     * the set of voters is first initialized. Returns the answer for the operator.
      */
     String initializeVoter() {
         return voter != null && voter.initialize()
@@ -208,8 +209,8 @@
     }
 
     /**
-     * Returns an answer that says whether this process may act on a duty now: {@code done TERM},
-     * where the term is the fencing token to use, or {@code error ...}.
+     * Returns the answer for the operator: {@code done TERM} if this process may act on a duty now,
+     * where {@code TERM} is the fencing token to use, and otherwise {@code error ...}.
      */
     String checkMayAct(String duty) {
         WantedDuty wantedDuty = wantedDutyByName.get(duty);
@@ -220,8 +221,9 @@
     }
 
     /**
-     * Gives up a duty, in favour of another candidate if {@code to} names one. This process becomes
-     * a candidate again after the duration of one lease. Returns the answer for the operator.
+     * Gives up a duty. If {@code to} is not null, the candidate with that name should acquire the
+     * duty next. This process becomes a candidate again after the duration of one lease. Returns
+     * the answer for the operator.
      */
     String giveUp(String duty, String to) {
         WantedDuty wantedDuty = wantedDutyByName.get(duty);
--- a/src/main/java/passhatch/agent/FleetNode.java
+++ b/src/main/java/passhatch/agent/FleetNode.java
@@ -30,9 +30,9 @@
 import passhatch.store.StoreException;
 
 /**
- * Drives membership over UDP on one event loop. Received datagrams are handled before a timer runs.
- * So after a stall, this process does not suspect members whose replies are already queued at its
- * socket.
+ * Runs the membership of this process over UDP on one event loop. Received datagrams are handled
+ * before a timer runs. So after a stall, this process does not suspect members whose replies are
+ * already queued at its socket.
  */
 final class FleetNode implements FleetActions {
 
@@ -116,7 +116,10 @@
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    /** Sets the listener for duty messages. The listener is called on the loop. */
+    /**
+     * Sets the listener for duty messages. It is called on the loop with the sender's name and the
+     * message.
+     */
     void onDutyMessage(BiConsumer<String, DutyMessage> listener) {
         dutyListener = listener;
     }
@@ -132,14 +135,14 @@
         }
     }
 
-    /** Returns the state machine, which must be used on the loop only. */
+    /** Returns the state machine of the membership. It must be used only on the event loop. */
     Membership membership() {
         return membership;
     }
 
     /**
-     * Returns whether this process participates in the fleet. It does not if a newer process uses
-     * its name.
+     * Returns whether this process participates in the fleet. True from the start of the membership
+     * on, except while a newer process uses the name of this process.
      */
     boolean participates() {
         return membership != null && !membership.superseded();
--- a/src/main/java/passhatch/agent/MembersText.java
+++ b/src/main/java/passhatch/agent/MembersText.java
@@ -14,7 +14,9 @@
 import passhatch.fleet.Membership;
 import passhatch.fleet.Status;
 
-/** Formats the members for operators: as JSON, and as metrics in the format of {@code vars}. */
+/**
+ * Formats the members of the fleet for operators, as JSON or as metrics for the call {@code vars}.
+ */
 final class MembersText {
 
     private MembersText() {}
--- a/src/main/java/passhatch/agent/SubmittedChanges.java
+++ b/src/main/java/passhatch/agent/SubmittedChanges.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Tracks the outcome of changes submitted at this process. For each recent term in which this
- * process was the leader, it remembers the last committed version. Once a term has ended, the
- * outcome of later versions of that term is unknown.
+ * Tracks the outcome of the configuration changes submitted at this process. For each recent term
+ * in which this process was the leader, the last committed version is remembered. Once a term has
+ * ended, the outcome of the term's changes after that version is unknown.
  */
 final class SubmittedChanges {
 
@@ -44,7 +44,7 @@
         leading = false;
     }
 
-    /** Returns the newest term in which this process was the leader. */
+    /** Returns the newest term in which this process was the leader, or 0 if there was none. */
     long term() {
         return term;
     }
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Returns what is known about the outcome of the change with a version that was submitted in a
-     * term.
+     * Returns what is known about the outcome of the change that was submitted in the given term
+     * and was assigned the given version.
      */
     Outcome outcome(long version, long submittedTerm) {
         if (version <= committedVersionByTerm.getOrDefault(submittedTerm, 0L)) {
--- a/src/main/java/passhatch/agent/ValuesFile.java
+++ b/src/main/java/passhatch/agent/ValuesFile.java
@@ -10,7 +10,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes the values in force to a file that other programs on this machine can read. */
+/**
+ * Writes the configuration values that are in force to a file that other programs on this machine
+ * can read.
+ */
 final class ValuesFile {
 
     private static final Logger LOG = LoggerFactory.getLogger(ValuesFile.class);
@@ -24,7 +27,7 @@
 
     /**
      * Replaces the file atomically, so that a reader always sees the values of a single version. A
-     * failure is logged.
+     * failure is logged unless the previous write failed as well.
      */
     void replace(long epoch, long version, Map<String, String> values) {
         Map<String, Object> content = new LinkedHashMap<>();
--- a/src/main/java/passhatch/agent/config/TomlFile.java
+++ b/src/main/java/passhatch/agent/config/TomlFile.java
@@ -25,8 +25,9 @@
 import java.util.stream.Collectors;
 
 /**
- * A TOML file that is read into records. Errors name the file, the key or line, and what was
- * expected. Times are written like {@code "250ms"}, {@code "5s"} or {@code "2m"}.
+ * A TOML file whose content is converted to records. The message of an error names the file, the
+ * key or the line, and what was expected. Times are written like {@code "250ms"}, {@code "5s"} or
+ * {@code "2m"}.
  */
 public final class TomlFile {
 
@@ -78,14 +79,16 @@
         return name;
     }
 
-    /** Returns the parsed content. It may be changed before {@link #as} is called. */
+    /**
+     * Returns the parsed content. The caller may change the content before it calls {@link #as}.
+     */
     public ObjectNode tree() {
         return tree;
     }
 
     /**
-     * Returns a copy of this file in which the keys that it omits have default values. The defaults
-     * are given as TOML.
+     * Returns a copy of this file with default values for the keys that this file omits. The
+     * defaults are given as TOML.
      */
     public TomlFile withDefaults(String defaults) {
         ObjectNode merged = of(name, defaults).tree;
@@ -129,8 +132,8 @@
     }
 
     /**
-     * Throws {@link InvalidInputException} with the key and what was expected if the condition does
-     * not hold.
+     * If the condition does not hold, throws {@link InvalidInputException} with a message that
+     * names the key and the expected value.
      */
     public void require(boolean condition, String key, String expected) {
         if (!condition) {
--- a/src/main/java/passhatch/fleet/AddressTable.java
+++ b/src/main/java/passhatch/fleet/AddressTable.java
@@ -1,9 +1,9 @@
 package passhatch.fleet;
 
 /**
- * Maps each index of the address list to the name of the member there. The names are stored in
- * immutable pages. A change replaces a page, so copies of the table share the pages that neither
- * copy has changed.
+ * Maps each index of the address list to the name of the member at that address. The names are
+ * stored in immutable pages. A change replaces a page, so copies of the table share the pages that
+ * neither copy has changed.
  */
 final class AddressTable {
 
@@ -35,7 +35,7 @@
         return page == null ? null : page[addressIndex % PAGE_SIZE];
     }
 
-    /** Sets the name of the member at an index, or null if no member is there any more. */
+    /** Sets the name of the member at an index; null means that no member is there any more. */
     void set(int addressIndex, String name) {
         String[] page = pages[addressIndex / PAGE_SIZE];
         String[] changed = page == null ? new String[PAGE_SIZE] : page.clone();
--- a/src/main/java/passhatch/fleet/AntiEntropy.java
+++ b/src/main/java/passhatch/fleet/AntiEntropy.java
@@ -6,21 +6,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Reconciles views that still differ after gossip. Two processes compare digests from the root of
- * the tree downwards and send each other their updates of the leaves that differ. A reply depends
- * only on the datagram that it answers.
+ * Reconciles the views of two processes that still differ after gossip. The processes compare their
+ * {@linkplain Digests digest trees} from the root downwards. For each leaf that differs, they send
+ * each other their updates about the members in that leaf. A process keeps no record of the earlier
+ * datagrams of a comparison: a reply depends only on the datagram that it answers and on the view.
  */
 final class AntiEntropy {
 
     /**
-     * Maximum number of differing children that one comparison follows up. Without this limit, one
-     * datagram could cause hundreds of replies.
+     * Maximum number of differing children of a tree node for which a process replies to one
+     * datagram. Without this limit, one datagram could cause hundreds of replies.
      */
     private static final int MAX_CHILDREN_PER_REPLY = 4;
 
     /**
-     * Number of comparisons at the short interval after one that found a difference. There are
-     * several because datagrams get lost.
+     * After a comparison has found a difference, views are compared at the short interval until
+     * this process has started this many comparisons. There are several because datagrams get lost.
      */
     private static final int COMPARISONS_AFTER_DIFFERENCE = 8;
 
@@ -36,8 +37,8 @@
     }
 
     /**
-     * Starts a comparison with one member. Returns whether the next comparison is due soon because
-     * a recent one found a difference.
+     * Starts a comparison of this process's view with that of one member. Returns true if the next
+     * comparison is due soon because a recent one found a difference.
      */
     boolean startComparison(Member peer) {
         outbox.sendSync(
@@ -47,8 +48,9 @@
     }
 
     /**
-     * Compares the digests that another process sent for a tree node with this process's digests,
-     * and sends a reply for each child that differs.
+     * Compares the digests that another process sent for the children of a tree node with this
+     * process's digests. Sends a reply for each child that differs, up to {@link
+     * #MAX_CHILDREN_PER_REPLY}.
      */
     void onDigests(int senderIndex, int node, int[] digests) {
         int[] ownDigests = view.digests().childDigests(node);
@@ -77,8 +79,9 @@
     }
 
     /**
-     * Sends another process the updates of a leaf that it lacks. The updates that it sent must
-     * already be applied to the view.
+     * Handles the updates about the members in one leaf that another process sent: replies with the
+     * updates that the other process lacks. The received updates must already be applied to the
+     * view.
      */
     void onLeaf(int senderIndex, int leaf, List<MemberUpdate> receivedUpdates) {
         List<MemberUpdate> missing = updatesAtLeaf(leaf, receivedUpdates);
--- a/src/main/java/passhatch/fleet/Codec.java
+++ b/src/main/java/passhatch/fleet/Codec.java
@@ -22,7 +22,10 @@
     /** Number of fields of a message. */
     private static final int MESSAGE_FIELDS = 8;
 
-    /** Number of fields of an update with one field that depends on the status. */
+    /**
+     * Number of fields of an update if one of them depends on the status. An update has none, one
+     * or two such fields.
+     */
     private static final int UPDATE_FIELDS = 7;
 
     private static final int MAX_UPDATES = 32;
@@ -30,10 +33,16 @@
     private static final Status[] STATUSES = Status.values();
     private static final CBORFactory CBOR = new CBORFactory();
 
-    /** Shares equal updates among all memberships in one process, because updates recur. */
+    /**
+     * Lets all memberships in this process share equal updates, because the same update is received
+     * many times.
+     */
     private static final Interner<MemberUpdate> UPDATE_POOL = new Interner<>(4096);
 
-    /** Shares equal labels among all memberships in one process, because labels recur. */
+    /**
+     * Lets all memberships in this process share equal labels, because the same label is received
+     * many times.
+     */
     private static final Interner<String> LABEL_POOL = new Interner<>(64);
 
     /** Thrown when a datagram is rejected; gives the reason. */
@@ -153,8 +162,8 @@
     }
 
     /**
-     * Decodes a datagram and checks that all fields are within their bounds; throws {@link
-     * RejectedException} with the reason if the datagram is invalid.
+     * Decodes a datagram and checks that all fields are within their bounds. If the datagram is
+     * invalid, throws {@link RejectedException} with the reason.
      */
     Message decode(byte[] bytes) throws RejectedException {
         DropReason rejection = Frame.dropReason(VERSION, bytes);
--- a/src/main/java/passhatch/fleet/Digests.java
+++ b/src/main/java/passhatch/fleet/Digests.java
@@ -1,19 +1,20 @@
 package passhatch.fleet;
 
 /**
- * A tree of digests of a view, with a root, 16 inner nodes and 256 leaves. By comparing their
- * trees, two processes find the differences between their views in a few datagrams (Merkle trees
- * for anti-entropy as in Demers et al., "Epidemic Algorithms for Replicated Database Maintenance",
- * 1987, and Dynamo).
+ * A tree of digests of a view, with a root, 16 inner nodes and 256 leaves. Each leaf covers the
+ * members whose names hash to it. By comparing their trees, two processes find the differences
+ * between their views in a few datagrams (Merkle trees for anti-entropy as in Demers et al.,
+ * "Epidemic Algorithms for Replicated Database Maintenance", 1987, and Dynamo).
  *
- * <p>A suspect counts as alive, because suspicions change faster than digests are compared.
+ * <p>In the digests, a suspect counts as alive, because suspicions change faster than digests are
+ * compared.
  */
 final class Digests {
 
     static final int CHILDREN_PER_NODE = 16;
     static final int LEAF_COUNT = CHILDREN_PER_NODE * CHILDREN_PER_NODE;
 
-    /** Number that stands for the root where a node number is expected. */
+    /** Node number of the root of the tree. */
     static final int ROOT = -1;
 
     private static final int HASH_MULTIPLIER = 0x9E3779B9;
@@ -29,17 +30,23 @@
         leaves = other.leaves.clone();
     }
 
-    /** Returns the leaf index of the member whose name has this {@link Names#hash}. */
+    /**
+     * Returns the index of the leaf that covers the members whose names have the given {@linkplain
+     * Names#hash hash}.
+     */
     static int leafIndex(int nameHash) {
         return nameHash & LEAF_COUNT - 1;
     }
 
-    /** Adds an update to the digest of its leaf, or removes the update if it was added before. */
+    /**
+     * Adds an update to the digest of the leaf that covers its member, or removes the update if it
+     * was added before.
+     */
     void toggle(MemberUpdate update) {
         Status digestedStatus = update.status() == Status.SUSPECT ? Status.ALIVE : update.status();
         int hash = Names.hash(update.name());
         int digest = mix(hash, Long.hashCode(update.incarnation().epoch()));
-        // Sign-extended to a long, as it is encoded on the wire.
+        // Hashes the run ID as a sign-extended long, because it is encoded like this on the wire.
         digest = mix(digest, Long.hashCode(update.incarnation().runId()));
         digest = mix(digest, update.incarnation().refutation());
         digest = mix(digest, digestedStatus.ordinal());
--- a/src/main/java/passhatch/fleet/FleetActions.java
+++ b/src/main/java/passhatch/fleet/FleetActions.java
@@ -1,8 +1,8 @@
 package passhatch.fleet;
 
 /**
- * Actions that the driver performs for the membership state machine. The state machine calls them
- * only while the driver is calling it.
+ * Actions that the driver performs for the membership state machine. The state machine calls these
+ * methods only while the driver is calling a method of the state machine.
  */
 public interface FleetActions {
 
@@ -12,8 +12,8 @@
     void send(int addressIndex, byte[] datagram);
 
     /**
-     * Makes an epoch durable. Returns whether this process may use the epoch; if so, no later start
-     * may use it again.
+     * Makes an epoch durable. Returns true if this process may use the epoch; then no later start
+     * of a process may use the epoch again.
      */
     boolean persistEpoch(long epoch);
 
--- a/src/main/java/passhatch/fleet/FleetSettings.java
+++ b/src/main/java/passhatch/fleet/FleetSettings.java
@@ -1,8 +1,8 @@
 package passhatch.fleet;
 
 /**
- * Settings of one process in a fleet. The state machine knows addresses only by their index in the
- * configured list, from 0; the driver resolves them.
+ * Settings of one process in a fleet. The state machine refers to an address by its index in the
+ * configured list, from 0. The driver knows which address an index stands for.
  *
  * @param fleetName name of the fleet; datagrams of other fleets are dropped
  * @param name name of this process; stable across restarts and unique in the fleet
--- a/src/main/java/passhatch/fleet/Frame.java
+++ b/src/main/java/passhatch/fleet/Frame.java
@@ -33,7 +33,10 @@
                         .array());
     }
 
-    /** Returns why a datagram is not valid in a format, or null if it is valid. */
+    /**
+     * Returns the reason to drop a datagram that is expected in the given format, or null if its
+     * size, checksum and format are valid.
+     */
     public static DropReason dropReason(byte format, byte[] bytes) {
         if (bytes.length > MAX_BYTES || bytes.length <= HEADER_BYTES) {
             return DropReason.SIZE;
--- a/src/main/java/passhatch/fleet/GossipQueue.java
+++ b/src/main/java/passhatch/fleet/GossipQueue.java
@@ -8,9 +8,9 @@
 import java.util.TreeSet;
 
 /**
- * A queue of updates to gossip, each a bounded number of times. The updates sent least often come
- * first; among those sent equally often, the most recent comes first (SWIM: Das, Gupta, Motivala,
- * 2002, 4.1).
+ * A queue of updates to gossip. Each update is sent a limited number of times. The updates that
+ * were sent least often come first; among updates that were sent equally often, the most recent
+ * comes first (SWIM: Das, Gupta, Motivala, 2002, 4.1).
  */
 final class GossipQueue {
 
@@ -59,8 +59,8 @@
     /**
      * Takes updates for one datagram.
      *
-     * @param maxBytes maximum total size of the updates
-     * @param maxSends how often an update is sent before it is removed
+     * @param maxBytes maximum total size of the updates, in bytes
+     * @param maxSends number of times that an update is sent before it is removed from the queue
      */
     List<MemberUpdate> take(int maxBytes, int maxSends) {
         List<Item> taken = new ArrayList<>();
--- a/src/main/java/passhatch/fleet/Interner.java
+++ b/src/main/java/passhatch/fleet/Interner.java
@@ -4,8 +4,8 @@
 
 /**
  * Shares equal values, so that a value that is received repeatedly is held in memory only once.
- * Each slot keeps only the latest value that hashes to it; values that it replaces are no longer
- * shared.
+ * Each slot keeps only the latest value that hashes to it. A value that was replaced in its slot is
+ * no longer shared.
  */
 final class Interner<T> {
 
--- a/src/main/java/passhatch/fleet/LocalHealth.java
+++ b/src/main/java/passhatch/fleet/LocalHealth.java
@@ -2,8 +2,8 @@
 
 /**
  * The local health score of Lifeguard. A high score means that this process cannot reliably judge
- * whether others respond, so it waits longer before it suspects them (Dadgar, Phillips, Currey,
- * "Lifeguard: SWIM-ing with Situational Awareness", 2017).
+ * whether other members respond, so it waits longer before it suspects a member (Dadgar, Phillips,
+ * Currey, "Lifeguard: SWIM-ing with Situational Awareness", 2017).
  */
 final class LocalHealth {
 
--- a/src/main/java/passhatch/fleet/LocalMember.java
+++ b/src/main/java/passhatch/fleet/LocalMember.java
@@ -47,7 +47,8 @@
 
     /**
      * Returns whether a newer process uses this process's name. If so, this process does not
-     * participate, but still receives updates so that it notices when the newer process ends.
+     * participate in the fleet. It still receives updates, so that it notices when the newer
+     * process ends.
      */
     boolean superseded() {
         return superseded;
--- a/src/main/java/passhatch/fleet/Member.java
+++ b/src/main/java/passhatch/fleet/Member.java
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Returns this member with a newer update. If the status differs, the member has had it since
-     * {@code nowUs}.
+     * Returns this member with a newer update. If the update changes the status, the new status
+     * starts at {@code nowUs}.
      */
     Member withUpdate(MemberUpdate update, long nowUs) {
         long newSinceUs = update.status() == lastUpdate.status() ? statusSinceUs : nowUs;
--- a/src/main/java/passhatch/fleet/MemberInfo.java
+++ b/src/main/java/passhatch/fleet/MemberInfo.java
@@ -5,9 +5,9 @@
  *
  * @param statusSinceUs time at which the member took its status; {@link Membership#statusAgeUs}
  *     returns how long ago that was
- * @param addressIndex index of the member's address in the address list: the address that its last
- *     datagram came from, or if none was received, the index that the member itself announces; -1
- *     if neither is known
+ * @param addressIndex index of the member's address in the address list. This is the address from
+ *     which the member's last datagram was received or, if none was received, the address that the
+ *     member announces; -1 if neither is known
  */
 public record MemberInfo(
         String name,
--- a/src/main/java/passhatch/fleet/MemberStates.java
+++ b/src/main/java/passhatch/fleet/MemberStates.java
@@ -6,29 +6,32 @@
 import java.util.stream.IntStream;
 
 /**
- * Applies updates about members to the view: of two updates about a member, the one that
- * {@linkplain MemberUpdate#overrides overrides} the other holds. Wrong updates about this process
- * itself are refuted. A suspect becomes failed when its suspicion timeout ends. The timeout is that
- * of SWIM with Lifeguard's dynamic suspicion: it becomes shorter as more members report the suspect
- * independently.
+ * Applies updates about members to the view. An update replaces the one already known about the
+ * same member if it {@linkplain MemberUpdate#overrides overrides} that one. Wrong updates about
+ * this process itself are refuted. A suspect becomes failed when its suspicion timeout ends. The
+ * timeout is that of SWIM with Lifeguard's dynamic suspicion: it becomes shorter as more members
+ * report the suspect independently.
  */
 final class MemberStates {
 
     /**
-     * The shortest suspicion timeout, in probe periods, for fleets of up to ten members; above that
-     * it grows with the decimal logarithm of the fleet's size.
+     * The shortest suspicion timeout, in probe periods, for fleets of up to ten members. In larger
+     * fleets, the timeout grows with the decimal logarithm of the fleet's size.
      */
     private static final double MIN_SUSPICION_PERIODS = 2;
 
     /** The longest suspicion timeout as a multiple of the shortest. */
     private static final double MAX_TO_MIN_SUSPICION_RATIO = 6;
 
-    /** Number of reports after the first one at which the suspicion timeout reaches its minimum. */
+    /**
+     * Number of confirmations of a suspicion, that is, reports after the first one, with which the
+     * suspicion timeout reaches its minimum.
+     */
     private static final int MAX_CONFIRMATIONS = MemberUpdate.MAX_REPORTERS - 1;
 
     /**
-     * Placeholders for the reporters of a suspicion whose real reporters are not known. There are
-     * as many as count, so the suspicion timeout is the shortest.
+     * Placeholders for the reporters of a suspicion whose real reporters are not known. Their
+     * number is the maximum, so the suspicion timeout is the shortest.
      */
     private static final List<Integer> PLACEHOLDER_REPORTERS =
             IntStream.range(0, MemberUpdate.MAX_REPORTERS).boxed().toList();
@@ -73,7 +76,10 @@
         this.periodUs = settings.probePeriodUs();
     }
 
-    /** Applies an update, unless the update already known about that member overrides it. */
+    /**
+     * Applies an update about a member, unless the update already known about that member overrides
+     * the new one.
+     */
     void apply(long nowUs, MemberUpdate update) {
         boolean aboutSelf = update.name().equals(self.name());
         if (aboutSelf && !self.superseded()) {
@@ -193,7 +199,10 @@
         }
     }
 
-    /** Adopts an incarnation that is newer than the one of a run that has ended. */
+    /**
+     * Adopts an incarnation that is newer than that of another run under this process's name. That
+     * run has ended.
+     */
     private void adoptNewerEpoch(long nowUs, MemberUpdate endedRun) {
         long epoch = endedRun.incarnation().epoch() + 1;
         if (actions.persistEpoch(epoch)) {
--- a/src/main/java/passhatch/fleet/MemberTable.java
+++ b/src/main/java/passhatch/fleet/MemberTable.java
@@ -5,9 +5,9 @@
 import java.util.stream.Stream;
 
 /**
- * A table of members by name, divided into the leaves of the digest tree. Each leaf is an immutable
- * array, sorted by the hashes of the names. A change replaces a leaf, so copies of the table share
- * the leaves that neither copy has changed.
+ * A table of members by name, divided into the leaves of the {@linkplain Digests digest tree}. Each
+ * leaf is an immutable array, sorted by the hashes of the names. A change replaces a leaf, so
+ * copies of the table share the leaves that neither copy has changed.
  */
 final class MemberTable {
 
--- a/src/main/java/passhatch/fleet/Membership.java
+++ b/src/main/java/passhatch/fleet/Membership.java
@@ -10,10 +10,10 @@
 
 /**
  * The membership state machine of one process. The caller passes in the time and the datagrams
- * received; the state machine sends datagrams through {@link FleetActions}. It is single-threaded
- * and never blocks. After each call, {@link #wakeAtUs} returns the time at which {@link #timer}
- * must be called next. Before the caller calls the timer, it passes in all datagrams that are
- * queued at its socket.
+ * received; the state machine sends datagrams through {@link FleetActions}. The state machine is
+ * single-threaded and never blocks. After each call, {@link #wakeAtUs} returns the time at which
+ * {@link #timer} must be called next. Before the caller calls the timer, it passes in all datagrams
+ * that are queued at its socket.
  *
  * <p>Failure detection follows SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's local health
  * (Dadgar, Phillips, Currey, 2017), and anti-entropy reconciles the views. {@code
@@ -29,8 +29,8 @@
 
     /**
      * Maximum heap that one member takes, in bytes, including the queued updates about it. In the
-     * worst case there are as many removed members, whose last updates are kept and take the same
-     * amount again.
+     * worst case, the last updates about as many removed members are kept as well, which take the
+     * same amount again.
      */
     private static final int BYTES_PER_MEMBER = 512;
 
@@ -42,13 +42,18 @@
     /** Interval between two rounds of gossip, in probe periods. */
     private static final double GOSSIP_INTERVAL_PERIODS = 0.4;
 
-    /** Interval between two comparisons of views, in probe periods. */
+    /**
+     * Interval between two comparisons of this process's view with that of another member, in probe
+     * periods.
+     */
     private static final double SYNC_INTERVAL_PERIODS = 4;
 
     /** Interval between two probes in a small fleet, in probe periods. */
     private static final double SMALL_FLEET_PROBE_INTERVAL_PERIODS = 0.2;
 
-    /** A timer that runs later than this, in probe periods, counts as a stall of this process. */
+    /**
+     * Delay of a timer, in probe periods, above which the delay counts as a stall of this process.
+     */
     private static final double MIN_STALL_PERIODS = 0.5;
 
     /**
@@ -140,8 +145,9 @@
     }
 
     /**
-     * Builds a view of exactly these members, each as it describes itself. Several processes can
-     * start from this view; their views share their state until they change.
+     * Builds a view that contains exactly the given members, each with the state that it announces
+     * about itself. Several processes can start from this view. Their views share memory until they
+     * change.
      */
     public static Snapshot snapshot(Collection<Membership> members, int addressCount) {
         View view = new View(addressCount);
@@ -240,9 +246,9 @@
     }
 
     /**
-     * Returns the update that this process has about a sender if it differs from what the sender
-     * says about itself, so that the sender can refute it. Returns an empty list if there is
-     * nothing to correct.
+     * Returns the update that this process has about a sender, so that the sender can refute it.
+     * Returns an empty list if that update agrees with what the sender says about itself, or if
+     * there is no such update.
      */
     private List<MemberUpdate> correctionFor(MemberUpdate sender) {
         Member member = view.get(sender.name());
@@ -371,7 +377,7 @@
 
     /**
      * Returns whether a newer process uses this process's name. If so, this process does not
-     * participate.
+     * participate in the fleet.
      */
     public boolean superseded() {
         return self.superseded();
@@ -401,7 +407,9 @@
         return view.presentCount();
     }
 
-    /** Returns whether the members that are alive or suspect are exactly those with these names. */
+    /**
+     * Returns whether the members that are alive or suspect are exactly those with the given names.
+     */
     public boolean hasExactlyPresent(Set<String> names) {
         return view.presentCount() == names.size()
                 && names.stream().map(view::get).allMatch(m -> m != null && m.status().present());
@@ -420,7 +428,8 @@
      *
      * @param localHealth health score from 0 (healthy) to 8; with a higher score, this process
      *     relies less on its own probes
-     * @param stalls how often this process was stalled, so that its running probes were abandoned
+     * @param stalls number of times that this process was stalled; each time, its running probes
+     *     were abandoned
      * @param received number of datagrams accepted
      * @param sent number of datagrams sent
      * @param sentBytes total size of the datagrams sent
--- a/src/main/java/passhatch/fleet/Message.java
+++ b/src/main/java/passhatch/fleet/Message.java
@@ -5,11 +5,12 @@
 /**
  * The content of one datagram.
  *
- * @param sequenceNumber number of a request, which its replies repeat; 0 if no reply needs to be
- *     matched
+ * @param sequenceNumber number that the sender of a request chose and that the replies repeat; 0 if
+ *     no reply has to be matched with its request
  * @param target name of the member that a probe or its reply is about, or empty
- * @param node node number in the digest tree; the message type determines whether it is {@link
- *     Digests#ROOT} or an inner node, or a leaf
+ * @param node number of a node in the digest tree: {@link Digests#ROOT} or an inner node in a
+ *     {@link Type#SYNC}, a leaf in a {@link Type#LEAF} or {@link Type#LEAF_ANSWER}, and 0 in other
+ *     messages
  * @param digests digests of the node's children; empty unless the type is {@link Type#SYNC}
  * @param sender the sender's update about itself
  * @param updates updates about other members, the most useful first
@@ -36,16 +37,17 @@
         /** Carries only updates. */
         GOSSIP,
         /**
-         * Carries digests of a part of the sender's view. Where they differ, the receiver replies
-         * with the next lower level of the tree.
+         * Carries the digests of the children of one node of the sender's digest tree. For a child
+         * that differs, the receiver replies with the digests one level below the child or, if the
+         * child is a leaf, with its updates.
          */
         SYNC,
         /**
-         * Carries the updates that the sender has in a leaf, and asks the receiver for those that
-         * the sender lacks.
+         * Carries the sender's updates about the members in one leaf of the digest tree, and asks
+         * the receiver for the updates that the sender lacks.
          */
         LEAF,
-        /** Carries updates of a leaf in reply to {@link #LEAF}. */
+        /** Replies to a {@link #LEAF} with the updates that its sender lacks. */
         LEAF_ANSWER
     }
 }
--- a/src/main/java/passhatch/fleet/Outbox.java
+++ b/src/main/java/passhatch/fleet/Outbox.java
@@ -18,8 +18,8 @@
     private static final int[] NO_DIGESTS = {};
 
     /**
-     * Maximum number of datagrams for one list of updates; later comparisons send the remaining
-     * updates.
+     * Maximum number of datagrams for one list of updates; the remaining updates are sent in later
+     * rounds of anti-entropy.
      */
     private static final int MAX_DATAGRAMS_PER_LIST = 3;
 
@@ -75,8 +75,9 @@
     }
 
     /**
-     * Sends a datagram whose omission could make a member appear failed. It may use the reserved
-     * part of the rate limit. The updates in {@code priorityUpdates} are placed before gossip.
+     * Sends a datagram without which a member could appear failed. Such a datagram may use the
+     * reserved part of the rate limit. The updates in {@code priorityUpdates} are placed before
+     * gossip.
      */
     void sendEssential(
             int addressIndex,
@@ -97,8 +98,9 @@
     }
 
     /**
-     * Sends the updates of a leaf in as many datagrams as they need, up to {@link
-     * #MAX_DATAGRAMS_PER_LIST}.
+     * Sends updates about the members in one leaf of the {@linkplain Digests digest tree}, in as
+     * many datagrams as they need, up to {@link #MAX_DATAGRAMS_PER_LIST}. {@code node} is the
+     * number of the leaf.
      */
     void sendLeaf(int addressIndex, Message.Type type, int node, List<MemberUpdate> updates) {
         int sentUpdates = 0;
--- a/src/main/java/passhatch/fleet/ProbeOrder.java
+++ b/src/main/java/passhatch/fleet/ProbeOrder.java
@@ -3,9 +3,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Returns each address index once, in a random order that is computed without storing it. A Feistel
- * network permutes the numbers below a power of four; numbers that are not an address index are
- * skipped (Black and Rogaway, "Ciphers with Arbitrary Finite Domains", 2002).
+ * Returns each address index once, in a random order. The order is computed step by step and is not
+ * stored: a Feistel network permutes the numbers below a power of four, and numbers that are not an
+ * address index are skipped (Black and Rogaway, "Ciphers with Arbitrary Finite Domains", 2002).
  */
 final class ProbeOrder {
 
--- a/src/main/java/passhatch/fleet/Probes.java
+++ b/src/main/java/passhatch/fleet/Probes.java
@@ -18,7 +18,10 @@
     /** Interval between two pings of a probe, in probe periods. */
     private static final double RETRY_DELAY_PERIODS = 0.3;
 
-    /** Time from the start of a probe until it becomes indirect, in probe periods. */
+    /**
+     * Time from the start of a probe until other members are asked to ping the target, in probe
+     * periods.
+     */
     private static final double INDIRECT_DELAY_PERIODS = 0.9;
 
     /** Time from the start of a probe until it times out, in probe periods, at full health. */
@@ -28,8 +31,8 @@
     private static final int MAX_HELPERS = 4;
 
     /**
-     * Average number of members that probe a suspect themselves after they have received the
-     * suspicion.
+     * Average number of members that probe a suspect themselves because they have received the
+     * suspicion of another member.
      */
     private static final double EXPECTED_CONFIRMING_PROBES = 4;
 
@@ -54,7 +57,7 @@
         }
     }
 
-    /** A ping that this process sends on behalf of another one. */
+    /** A probe in which this process pings a member on behalf of another process. */
     private static final class RelayedProbe {
         private final int requesterIndex;
         private final int requestSequenceNumber;
@@ -137,8 +140,8 @@
             }
             if (!absentPinged) {
                 absentPinged = true;
-                // Tells the process at this address, if there is one, which status it has here, so
-                // that the process can refute that status.
+                // Tells the process at this address, if there is one, which status it has in this
+                // process's view, so that it can refute that status.
                 outbox.sendEssential(addressIndex, Message.Type.PING, 0, "", correctionFor(member));
             }
         }
@@ -168,8 +171,8 @@
     }
 
     /**
-     * Probes one present member whose address is not known here, so that only other members can
-     * ping it.
+     * Probes one present member whose address this process does not know. Only other members can
+     * ping that member.
      */
     private void probeOneWithoutAddress(long nowUs) {
         List<Member> without =
@@ -300,8 +303,8 @@
     }
 
     /**
-     * Returns up to {@code count} distinct present members with a known address, drawn at random,
-     * without this process and the member named {@code excluded}.
+     * Returns up to {@code count} distinct present members with a known address, drawn at random.
+     * This process and the member named {@code excluded} are left out.
      */
     List<Member> pickRandom(int count, String excluded) {
         List<Member> picked = new ArrayList<>();
@@ -369,7 +372,8 @@
      * Handles an acknowledgement of a ping.
      *
      * @param senderIndex index of the address from which the acknowledgement was received
-     * @param current whether the sender is the run that this process knows, and not an earlier one
+     * @param current true if the sender is another member and has the incarnation that this process
+     *     knows for it
      */
     void onAck(int senderIndex, Message ack, boolean current) {
         Probe probe = runningProbes.get(ack.sequenceNumber());
@@ -393,7 +397,7 @@
         }
     }
 
-    /** Handles a helper's report that the target did not answer the helper either. */
+    /** Handles a helper's report that the target of a probe did not answer the helper either. */
     void onNack(Message nack) {
         Probe probe = runningProbes.get(nack.sequenceNumber());
         if (probe != null) {
--- a/src/main/java/passhatch/fleet/RateLimiter.java
+++ b/src/main/java/passhatch/fleet/RateLimiter.java
@@ -1,8 +1,8 @@
 package passhatch.fleet;
 
 /**
- * A token bucket that limits the bytes sent. It holds at most the bytes of one second and refills
- * steadily.
+ * A token bucket that limits how many bytes are sent. It holds at most the bytes that may be sent
+ * in one second, and refills steadily.
  */
 final class RateLimiter {
 
@@ -20,7 +20,8 @@
 
     /**
      * Takes the bytes of a datagram from the bucket. Returns false and takes nothing if the bucket
-     * holds too few.
+     * holds too few bytes. If the datagram is not essential, the reserved fraction must remain in
+     * the bucket.
      */
     boolean tryAcquire(long nowUs, int bytes, boolean essential) {
         availableBytes =
@@ -35,7 +36,7 @@
         return true;
     }
 
-    /** Puts bytes that were taken but not sent back into the bucket. */
+    /** Returns to the bucket the bytes that were taken but not needed. */
     void refund(int bytes) {
         availableBytes += bytes;
     }
--- a/src/main/java/passhatch/fleet/Status.java
+++ b/src/main/java/passhatch/fleet/Status.java
@@ -1,8 +1,9 @@
 package passhatch.fleet;
 
 /**
- * The status of a member. If two updates about the same incarnation differ, the status that is
- * declared later here holds. Only a newer incarnation of the member overrides it.
+ * The status of a member. If two updates about the same incarnation of a member differ, the status
+ * that is declared later in this enum is valid. Only an update about a newer incarnation overrides
+ * it.
  */
 public enum Status {
     /** The member is present. */
--- a/src/main/java/passhatch/fleet/View.java
+++ b/src/main/java/passhatch/fleet/View.java
@@ -7,7 +7,10 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** All members that this process knows, including itself, and their addresses as far as known. */
+/**
+ * All members that this process knows, including itself, and their addresses as far as they are
+ * known.
+ */
 final class View {
 
     /** Maximum number of members; updates about further ones are ignored. */
@@ -35,7 +38,7 @@
     private int presentCount;
 
     /**
-     * Lower bound on the times at which the members that are now failed or left took that status.
+     * Every member that is failed or left took that status at this time or later, in microseconds.
      */
     private long earliestAbsenceUs = Long.MAX_VALUE;
 
@@ -44,8 +47,8 @@
     }
 
     /**
-     * Replaces the content of this view with that of another one. The two views share their state
-     * until either of them changes.
+     * Replaces the content of this view with the content of another view. The two views share their
+     * state until either of them changes.
      */
     void adopt(View other) {
         members = new MemberTable(other.members);
@@ -212,8 +215,8 @@
     }
 
     /**
-     * Switches to a new address list. {@code newIndexes} gives the new index for each old one, or
-     * -1 for an address that was removed.
+     * Switches to a new address list. {@code newIndexes} gives, for each index of the old list, the
+     * index in the new list, or -1 if the address was removed.
      */
     void remap(int[] newIndexes, int addressCount) {
         AddressTable previous = addressTable;
--- a/src/main/java/passhatch/lab/distribution/ConsistencyChecker.java
+++ b/src/main/java/passhatch/lab/distribution/ConsistencyChecker.java
@@ -14,13 +14,16 @@
 import passhatch.distribution.LogEntry;
 
 /**
- * Checks the invariants of docs/distribution.md at every event of a simulation. The checks use the
- * records forced to disk and the versions that processes report as applied, and are independent of
- * the internal state of the state machines.
+ * Checks, at every event of a simulation, the invariants that docs/distribution.md states. The
+ * checks use the records forced to disk and the versions that processes report as applied, and are
+ * independent of the internal state of the state machines.
  */
 public final class ConsistencyChecker implements Observer {
 
-    /** The epoch, the version and the versions of the keys that one process last reported. */
+    /**
+     * The epoch and the version that one process last reported as applied, and the version of each
+     * key.
+     */
     private static final class AppliedState {
         private long epoch;
         private long version;
@@ -235,8 +238,9 @@
     }
 
     /**
-     * Requires that a node runs and has the newest committed values of all keys that it should
-     * hold: those of its services for a subscriber, and otherwise all keys.
+     * Requires that a node runs and has the newest committed value of each key that it should hold.
+     * A subscriber should hold the keys of its services and of the whole fleet; any other node
+     * should hold all keys.
      */
     public void requireConverged(Node node, long epoch) {
         require(node.isUp(), node, "does not run");
--- a/src/main/java/passhatch/lab/distribution/DistributionCommand.java
+++ b/src/main/java/passhatch/lab/distribution/DistributionCommand.java
@@ -13,8 +13,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command {@code distribution}, which simulates the distribution of changes with random faults.
- * The seed determines the faults.
+ * The command {@code distribution}, which simulates the distribution of configuration changes with
+ * random faults. The seed of a run determines its faults.
  */
 @Command(
         name = "distribution",
--- a/src/main/java/passhatch/lab/distribution/Fleet.java
+++ b/src/main/java/passhatch/lab/distribution/Fleet.java
@@ -32,8 +32,8 @@
      * @param replicas number of replicas
      * @param regions number of regions; the replicas are in different regions if there are enough
      *     regions
-     * @param zones number of zones over all regions; each has one relay
-     * @param subscribers number of subscribers over all zones
+     * @param zones total number of zones in all regions; each zone has one relay
+     * @param subscribers total number of subscribers in all zones
      * @param services number of services
      * @param settingsPerService number of keys of each service, 1 to 4
      * @param servicesPerSubscriber number of services that each subscriber subscribes to
@@ -70,7 +70,7 @@
         return shape;
     }
 
-    /** Returns the keys of all services and of the whole fleet. */
+    /** Returns all keys: those of each service, and the one that applies to the whole fleet. */
     public Set<String> keys() {
         Set<String> keys = new TreeSet<>();
         for (int service = 0; service < shape.services(); service++) {
@@ -187,7 +187,10 @@
         return records;
     }
 
-    /** Returns whether a subscriber subscribes to a key. */
+    /**
+     * Returns whether a subscriber subscribes to a key. Every subscriber subscribes to the keys
+     * that apply to the whole fleet.
+     */
     public static boolean subscribesTo(Node subscriber, String key) {
         String service = ConfigKey.serviceOf(key);
         return service == null || subscriber.settings().services().contains(service);
--- a/src/main/java/passhatch/lab/distribution/Network.java
+++ b/src/main/java/passhatch/lab/distribution/Network.java
@@ -5,7 +5,10 @@
 import java.util.function.BiPredicate;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** A simulated network, which decides for each datagram whether, how often and when it arrives. */
+/**
+ * A simulated network. For each datagram, it decides if the datagram is lost or duplicated and how
+ * long it is in transit.
+ */
 public final class Network {
 
     private static final long SAME_ZONE_LATENCY_US = 500;
@@ -20,7 +23,8 @@
      *
      * @param loss fraction of datagrams that are lost
      * @param duplication fraction of datagrams that arrive twice
-     * @param late fraction of datagrams that are delayed, so that later ones may overtake them
+     * @param late fraction of datagrams that are delayed further, so that datagrams sent later may
+     *     overtake them
      */
     public record Quality(double loss, double duplication, double late) {}
 
@@ -70,8 +74,8 @@
     }
 
     /**
-     * Returns whether datagrams can pass from one node to another, that is, no block applies to
-     * them.
+     * Returns true if no block applies to datagrams from one node to another. They may still be
+     * lost at random.
      */
     public boolean connects(Node from, Node to) {
         for (BiPredicate<Node, Node> block : blocked) {
--- a/src/main/java/passhatch/lab/distribution/Node.java
+++ b/src/main/java/passhatch/lab/distribution/Node.java
@@ -147,8 +147,8 @@
     }
 
     /**
-     * Replaces the records on this node's disk with those of a snapshot, if the process runs and
-     * the disk works.
+     * Replaces the records on this node's disk with a snapshot of the process's state, if the
+     * process runs and the disk works.
      */
     public void compact() {
         if (participant != null && diskMode == DiskMode.WORKING && !participant.diskFailed()) {
--- a/src/main/java/passhatch/lab/distribution/RandomRun.java
+++ b/src/main/java/passhatch/lab/distribution/RandomRun.java
@@ -8,8 +8,8 @@
 import passhatch.lab.Seeds;
 
 /**
- * A simulated run of a small fleet with changes and random faults, which the seed determines. At
- * the end, all nodes must converge.
+ * A simulated run of a small fleet with random configuration changes and random faults. The seed
+ * determines the changes and the faults. At the end, all nodes must converge to the same state.
  */
 public final class RandomRun {
 
@@ -31,7 +31,7 @@
     /** Exclusive upper bound on the number of changes in a burst. */
     private static final int BURST_SIZE_BOUND = 60;
 
-    /** On average, one in this many submissions is a burst of several changes. */
+    /** On average, one in this many submissions is a burst, which may have several changes. */
     private static final int SUBMISSIONS_PER_BURST = 50;
 
     /** On average, one in this many changes deletes its key. */
--- a/src/main/java/passhatch/lab/distribution/ReplicaDiskView.java
+++ b/src/main/java/passhatch/lab/distribution/ReplicaDiskView.java
@@ -6,8 +6,8 @@
 import passhatch.distribution.LogEntry;
 
 /**
- * The log on a replica's disk. It is derived from the forced records without the product's code, so
- * that the product can be checked against it.
+ * The log on a replica's disk. It is derived from the records that the replica has forced to disk.
+ * The product's code is not used for this, so that the product can be checked against the result.
  */
 final class ReplicaDiskView {
 
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Returns whether a version is covered by the state with which the log begins, so that the log
-     * has no entry for it.
+     * Returns whether the state with which the log begins covers a version. If it does, the log has
+     * no entry for that version.
      */
     boolean isInBase(long version) {
         return version <= baseVersion;
--- a/src/main/java/passhatch/lab/distribution/SimulatedLease.java
+++ b/src/main/java/passhatch/lab/distribution/SimulatedLease.java
@@ -4,15 +4,16 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Simulates the lease of the duty {@code changes}: it grants the lease to one replica, and to
- * another one if the holder is down or makes no progress. Terms strictly increase. {@link
+ * Simulates the lease of the duty {@code changes}, whose holder leads the distribution of
+ * configuration changes. The lease is granted to one replica. If that replica is down or makes no
+ * progress, the lease is granted to another one. Terms strictly increase. {@link
  * #grantWithoutRevoking} simulates a faulty lease: the previous holder is not notified.
  */
 public final class SimulatedLease {
 
     private static final long CHECK_INTERVAL_US = 200_000;
 
-    /** The default lease duration, which {@link #setLeaseUs} changes. */
+    /** The lease duration in microseconds, unless {@link #setLeaseUs} sets another one. */
     public static final long DEFAULT_LEASE_US = 4_000_000;
 
     private final Simulation simulation;
@@ -24,7 +25,7 @@
     private long stalledSinceUs = Long.MAX_VALUE;
 
     /**
-     * Creates a lease that one of the given replicas can hold. The terms that it grants are greater
+     * Creates a lease that one of the given replicas can hold. The term of each grant is greater
      * than {@code term}.
      */
     public SimulatedLease(
--- a/src/main/java/passhatch/lab/distribution/Simulation.java
+++ b/src/main/java/passhatch/lab/distribution/Simulation.java
@@ -16,8 +16,8 @@
 import passhatch.lab.sim.EventQueue;
 
 /**
- * Simulates the processes of the distribution of changes in virtual time. All random values depend
- * only on the seed, so a run can be repeated.
+ * Simulates, in virtual time, the processes that distribute configuration changes. All random
+ * values depend only on the seed, so a run can be repeated.
  */
 public final class Simulation {
 
@@ -27,7 +27,7 @@
      * Interceptor that replaces or drops messages when they are sent, to simulate a faulty process.
      */
     public interface MessageInterceptor {
-        /** Returns the message to send instead of the given one, or null to drop it. */
+        /** Returns the message to send instead of the given one, or null to drop the message. */
         Message onSend(Node from, Node to, Message message);
     }
 
@@ -105,7 +105,10 @@
         this.interceptor = interceptor;
     }
 
-    /** Sets the listener that is called with the node and its term when a leader steps down. */
+    /**
+     * Sets the listener that is called when a leader steps down. Its arguments are the leader's
+     * node and the term that the leader ends.
+     */
     public void setStepDownListener(BiConsumer<Node, Long> listener) {
         stepDownListener = listener;
     }
--- a/src/main/java/passhatch/lab/fleet/FleetCommand.java
+++ b/src/main/java/passhatch/lab/fleet/FleetCommand.java
@@ -140,8 +140,10 @@
         }
 
         /**
-         * Measures a duration with each seed and prints the median and the longest duration.
-         * Returns exit status 1 if the experiment timed out with any seed, and otherwise 0.
+         * Measures a duration with each seed and prints the median and the longest duration. The
+         * experiment returns the duration in microseconds, or a negative value if it timed out.
+         * Returns exit status 1 if the experiment timed out with at least one seed, and otherwise
+         * 0.
          */
         int measureTimes(PrintWriter out, String description, LongUnaryOperator experiment) {
             List<Long> durationsUs = Collections.synchronizedList(new ArrayList<>());
--- a/src/main/java/passhatch/lab/fleet/FleetExplorer.java
+++ b/src/main/java/passhatch/lab/fleet/FleetExplorer.java
@@ -16,15 +16,15 @@
 import passhatch.lab.Seeds;
 
 /**
- * Draws faults by seed, injects them into a simulated fleet and checks the invariants: updates
- * about a member only get newer, no member is seen as failed without a fault that affects it, and
- * views agree after the last fault.
+ * Draws random faults from a seed, injects them into a simulated fleet and checks the invariants:
+ * updates about a member only get newer, no member is seen as failed without a fault that affects
+ * it, and views agree after the last fault.
  */
 public final class FleetExplorer {
 
     /**
-     * Maximum time from the last fault until all views agree; equal to the target for a partition
-     * that heals.
+     * Maximum time from the last fault until all views agree; equal to the target for the time
+     * after a partition has healed.
      */
     public static final long CONVERGENCE_TIMEOUT_US = 30_000_000;
 
--- a/src/main/java/passhatch/lab/fleet/FleetFault.java
+++ b/src/main/java/passhatch/lab/fleet/FleetFault.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * A fault in a simulated fleet. Its text form is one line: {@code 12000 stop 3 40000} is SIGSTOP of
- * process 3 at 12 s for 40 s.
+ * A fault in a simulated fleet. Its text form is one line: {@code 12000 stop 3 40000} means that
+ * process 3 is stopped as by SIGSTOP at 12 s, for 40 s.
  *
  * @param atMs time since the start of the fault period, in milliseconds
  * @param kind kind of the fault
@@ -15,7 +15,10 @@
  */
 public record FleetFault(long atMs, Kind kind, int target, long value) {
 
-    /** The kind of a fault. The effect of each fault ends or is undone before the run ends. */
+    /**
+     * The kind of a fault. The effect of each fault ends or is undone before the run ends. Where a
+     * kind has a duration, the fault's value gives it in milliseconds.
+     */
     public enum Kind {
         /** The process is killed and is started again after the duration. */
         KILL,
@@ -23,7 +26,7 @@
         LEAVE,
         /** The process is stopped for the duration. */
         STOP,
-        /** The clock of the process jumps forward by the value. */
+        /** The clock of the process jumps forward by the fault's value, in milliseconds. */
         JUMP,
         /**
          * The process is killed, its disk is rolled back by two starts, and it is started again
@@ -41,8 +44,8 @@
          */
         ONE_WAY,
         /**
-         * From the time of the fault on, the network loses as many percent of all datagrams as the
-         * value says, duplicates a tenth and delays a tenth.
+         * From the time of the fault on, the network loses the percentage of datagrams that the
+         * fault's value gives, duplicates a tenth of the datagrams and delays a tenth.
          */
         WEATHER
     }
@@ -56,8 +59,8 @@
     }
 
     /**
-     * Returns whether the fault divides the network, so that processes other than its target may
-     * rightly be seen as failed.
+     * Returns whether the fault divides the network. If it does, any process may rightly be seen as
+     * failed.
      */
     boolean dividesNetwork() {
         return kind == Kind.PARTITION || kind == Kind.ONE_WAY;
--- a/src/main/java/passhatch/lab/fleet/FleetSim.java
+++ b/src/main/java/passhatch/lab/fleet/FleetSim.java
@@ -34,7 +34,7 @@
      */
     private static final int SOCKET_BUFFER_DATAGRAMS = 256;
 
-    /** The send rate limit of a process for which no other limit is given. */
+    /** The send rate limit of a process for which no other limit is given, in bytes per second. */
     public static final long DEFAULT_BYTES_PER_SECOND = 16_384;
 
     /**
@@ -161,7 +161,8 @@
     private long processedEvents;
 
     /**
-     * Creates a fleet in which process i has the i-th of the given settings. No process runs yet.
+     * Creates a fleet in which process i uses the settings at index i of the list. No process runs
+     * yet.
      */
     public FleetSim(long seed, List<FleetSettings> settings) {
         this.seeds = new Seeds(seed);
@@ -260,7 +261,8 @@
     }
 
     /**
-     * Starts a process, unless it already runs, with the epoch that follows the one on its disk.
+     * Starts a process, unless it already runs. The process uses the epoch that follows the one on
+     * its disk.
      */
     public void start(int index) {
         Node node = nodes.get(index);
@@ -299,8 +301,8 @@
     }
 
     /**
-     * Returns how many members are alive or suspect in the view of a running process, including
-     * itself.
+     * Returns how many members are alive or suspect in the view of a running process. The process
+     * itself is counted as well.
      */
     public int presentCount(int index) {
         return nodes.get(index).membership.presentCount();
@@ -490,8 +492,8 @@
     }
 
     /**
-     * Returns whether exactly the participating processes are alive or suspect in the view of each
-     * participating process. A process participates if it runs and is neither stopped nor
+     * Returns true if, in the view of each participating process, exactly the participating
+     * processes are alive or suspect. A process participates if it runs and is neither stopped nor
      * superseded.
      */
     public boolean viewsAreAccurate() {
@@ -506,9 +508,9 @@
     }
 
     /**
-     * Runs the simulation until a condition holds, which is checked at an interval. Returns the
-     * simulated time that passed, in microseconds, or -1 if the condition did not hold within the
-     * timeout.
+     * Runs the simulation until a condition holds. The condition is checked at an interval. Returns
+     * the simulated time that passed, in microseconds, or -1 if the condition did not hold within
+     * the timeout.
      */
     public long runUntil(BooleanSupplier condition, long checkIntervalUs, long timeoutUs) {
         long startUs = nowUs;
