--- a/src/main/java/passhatch/distribution/Participant.java
+++ b/src/main/java/passhatch/distribution/Participant.java
@@ -27,7 +27,7 @@
 
     private final RandomGenerator random;
     private Leader leader;
-    private long flushAtUs;
+    private long commitFlushAtUs;
     private long pushedVersion;
 
     /**
@@ -51,7 +51,7 @@
         view = isReplica ? replica : follower;
         boolean serves = settings.role() != DistributionSettings.Role.SUBSCRIBER;
         source = serves ? new Source(view, actions) : null;
-        flushAtUs = nowUs + Timing.COMMIT_FLUSH_INTERVAL_US;
+        commitFlushAtUs = nowUs + Timing.COMMIT_FLUSH_INTERVAL_US;
         pushedVersion = view.state().version();
     }
 
@@ -77,7 +77,7 @@
 
     /** Returns the time at which the caller has to call {@link #timer}, in microseconds. */
     public long wakeAtUs() {
-        long at = follower == null ? flushAtUs : follower.wakeAtUs();
+        long at = follower == null ? commitFlushAtUs : follower.wakeAtUs();
         at = leader == null ? at : Math.min(at, leader.wakeAtUs());
         at = source == null ? at : Math.min(at, source.wakeAtUs());
         return catchUpFollower == null ? at : Math.min(at, catchUpFollower.wakeAtUs());
@@ -94,14 +94,14 @@
         if (leader != null) {
             leader.timer(nowUs);
         }
-        if (replica != null && nowUs >= flushAtUs) {
+        if (replica != null && nowUs >= commitFlushAtUs) {
             replica.writeCommittedVersion();
-            flushAtUs = nowUs + Timing.COMMIT_FLUSH_INTERVAL_US;
+            commitFlushAtUs = nowUs + Timing.COMMIT_FLUSH_INTERVAL_US;
         }
         if (source != null) {
             source.timer(nowUs);
         }
-        pushIfAdvanced(nowUs);
+        pushNewChanges(nowUs);
     }
 
     /** Handles a received message. */
@@ -117,7 +117,7 @@
                 && settings.replicas().contains(from)) {
             onReplicaMessage(nowUs, from, message);
         }
-        pushIfAdvanced(nowUs);
+        pushNewChanges(nowUs);
     }
 
     private void onSourceMessage(long nowUs, String from, Message message) {
@@ -178,7 +178,7 @@
                         actionsWithoutDisk);
     }
 
-    private void pushIfAdvanced(long nowUs) {
+    private void pushNewChanges(long nowUs) {
         if (source != null && view.state().version() != pushedVersion) {
             pushedVersion = view.state().version();
             source.onStateAdvanced(nowUs);
@@ -192,7 +192,7 @@
      */
     public void leaseGranted(long nowUs, long term) {
         leader = new Leader(settings, term, replica, nowUs, actions);
-        pushIfAdvanced(nowUs);
+        pushNewChanges(nowUs);
     }
 
     /** Stops the leader in this process, because this replica has lost the lease. */
@@ -230,7 +230,7 @@
             throw new InvalidChangeException("this process does not lead; ask another replica");
         }
         long version = leader.submit(nowUs, key, value, ifVersion);
-        pushIfAdvanced(nowUs);
+        pushNewChanges(nowUs);
         return version;
     }
 
--- a/src/main/java/passhatch/distribution/Source.java
+++ b/src/main/java/passhatch/distribution/Source.java
@@ -68,7 +68,7 @@
         } else if (message instanceof Ack ack && ack.epoch() == view.epoch()) {
             FollowerState follower = followers.get(from);
             if (follower != null) {
-                confirm(follower, ack.version());
+                recordConfirmation(follower, ack.version());
                 pushChanges(nowUs, from, follower);
             }
         }
@@ -112,7 +112,7 @@
         }
     }
 
-    private static void confirm(FollowerState follower, long version) {
+    private static void recordConfirmation(FollowerState follower, long version) {
         if (version > follower.confirmedVersion) {
             follower.confirmedVersion = version;
             follower.sentVersion = Math.max(follower.sentVersion, version);
--- a/src/main/java/passhatch/duty/Candidate.java
+++ b/src/main/java/passhatch/duty/Candidate.java
@@ -17,7 +17,7 @@
     private static final int REQUESTS_PER_LEASE = 4;
 
     /** Divisor of the lease that gives the minimum backoff after a failed request. */
-    private static final int MIN_BACKOFF_DIVISOR = 32;
+    private static final int LEASE_TO_MIN_BACKOFF_RATIO = 32;
 
     /**
      * Maximum number of attempts in quick succession after another holder has handed the duty over
@@ -26,7 +26,7 @@
      */
     private static final int MAX_ACQUIRE_ATTEMPTS = 20;
 
-    private static final int ACQUIRE_RETRY_DIVISOR = 256;
+    private static final int LEASE_TO_ACQUIRE_RETRY_RATIO = 256;
 
     private enum Phase {
         IDLE,
@@ -74,8 +74,8 @@
         this.holder = holder;
         this.random = random;
         this.actions = actions;
-        this.rankDelayUs = rank * (settings.leaseUs() / MIN_BACKOFF_DIVISOR);
-        this.backoffUs = settings.leaseUs() / MIN_BACKOFF_DIVISOR;
+        this.rankDelayUs = rank * (settings.leaseUs() / LEASE_TO_MIN_BACKOFF_RATIO);
+        this.backoffUs = settings.leaseUs() / LEASE_TO_MIN_BACKOFF_RATIO;
     }
 
     /** Returns the number of voters that have to grant a term. */
@@ -214,7 +214,7 @@
         wakeAtUs = Math.min(leaseUntilUs, lastRequestUs + settings.leaseUs() / REQUESTS_PER_LEASE);
         if (phase == Phase.ASKING) {
             phase = Phase.HOLDING;
-            backoffUs = settings.leaseUs() / MIN_BACKOFF_DIVISOR;
+            backoffUs = settings.leaseUs() / LEASE_TO_MIN_BACKOFF_RATIO;
             acquireAttemptsLeft = 0;
             actions.dutyAcquired(term);
         }
@@ -240,13 +240,13 @@
         if (acquireAttemptsLeft > 0) {
             acquireAttemptsLeft--;
             phase = Phase.WAITING;
-            wakeAtUs = nowUs + settings.leaseUs() / ACQUIRE_RETRY_DIVISOR;
+            wakeAtUs = nowUs + settings.leaseUs() / LEASE_TO_ACQUIRE_RETRY_RATIO;
         } else {
             // If another process holds the duty, the voters report when its lease ends, and the
             // minimum backoff is enough. After a split vote the backoff is doubled.
             backoffUs =
                     maxRefusalWaitUs > 0
-                            ? settings.leaseUs() / MIN_BACKOFF_DIVISOR
+                            ? settings.leaseUs() / LEASE_TO_MIN_BACKOFF_RATIO
                             : Math.min(2 * backoffUs, settings.leaseUs());
             scheduleRequest(nowUs, maxRefusalWaitUs);
         }
--- a/src/main/java/passhatch/lab/drill/ChangesTestbed.java
+++ b/src/main/java/passhatch/lab/drill/ChangesTestbed.java
@@ -68,14 +68,14 @@
             %srole = "replica"
             replicas = [%s]
             """
-                    .formatted(LEASE_MS, changes, addresses(index, List.of(0, 1, 2)));
+                    .formatted(LEASE_MS, changes, toTomlAddresses(index, List.of(0, 1, 2)));
         }
         if (isRelay(index)) {
             int first = index % REPLICA_COUNT;
             List<Integer> sources =
                     List.of(first, (first + 1) % REPLICA_COUNT, (first + 2) % REPLICA_COUNT);
             return "%srole = \"relay\"\nsources = [%s]\n"
-                    .formatted(changes, addresses(index, sources));
+                    .formatted(changes, toTomlAddresses(index, sources));
         }
         int first = index % RELAY_COUNT;
         List<Integer> sources =
@@ -86,14 +86,18 @@
         publish = "%s"
         sources = [%s]
         """
-                .formatted(changes, serviceOf(index), valuesFile(index), addresses(index, sources));
+                .formatted(
+                        changes,
+                        serviceOf(index),
+                        valuesFile(index),
+                        toTomlAddresses(index, sources));
     }
 
     /**
      * Returns the addresses at which one agent reaches other agents through the relay, as a list in
      * TOML. If the agent itself is among them, its real address is used.
      */
-    private String addresses(int observer, List<Integer> indices) {
+    private String toTomlAddresses(int observer, List<Integer> indices) {
         return indices.stream()
                 .map(
                         n ->
@@ -228,11 +232,12 @@
                                                 field ->
                                                         values.put(
                                                                 field.getKey(),
-                                                                withVersion(field.getValue()))));
+                                                                formatWithVersion(
+                                                                        field.getValue()))));
         return values;
     }
 
-    private static String withVersion(JsonNode value) {
+    private static String formatWithVersion(JsonNode value) {
         return value.get("value").textValue() + "@" + value.get("version").asLong();
     }
 
--- a/src/main/java/passhatch/lab/drill/GaugeCommand.java
+++ b/src/main/java/passhatch/lab/drill/GaugeCommand.java
@@ -33,7 +33,7 @@
 final class GaugeCommand implements Callable<Integer> {
 
     private static final long SERVICE_TIME_US = 200;
-    private static final double WARM_UP_RATE = 2_000;
+    private static final double WARM_UP_REQUESTS_PER_SECOND = 2_000;
     private static final int CONNECTIONS = 256;
 
     @Spec private CommandSpec spec;
@@ -92,7 +92,7 @@
         backends.forEach(b -> proxyPool.setAdmitted(backends.indexOf(b), true));
         try {
             // A JVM that has just started is slow, so a warm-up run comes before the measurement.
-            runLoad(WARM_UP_RATE, 3, proxyPool, seeds);
+            runLoad(WARM_UP_REQUESTS_PER_SECOND, 3, proxyPool, seeds);
             LoadStats loadStats = runLoad(rate, seconds, proxyPool, seeds);
             spec.commandLine()
                     .getOut()
--- a/src/main/java/passhatch/lab/drill/ResultEvaluator.java
+++ b/src/main/java/passhatch/lab/drill/ResultEvaluator.java
@@ -21,7 +21,7 @@
      * Minimum share of requests in a window that have to be served for the service to count as
      * recovered.
      */
-    private static final double RECOVERED_RATIO = 0.95;
+    private static final double MIN_SERVED_RATIO = 0.95;
 
     /**
      * Number of steps of the load statistics in a window. A window is used because single steps may
@@ -143,7 +143,7 @@
                 offered += step.offered();
                 served += step.count(Outcome.SERVED);
             }
-            if (served < RECOVERED_RATIO * offered
+            if (served < MIN_SERVED_RATIO * offered
                     && steps.get(i).count(Outcome.SERVED) < steps.get(i).offered()) {
                 lastBad = i;
             }
--- a/src/main/java/passhatch/lab/drill/ScenarioReader.java
+++ b/src/main/java/passhatch/lab/drill/ScenarioReader.java
@@ -253,14 +253,17 @@
                 List<String> given, String prefix, String all, int count, String key) {
             boolean known =
                     given.stream()
-                            .allMatch(name -> name.equals(all) || isNumbered(name, prefix, count));
+                            .allMatch(
+                                    name ->
+                                            name.equals(all)
+                                                    || isNumberedName(name, prefix, count));
             require(
                     !given.isEmpty() && known,
                     key,
                     prefix + "-1 to " + prefix + "-" + count + ", or " + all);
         }
 
-        private static boolean isNumbered(String name, String prefix, int count) {
+        private static boolean isNumberedName(String name, String prefix, int count) {
             return name.matches(prefix + "-[1-9]\\d{0,3}")
                     && Integer.parseInt(name.substring(prefix.length() + 1)) <= count;
         }
