--- a/src/main/java/passhatch/distribution/ConfigKey.java
+++ b/src/main/java/passhatch/distribution/ConfigKey.java
@@ -26,7 +26,7 @@
         return text.length() <= MAX_KEY_LENGTH && KEY_PATTERN.matcher(text).matches();
     }
 
-    /** Returns whether a value is within the size limit. */
+    /** Returns whether a text is within the size limit of a value. */
     public static boolean isValue(String text) {
         return text.length() <= MAX_VALUE_BYTES
                 && text.getBytes(StandardCharsets.UTF_8).length <= MAX_VALUE_BYTES;
--- a/src/main/java/passhatch/distribution/ConfigState.java
+++ b/src/main/java/passhatch/distribution/ConfigState.java
@@ -8,9 +8,10 @@
 
 /**
  * The committed state at a version: the newest entry of each key. Deleted keys are kept as
- * tombstones, so that a delta can include the deletion. When there are too many tombstones, the
- * oldest are dropped. A delta then lacks the dropped deletions, so a follower with a version below
- * {@link #minDeltaVersion} needs the whole state.
+ * tombstones, so that a delta, which contains the changes since a follower's version, can include
+ * the deletions. When there are too many tombstones, the oldest are dropped. A delta then lacks the
+ * dropped deletions, so a follower with a version below {@link #minDeltaVersion} needs the whole
+ * state.
  */
 final class ConfigState {
 
@@ -40,8 +41,8 @@
     }
 
     /**
-     * Clears the state and sets its version, the term of that version, and the minimum version of a
-     * follower that a delta can serve.
+     * Removes all entries and sets the version of the state, the term of that version, and the
+     * minimum version that a follower needs in order to be updated by a delta.
      */
     void reset(long newVersion, long newTerm, long newMinDeltaVersion) {
         entriesByKey.clear();
@@ -53,8 +54,8 @@
     }
 
     /**
-     * Adds one entry, unless the state has an entry of the same key with the same or a higher
-     * version. The version of the state does not change.
+     * Adds one entry, unless the state already has an entry of the same key with the same or a
+     * higher version. This method does not change the version of the state.
      */
     void putIfNewer(LogEntry entry) {
         if (entry.isNoOperation()) {
--- a/src/main/java/passhatch/distribution/DatagramBudget.java
+++ b/src/main/java/passhatch/distribution/DatagramBudget.java
@@ -11,8 +11,8 @@
 final class DatagramBudget {
 
     /**
-     * Maximum total size of the entries in a message, in bytes; valid for messages that contain no
-     * key apart from the entries.
+     * Maximum total size of the entries in a message, in bytes. The value applies to messages that
+     * contain no key outside their entries.
      */
     static final int MAX_ENTRIES_BYTES = 182;
 
--- a/src/main/java/passhatch/distribution/DiskRecord.java
+++ b/src/main/java/passhatch/distribution/DiskRecord.java
@@ -8,12 +8,13 @@
  */
 public sealed interface DiskRecord {
 
-    /** The replica has promised to accept no leader of a lower term. */
+    /** The replica has promised to accept no leader of a term below {@code term}. */
     record Promised(long epoch, long term) implements DiskRecord {}
 
     /**
-     * The replica counts towards majorities, because an operator initialized it or because the
-     * epoch was raised.
+     * The replica counts towards majorities in this epoch. The record is written when an operator
+     * initializes the replica, or when a replica that was initialized in an earlier epoch starts
+     * with a higher epoch.
      */
     record Initialized(long epoch) implements DiskRecord {}
 
@@ -27,21 +28,24 @@
     record Committed(long epoch, long version) implements DiskRecord {}
 
     /**
-     * The follower has applied all committed changes up to a version; {@code entries} are the ones
-     * that it keeps.
+     * The follower has applied all committed changes up to {@code uptoVersion}.
+     *
+     * @param uptoTerm term of the log entry at {@code uptoVersion}
+     * @param entries the newly applied changes, without those whose keys the follower does not keep
      */
     record Applied(long epoch, long uptoVersion, long uptoTerm, List<LogEntry> entries)
             implements DiskRecord {}
 
     /**
-     * The committed state is replaced by the state at this version; the {@link Content} records
-     * that follow hold its entries.
+     * The committed state is replaced by the state at {@code version}. The {@link Content} records
+     * that follow hold the entries of the new state.
      *
-     * @param minDeltaVersion minimum version of a follower that a delta can serve
+     * @param minDeltaVersion minimum version that a follower needs in order to be updated by a
+     *     delta; a follower with a lower version needs the whole state
      */
     record Reset(long epoch, long version, long versionTerm, long minDeltaVersion)
             implements DiskRecord {}
 
-    /** Entries of the state that the preceding {@link Reset} begins. */
+    /** Entries of the state that the preceding {@link Reset} record announces. */
     record Content(List<LogEntry> entries) implements DiskRecord {}
 }
--- a/src/main/java/passhatch/distribution/DiskRecordCodec.java
+++ b/src/main/java/passhatch/distribution/DiskRecordCodec.java
@@ -17,8 +17,8 @@
 import passhatch.fleet.CborReader;
 
 /**
- * Encodes each disk record as a CBOR array that begins with the format version and the kind of the
- * record, and decodes it. Later versions of the program may add fields at the end of an array;
+ * Encodes and decodes disk records. Each record is a CBOR array that begins with the format version
+ * and the kind of the record. Later versions of the program may add fields at the end of an array;
  * decoding ignores fields that it does not know.
  */
 public final class DiskRecordCodec {
@@ -110,7 +110,7 @@
     /**
      * Decodes a record.
      *
-     * @throws IOException if the bytes are not a valid record, or have a newer format
+     * @throws IOException if the bytes are not a valid record, or have a newer format version
      */
     public static DiskRecord decode(byte[] bytes) throws IOException {
         try (JsonParser parser = CBOR.createParser(bytes)) {
--- a/src/main/java/passhatch/distribution/DistributionActions.java
+++ b/src/main/java/passhatch/distribution/DistributionActions.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Actions that a participant requests from its host. */
+/** Actions that a {@link Participant} requests from its host, the code that runs it. */
 public interface DistributionActions {
 
     /** Sends a message to a peer as a datagram, which may get lost. */
@@ -11,12 +11,12 @@
     /**
      * Writes records to disk and returns once they are durable.
      *
-     * @return false if the records may not be on disk; the participant then no longer relies on the
-     *     disk
+     * @return false if it is not certain that the records are on disk; the participant then no
+     *     longer relies on the disk
      */
     boolean force(List<DiskRecord> records);
 
-    /** Reports that the applied state has reached a newer version. */
+    /** Reports that the state that the participant has applied has reached this newer version. */
     default void versionApplied(long epoch, long version) {}
 
     /**
@@ -26,8 +26,8 @@
     default void changeCommitted(long version) {}
 
     /**
-     * Reports that the leader in this process can no longer lead in this term; the host should
-     * release its lease.
+     * Reports that the leader in this process can no longer lead in this term. The host should then
+     * release the lease that makes this process the leader.
      */
     default void leaderSteppedDown(long term, String reason) {}
 }
--- a/src/main/java/passhatch/distribution/DistributionSettings.java
+++ b/src/main/java/passhatch/distribution/DistributionSettings.java
@@ -4,12 +4,13 @@
 import java.util.List;
 
 /**
- * Settings of a participant in the distribution of changes.
+ * Settings of a participant in the distribution of configuration changes.
  *
- * @param name name of this participant, for operators
+ * @param name name of this participant, which is shown to operators
  * @param role role of this participant
  * @param epoch epoch of the log, 1 or more; an operator raises it to initialize a new log
- * @param self address of this participant, as in {@code replicas}; used only if it is a replica
+ * @param self address of this participant, as listed in {@code replicas}; used only if this
+ *     participant is a replica
  * @param replicas addresses of all replicas; their number is odd
  * @param sources addresses of the sources that this participant may follow, the preferred one
  *     first; empty for a replica
--- a/src/main/java/passhatch/distribution/Follower.java
+++ b/src/main/java/passhatch/distribution/Follower.java
@@ -13,16 +13,17 @@
 
 /**
  * Keeps a copy of the committed state, or of its entries for some services, up to date by polling
- * one of several sources. A follower applies only versions above its own, so that duplicates,
- * reordering and sources that are behind cannot replace a newer value by an older one.
+ * one of several sources. A follower applies only changes above the version that it already has. So
+ * duplicated or reordered datagrams, or a source with an older state, cannot replace a newer value
+ * by an older one.
  */
 final class Follower implements CommittedView {
 
     private static final int MAX_TOMBSTONES = 4_096;
 
     /**
-     * Maximum number of early deltas that are kept: twice the maximum number of unconfirmed
-     * datagrams of a source.
+     * Maximum number of deltas that are kept while earlier deltas are missing: twice the maximum
+     * number of datagrams that a source sends to a follower before it confirms them.
      */
     private static final int MAX_EARLY_DELTAS = 32;
 
@@ -36,8 +37,8 @@
     private long epoch;
 
     /**
-     * Deltas that cannot be applied until the deltas before them arrive, by the version after which
-     * they begin.
+     * Deltas that cannot be applied until the deltas before them arrive. The map's key is the
+     * version after which a delta begins.
      */
     private final TreeMap<Long, Delta> earlyDeltas = new TreeMap<>();
 
@@ -47,12 +48,12 @@
     private long lastPollUs;
 
     /**
-     * Time at which the current source last replied; the time at which it was chosen if it has not
-     * replied yet.
+     * Time at which the current source last replied; if this source has not replied yet, the time
+     * at which the follower switched to it.
      */
     private long lastReplyUs;
 
-    /** Age of its state in microseconds, as the current source last reported it. */
+    /** Age of the current source's state in microseconds, as the source last reported it. */
     private long sourceAgeUs;
 
     /** Latest time at which the state of this follower is known to have been current. */
@@ -60,10 +61,13 @@
 
     private boolean sourceIsBehind;
 
-    /** Number of consecutive times that the source was found stale. */
+    /**
+     * Number of consecutive checks in which the current source was stale: its state was too old, or
+     * behind the state of this follower.
+     */
     private int consecutiveStaleSources;
 
-    /** Time until which the follower stays with its source even if that source is stale. */
+    /** Time until which the follower does not switch to another source because of a stale state. */
     private long toleratesStaleUntilUs;
 
     private long returnToPreferredAtUs = Long.MAX_VALUE;
@@ -72,8 +76,9 @@
     /**
      * Creates a follower from the records on its disk.
      *
-     * @param filter sent to the sources; accepts at least the wanted keys
-     * @param wantedKeys tells which keys the follower keeps
+     * @param filter filter that is sent to the sources; it accepts all wanted keys, and sometimes
+     *     other keys
+     * @param wantedKeys accepts the keys whose entries the follower keeps
      * @param records contents of the disk; the follower serves them until it receives newer changes
      */
     Follower(
@@ -260,7 +265,7 @@
         earlyDeltas.put(delta.afterVersion(), delta);
     }
 
-    /** Applies the early deltas that can now be applied to the current version. */
+    /** Applies those of the {@link #earlyDeltas} that no longer wait for a missing delta. */
     private void applyEarlyDeltas() {
         for (Map.Entry<Long, Delta> next = earlyDeltas.pollFirstEntry();
                 next != null;
@@ -337,8 +342,8 @@
     }
 
     /**
-     * Writes records to disk. The caller applies the changes even if the disk fails, because a
-     * follower can fetch a lost copy again.
+     * Writes records to disk. The caller applies the changes even if the write fails, because a
+     * follower that has lost its copy can fetch the state again.
      */
     private void force(List<DiskRecord> records) {
         if (!diskFailed) {
--- a/src/main/java/passhatch/distribution/IncomingSnapshot.java
+++ b/src/main/java/passhatch/distribution/IncomingSnapshot.java
@@ -8,12 +8,15 @@
 import passhatch.distribution.Message.SnapshotPart;
 
 /**
- * A snapshot that is being received from one source in several parts. Parts that arrive too early
- * are kept until the parts before them arrive, so that only lost parts have to be sent again.
+ * A snapshot that is being received from one source in several parts. A part that arrives before
+ * earlier parts is kept until these arrive, so that only lost parts have to be sent again.
  */
 final class IncomingSnapshot {
 
-    /** Maximum number of early parts that are kept; equal to two bursts of a source. */
+    /**
+     * Maximum number of parts that are kept while earlier parts are missing: twice the number of
+     * parts that a source sends in reply to one poll.
+     */
     private static final int MAX_EARLY_PARTS = 64;
 
     private final String source;
@@ -41,8 +44,8 @@
     }
 
     /**
-     * Returns the version up to which the snapshot contains all changes; some of its entries may be
-     * newer.
+     * Returns the version up to which the snapshot contains all changes; some entries of the
+     * snapshot may be newer.
      */
     long version() {
         return version;
@@ -56,7 +59,10 @@
         return entries;
     }
 
-    /** Returns the key up to which all parts have been received; empty at the start. */
+    /**
+     * Returns the key of the last entry that was received without a gap before it; empty until
+     * there is such an entry.
+     */
     String cursor() {
         return cursor;
     }
@@ -65,16 +71,21 @@
         return complete;
     }
 
-    /** Returns whether a part can belong to this snapshot. */
+    /**
+     * Returns whether a part comes from this snapshot's source, in the same epoch and with the same
+     * or a higher version.
+     */
     boolean accepts(String from, SnapshotPart part) {
         return source.equals(from) && part.epoch() == epoch && part.version() >= version;
     }
 
     /**
-     * Adds a part; if it is the next one in order, also adds the early parts that follow it.
+     * Adds a part if all parts before it have been added, and then adds the kept parts that follow
+     * it. Otherwise, keeps the part until the parts before it arrive.
      *
-     * @param wantedKeys tells which keys to keep
-     * @return whether the last part of a burst was added, so that the next burst can be requested
+     * @param wantedKeys accepts the keys whose entries are kept
+     * @return true if the last part of a burst was added, so that the next burst can be requested;
+     *     a burst is the parts that the source sends in reply to one poll
      */
     boolean addPart(SnapshotPart part, Predicate<String> wantedKeys) {
         if (earlyParts.size() >= MAX_EARLY_PARTS) {
--- a/src/main/java/passhatch/distribution/InvalidChangeException.java
+++ b/src/main/java/passhatch/distribution/InvalidChangeException.java
@@ -1,8 +1,8 @@
 package passhatch.distribution;
 
 /**
- * Thrown when a change is rejected before any replica has stored it; the message gives the reason
- * in one line.
+ * Thrown when a configuration change is rejected before any replica has stored it. The message
+ * gives the reason in one line.
  */
 public final class InvalidChangeException extends Exception {
 
--- a/src/main/java/passhatch/distribution/Leader.java
+++ b/src/main/java/passhatch/distribution/Leader.java
@@ -13,23 +13,26 @@
 import passhatch.distribution.Message.Prepared;
 
 /**
- * The leader of one term, which appends changes to the log. First, a leader has a majority of
- * replicas promise to reject lower terms. Next, the leader adopts the most complete log of this
- * majority, which contains every committed entry. An entry is committed once a majority has stored
- * it and a majority has stored an entry of this term at the same or a higher version.
+ * The leader of the replicas in one term, which appends changes to the log. First, the leader asks
+ * the replicas to promise to reject leaders of lower terms, until a majority has promised. Next,
+ * the leader adopts the most complete log of this majority. That log contains every committed
+ * entry. An entry is committed once a majority has stored it and a majority has stored an entry of
+ * this term at the same or a higher version.
  */
 final class Leader {
 
-    /** Maximum number of entries sent to a replica that it has not confirmed. */
+    /** Maximum number of entries that are sent to a replica before the replica confirms them. */
     private static final int MAX_UNCONFIRMED_ENTRIES = 64;
 
     /**
-     * Maximum number of repeated log requests without a reply; after that the leader sends a
-     * prepare message to all replicas again.
+     * Maximum number of times that a log request is repeated if there is no reply. After that, the
+     * leader sends a prepare message to all replicas again.
      */
     private static final int MAX_LOG_REQUEST_RETRIES = 5;
 
-    /** Maximum number of uncommitted entries; the leader rejects further changes. */
+    /**
+     * Maximum number of uncommitted entries. While there are this many, the leader rejects changes.
+     */
     private static final int MAX_UNCOMMITTED_ENTRIES = 1_024;
 
     private enum Phase {
@@ -48,7 +51,9 @@
         private boolean voting;
 
         /**
-         * Whether the leader does not know yet up to which entry the replica's log matches its own.
+         * True until the leader knows up to which entry the replica's log matches the leader's log,
+         * and again after the replica has rejected an append. While this is true, appends to the
+         * replica contain no entries.
          */
         private boolean probing = true;
     }
@@ -188,8 +193,8 @@
             requestLog(nowUs);
             return;
         }
-        // Preparing again is safe: no replica that still accepts this term has accepted entries
-        // of another leader since the first time, and this leader has not appended any.
+        // Preparing again is safe: a replica that still accepts this term has accepted no entries
+        // of another leader since it promised this term, and this leader has appended no entries.
         phase = Phase.PREPARING;
         adoptedFrom = null;
         preparedReplies.clear();
@@ -312,7 +317,8 @@
     }
 
     /**
-     * Sends the entries that a replica lacks, within the limit of unconfirmed entries.
+     * Sends a replica the entries that it lacks, until {@link #MAX_UNCONFIRMED_ENTRIES} entries are
+     * unconfirmed.
      *
      * @param always whether to send a message even if there are no entries to send
      */
@@ -321,8 +327,8 @@
         if (peer.nextVersion <= log.baseVersion()) {
             if (always) {
                 actions.send(name, new Behind(settings.epoch(), term));
-                // The replica rejects this append until it has fetched the committed state. Once
-                // the replica accepts an append, the leader knows that it has the state.
+                // The replica rejects such an append until it has fetched the committed state. By
+                // accepting an append, the replica shows the leader that it has the state.
                 peer.probing = true;
                 peer.nextVersion = log.baseVersion() + 1;
                 sendAppend(nowUs, name, peer, List.of());
@@ -392,8 +398,8 @@
         if (version + 1 < peer.nextVersion && version >= peer.matchingVersion) {
             peer.probing = true;
             peer.nextVersion = version + 1;
-            // If the entries are no longer retained, the next heartbeat is soon enough: until
-            // then the replica would give the same reply.
+            // If the leader no longer retains the entries, it sends nothing until the next
+            // heartbeat, because the replica would only give the same reply again.
             replicate(nowUs, from, peer, peer.nextVersion > replica.log().baseVersion());
         }
     }
--- a/src/main/java/passhatch/distribution/Message.java
+++ b/src/main/java/passhatch/distribution/Message.java
@@ -4,8 +4,8 @@
 
 /**
  * A message between replicas, relays or subscribers. Each message contains the epoch of the log. An
- * operator raises the epoch when a new log is initialized, and versions are comparable only within
- * one epoch.
+ * operator raises the epoch to initialize a new log, so versions are comparable only within one
+ * epoch.
  */
 public sealed interface Message {
 
@@ -89,20 +89,21 @@
     /**
      * Replica to leader: the reply to an {@link Append}.
      *
-     * @param term term of the leader; if the append was rejected because of its term, the promised
-     *     term
-     * @param accepted whether the replica has the entries in its log, which then is identical to
-     *     the leader's up to {@code version}
+     * @param term term of the {@link Append}; if the append was rejected because that term is too
+     *     low, the term that the replica has promised
+     * @param accepted true if the replica has the entries of the append in its log; the log is then
+     *     identical to the leader's log up to {@code version}
      * @param version if accepted, the version of the last entry that matches the leader's log; if
      *     rejected, the version after which the leader should retry
-     * @param voting whether the replica counts towards majorities; false if it lost its disk
+     * @param voting whether the replica counts towards majorities; false if it was never
+     *     initialized or has lost its disk
      */
     record Appended(long epoch, long term, boolean accepted, long version, boolean voting)
             implements Message {}
 
     /**
-     * Replica to replica: the log entries that the receiver lacks are no longer retained, so it has
-     * to fetch the committed state instead.
+     * Replica to replica: the sender no longer retains the log entries that the receiver lacks, so
+     * the receiver has to fetch the committed state instead.
      */
     record Behind(long epoch, long term) implements Message {}
 
@@ -110,10 +111,10 @@
      * Follower to source, sent periodically: reports the version that the follower has and requests
      * newer changes.
      *
-     * @param cursor the key up to which a snapshot in progress has been received; null if there is
-     *     none
+     * @param cursor key of the last entry that the follower has received of an incomplete snapshot;
+     *     null if there is no such entry
      * @param filter accepts the keys that the follower subscribes to
-     * @param name name of the follower, for operators
+     * @param name name of the follower, which is shown to operators
      */
     record Poll(long epoch, long version, String cursor, ServiceFilter filter, String name)
             implements Message {}
--- a/src/main/java/passhatch/distribution/MessageCodec.java
+++ b/src/main/java/passhatch/distribution/MessageCodec.java
@@ -24,9 +24,9 @@
 import passhatch.fleet.Names;
 
 /**
- * Encodes each message of the distribution protocol as a datagram, which is a frame that contains a
- * CBOR array, and decodes it. Later versions of the program may add fields at the end of an array;
- * decoding ignores fields that it does not know.
+ * Encodes and decodes the messages of the distribution protocol. Each message is sent as one
+ * datagram, a frame that contains a CBOR array. Later versions of the program may add fields at the
+ * end of an array; decoding ignores fields that it does not know.
  */
 public final class MessageCodec {
 
--- a/src/main/java/passhatch/distribution/Participant.java
+++ b/src/main/java/passhatch/distribution/Participant.java
@@ -20,8 +20,8 @@
     private final CommittedView view;
 
     /**
-     * Fetches the committed state from the leader if this replica lacks entries that the leader no
-     * longer retains; null otherwise.
+     * Fetches the committed state from the leader while this replica lacks entries that the leader
+     * no longer retains; null at all other times.
      */
     private Follower catchUpFollower;
 
@@ -152,8 +152,8 @@
         if (catchUpFollower != null && catchUpFollower.source().equals(leaderAddress)) {
             return;
         }
-        // This follower does not write to disk, because the replica writes the state when it
-        // installs it.
+        // This follower does not write to disk, because the replica writes the state to disk when
+        // it installs the state.
         DistributionActions actionsWithoutDisk =
                 new DistributionActions() {
                     @Override
@@ -204,11 +204,11 @@
     }
 
     /**
-     * Lets this replica count towards majorities although its disk is empty. An operator requests
-     * this when a log is initialized.
+     * Lets this replica count towards majorities although its disk holds no initialization record.
+     * An operator requests this when a log is initialized.
      *
-     * @return false if this replica counts already, its disk fails, or this process is not a
-     *     replica
+     * @return false if this replica counts towards majorities already, its disk fails, or this
+     *     process is not a replica
      */
     public boolean initialize() {
         return replica != null && replica.initialize();
--- a/src/main/java/passhatch/distribution/Replica.java
+++ b/src/main/java/passhatch/distribution/Replica.java
@@ -14,8 +14,8 @@
  * One replica of the log. Entries are appended as in Raft (Ongaro and Ousterhout, 2014): a replica
  * appends entries only after an entry that the leader has as well, and writes them to disk before
  * it confirms them. Unlike in Raft, replicas do not elect the leader: the holder of a lease is the
- * leader, and its term is the fencing token of the lease. Replicas reject a leader whose term is
- * lower than one that they have promised.
+ * leader, and its term is the fencing token of the lease. A replica rejects a leader whose term is
+ * lower than the term that the replica has promised.
  */
 final class Replica implements CommittedView {
 
@@ -97,7 +97,7 @@
      * Lets this replica count towards majorities although its disk holds no initialization record.
      * An operator requests this once, when the log is initialized.
      *
-     * @return false if this replica counts already or its disk fails
+     * @return false if this replica counts towards majorities already, or its disk fails
      */
     boolean initialize() {
         if (initialized || !force(List.of(new DiskRecord.Initialized(epoch)))) {
@@ -245,7 +245,8 @@
     }
 
     /**
-     * Stores the entries of a leader. Entries of this replica that differ from them are replaced.
+     * Stores entries of the leader in this replica's log. Entries of the log that differ from the
+     * leader's entries are replaced.
      *
      * @return false if the entries cannot be written to disk
      */
@@ -274,7 +275,10 @@
         return true;
     }
 
-    /** Applies the entries up to a version. The caller knows that a majority has stored them. */
+    /**
+     * Applies all entries up to a version. Callers must know that a majority has stored these
+     * entries.
+     */
     void commit(long version) {
         if (version <= state.version()) {
             return;
@@ -306,10 +310,10 @@
     }
 
     /**
-     * Installs the committed state of another replica, because this replica lacks entries that are
-     * no longer retained. If this replica's log has an entry of the same term at the version of
-     * that state, the log is kept: it is identical up to that version, and later entries may have
-     * been confirmed to a leader. Otherwise the log is replaced.
+     * Installs the committed state of the leader, because this replica lacks entries that the
+     * leader no longer retains. If this replica's log has an entry with the version and the term of
+     * that state, the log is kept: it is identical to the leader's log up to that version, and this
+     * replica may have confirmed later entries to a leader. Otherwise the state replaces the log.
      */
     void installState(ConfigState other) {
         if (other.version() <= state.version()) {
--- a/src/main/java/passhatch/distribution/ServiceFilter.java
+++ b/src/main/java/passhatch/distribution/ServiceFilter.java
@@ -7,8 +7,9 @@
 
 /**
  * A Bloom filter (Bloom, 1970) of the services whose keys a follower subscribes to. The size of the
- * filter does not depend on the number or names of the services. With 30 services the filter
- * accepts about one in seventy of the other keys; the follower drops these.
+ * filter does not depend on the number or names of the services. A filter for 30 services also
+ * accepts about one in seventy of the keys of other services; the follower drops the entries of
+ * these keys.
  */
 public final class ServiceFilter {
 
@@ -43,7 +44,7 @@
     }
 
     /**
-     * Returns the filter that {@link #encode} has encoded.
+     * Decodes a filter that {@link #encode} has encoded.
      *
      * @param encoded {@link #BYTES} bytes
      */
--- a/src/main/java/passhatch/distribution/Setting.java
+++ b/src/main/java/passhatch/distribution/Setting.java
@@ -5,8 +5,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The settings that a change can set in this version of the program, with the bounds of their
- * values.
+ * The settings that a configuration change can set in this version of the program, with the bounds
+ * of their values.
  */
 public enum Setting {
     /** Maximum time that a call may take, in milliseconds. */
@@ -28,7 +28,7 @@
         this.maxValue = maxValue;
     }
 
-    /** Returns the name of this setting in keys, where it is the last part. */
+    /** Returns the name of this setting in lower case, as it stands in the last part of a key. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/passhatch/distribution/Source.java
+++ b/src/main/java/passhatch/distribution/Source.java
@@ -16,12 +16,14 @@
 final class Source {
 
     /**
-     * Maximum number of followers. Any further follower gets no reply, and so switches to its next
-     * source.
+     * Maximum number of followers. A further follower gets no reply, and therefore switches to
+     * another source.
      */
     private static final int MAX_FOLLOWERS = 4_096;
 
-    /** Maximum number of datagrams with deltas that one follower has not confirmed. */
+    /**
+     * Maximum number of datagrams with deltas that are sent to a follower before it confirms them.
+     */
     private static final int MAX_UNCONFIRMED_DATAGRAMS = 16;
 
     /** Maximum number of snapshot parts sent in reply to one poll. */
@@ -128,8 +130,9 @@
     }
 
     /**
-     * Sends a follower the changes that it subscribes to and was not sent yet; returns whether
-     * there were any.
+     * Sends a follower those changes to its subscribed keys that have not been sent to it yet, in
+     * at most {@link #MAX_UNCONFIRMED_DATAGRAMS} datagrams. Returns false if there were none, or if
+     * the follower needs a snapshot instead.
      */
     private boolean pushChanges(long nowUs, String peer, FollowerState follower) {
         ConfigState state = view.state();
@@ -203,7 +206,7 @@
     }
 
     /**
-     * Resends the changes that followers did not confirm in time, and removes followers that no
+     * Resends the changes that followers have not confirmed in time, and removes followers that no
      * longer poll.
      */
     void timer(long nowUs) {
--- a/src/main/java/passhatch/duty/Candidate.java
+++ b/src/main/java/passhatch/duty/Candidate.java
@@ -5,24 +5,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A process that competes for one duty. A candidate holds the duty once more than half of the
- * voters have granted its term. Its lease starts when it sends the request to the voters, and is
- * shortened by the maximum clock drift. The candidate renews the lease well before it ends. This
- * class is not thread-safe. The times passed to its methods must not decrease, and their clock must
- * keep running while the process is stalled.
+ * A process that competes for one duty, which at most one process holds at a time. A candidate
+ * holds the duty once more than half of the voters have granted the term that it requested. The
+ * candidate's lease starts when the request is sent to the voters, and is shortened by the maximum
+ * clock drift. The candidate renews the lease well before the lease ends. This class is not
+ * thread-safe. The times passed to its methods must not decrease, and must come from a clock that
+ * keeps running while the process is stalled.
  */
 public class Candidate {
 
-    /** Number of requests that a holder sends during one lease; two in a row may get lost. */
+    /**
+     * Number of requests that a holder sends during one lease, so that the holder keeps the duty
+     * even if two requests in a row are lost.
+     */
     private static final int REQUESTS_PER_LEASE = 4;
 
-    /** Divisor of the lease that gives the minimum backoff after a failed request. */
+    /**
+     * The minimum backoff after a failed request is the duration of a lease divided by this number.
+     */
     private static final int LEASE_TO_MIN_BACKOFF_RATIO = 32;
 
     /**
      * Maximum number of attempts in quick succession after another holder has handed the duty over
-     * to this candidate. Several attempts may be needed, because the release of that holder may
-     * reach the voters after the first requests.
+     * to this candidate. Several attempts may be needed, because that holder's release message may
+     * reach the voters after the first requests of this candidate.
      */
     private static final int MAX_ACQUIRE_ATTEMPTS = 20;
 
@@ -57,10 +63,10 @@
     /**
      * Creates a candidate that does not compete for the duty yet.
      *
-     * @param holder name and incarnation of this process; differs from that of any other process
-     *     and of any earlier run
+     * @param holder name and incarnation of this process; no other process, and no earlier run of
+     *     this process, has the same text
      * @param rank 0 for processes that are preferred as holder; a process with a higher rank waits
-     *     longer before a request
+     *     longer before each request
      */
     public Candidate(
             DutySettings settings,
@@ -84,7 +90,7 @@
     }
 
     /**
-     * Returns the start of a lease.
+     * Returns the time at which a granted lease starts.
      *
      * @param requestUs time at which the request was sent
      * @param nowUs time at which the reply was received
@@ -109,14 +115,17 @@
     }
 
     /**
-     * Returns whether this process may act on the duty now. The caller has to check this before
-     * each action.
+     * Returns whether this process may act as the holder of the duty now. The caller has to check
+     * this before each such action.
      */
     public boolean mayAct(long nowUs) {
         return phase == Phase.HOLDING && nowUs < leaseUntilUs;
     }
 
-    /** Returns whether this process may act on the duty now and holds it in the given term. */
+    /**
+     * Returns whether this process may act as the holder of the duty now, and holds the duty in the
+     * given term.
+     */
     public boolean mayActInTerm(long nowUs, long expectedTerm) {
         return mayAct(nowUs) && term == expectedTerm;
     }
@@ -127,8 +136,8 @@
     }
 
     /**
-     * Returns how long this process may still act if no renewal succeeds, in microseconds; 0 if it
-     * may not act.
+     * Returns how long this process may still act as the holder if no renewal succeeds, in
+     * microseconds; 0 if it may not act.
      */
     public long remainingLeaseUs(long nowUs) {
         return mayAct(nowUs) ? leaseUntilUs - nowUs : 0;
@@ -272,9 +281,9 @@
     }
 
     /**
-     * Stops competing for the duty, and gives it up if this process holds it.
+     * Stops competing for the duty, and gives the duty up if this process holds it.
      *
-     * @param to name of another candidate that should acquire the duty, or null
+     * @param to name of the candidate that should acquire the duty next; null if any candidate may
      */
     public void giveUp(long nowUs, String to) {
         Phase before = phase;
@@ -299,7 +308,8 @@
     }
 
     /**
-     * Returns the kind of reply that a voter gave to the last request; null if it has not replied.
+     * Returns the kind of reply that a voter gave to this candidate's last request; null if the
+     * voter has not replied.
      */
     public DutyMessage.Kind lastReplyOf(String voter) {
         return grantedBy.contains(voter)
--- a/src/main/java/passhatch/duty/DutyCodec.java
+++ b/src/main/java/passhatch/duty/DutyCodec.java
@@ -11,8 +11,8 @@
 import passhatch.fleet.Names;
 
 /**
- * Encodes each message about duties as a datagram, which is a frame that contains a CBOR array, and
- * decodes it.
+ * Encodes and decodes messages about duties. Each message is sent as one datagram, a frame that
+ * contains a CBOR array.
  */
 public final class DutyCodec {
 
@@ -34,7 +34,8 @@
 
     /**
      * The result of decoding a datagram: either the message and its sender, or the reason why the
-     * datagram is dropped. Components that do not apply are null.
+     * datagram is dropped. If the datagram is dropped, the message and the sender are null;
+     * otherwise the reason is null.
      */
     public record Read(String from, DutyMessage message, DropReason dropReason) {}
 
--- a/src/main/java/passhatch/duty/DutyMessage.java
+++ b/src/main/java/passhatch/duty/DutyMessage.java
@@ -8,8 +8,8 @@
  *     voter has promised
  * @param round number of the request; the reply has the same number
  * @param holder name and incarnation of the candidate that the message is about
- * @param waitUs in a refusal, the time for which the voter is still bound to another holder, in
- *     microseconds; 0 if it is not bound
+ * @param waitUs in a refusal, the remaining time of the lease because of which the voter refuses,
+ *     in microseconds; 0 if the voter refuses for another reason
  */
 public record DutyMessage(
         Kind kind, long epoch, String duty, long term, int round, String holder, long waitUs) {
@@ -30,13 +30,13 @@
          */
         TAKE,
         /**
-         * Voter that has lost its promises to other voters: requests the maximum terms that they
-         * have promised.
+         * From a voter that does not know all of its earlier promises, to the other voters:
+         * requests the maximum term that each of them has promised.
          */
         RECALL,
         /**
-         * Voter to a voter that has lost its promises: reports the maximum term that the sender has
-         * promised for any duty.
+         * Voter to voter, the reply to a {@link #RECALL}: reports the maximum term that the sender
+         * has promised for any duty.
          */
         TERMS
     }
--- a/src/main/java/passhatch/duty/DutySettings.java
+++ b/src/main/java/passhatch/duty/DutySettings.java
@@ -14,8 +14,8 @@
 public record DutySettings(List<String> voters, long epoch, long leaseUs, double drift) {
 
     /**
-     * Returns the time for which a holder may act after it has sent its request, in microseconds on
-     * the holder's clock.
+     * Returns the time for which a holder may act after it has sent the request that was granted,
+     * in microseconds on the holder's clock.
      */
     public long holderLeaseUs() {
         return (long) (leaseUs * (1 - drift) / (1 + drift));
--- a/src/main/java/passhatch/duty/Fence.java
+++ b/src/main/java/passhatch/duty/Fence.java
@@ -5,10 +5,10 @@
 import java.util.function.BiPredicate;
 
 /**
- * Checks the fencing tokens in the requests of holders. A fence keeps the highest token of each
- * duty, writes a new token to disk before it admits the request, and rejects requests with lower
- * tokens. So no request of an earlier holder is executed after a request of a later holder, even if
- * the earlier holder assumes that its lease is still valid.
+ * Checks the fencing tokens in the requests that holders of duties send. A fence keeps the highest
+ * token of each duty, writes a new token to disk before it admits the request, and rejects requests
+ * with lower tokens. So no request of an earlier holder is executed after a request of a later
+ * holder, even if the earlier holder assumes that its lease is still valid.
  */
 public final class Fence {
 
@@ -26,7 +26,10 @@
         this.tokenWriter = tokenWriter;
     }
 
-    /** Returns whether a request with this token for a duty may be executed. */
+    /**
+     * Returns whether a request with this token for a duty may be executed. If the token is the
+     * highest of the duty so far, it is first written to disk; the result is false if that fails.
+     */
     public boolean admits(String duty, long token) {
         long known = highestTokens.getOrDefault(duty, 0L);
         if (token < known || token < 1) {
--- a/src/main/java/passhatch/duty/Promise.java
+++ b/src/main/java/passhatch/duty/Promise.java
@@ -5,7 +5,7 @@
  * has lost promises must not vote.
  *
  * @param term 1 or more; higher than all terms of this duty that the voter has granted before
- * @param holder name and incarnation of the process that has the grant
+ * @param holder name and incarnation of the process to which the term is granted
  */
 public record Promise(String duty, long term, String holder) {
 
@@ -13,8 +13,8 @@
      * Returns the record that marks a voter as voting. A voter without this record on its disk may
      * have lost promises.
      *
-     * @param maxForgottenTerm maximum term of any duty that the voter may have granted in a promise
-     *     that it has lost; 0 if it has lost none
+     * @param maxForgottenTerm maximum term, over all duties, in the promises that the voter may
+     *     have lost; 0 if it has lost none
      */
     public static Promise votingMarker(long maxForgottenTerm) {
         return new Promise("", maxForgottenTerm, "");
--- a/src/main/java/passhatch/duty/Voter.java
+++ b/src/main/java/passhatch/duty/Voter.java
@@ -6,15 +6,19 @@
 import java.util.function.Predicate;
 
 /**
- * One voter. A voter grants a term of a duty to one holder once the grant is on disk. For the
- * length of a lease on its own clock, it then grants no other term of that duty, unless the holder
- * releases it. Leases follow Gray and Cheriton (1989), a majority of voters is needed as in Paxos,
- * and terms serve as fencing tokens as in Chubby (Burrows, 2006). This class is not thread-safe.
- * The times passed to its methods must not decrease.
+ * One of the voters that grant duties. A voter grants a term of a duty to one holder, and writes
+ * the grant to disk first. After that, the voter grants no other term of the same duty for the
+ * duration of a lease on its own clock, unless the holder releases the duty earlier. Leases follow
+ * Gray and Cheriton (1989), a majority of voters is needed as in Paxos, and terms serve as fencing
+ * tokens as in Chubby (Burrows, 2006). This class is not thread-safe. The times passed to its
+ * methods must not decrease.
  */
 public class Voter {
 
-    /** The promise for a duty, and how long it binds this voter. */
+    /**
+     * The last promise for a duty, and the time until which this voter grants no other term of the
+     * duty.
+     */
     private static final class Lease {
         private final Promise promise;
         private long untilUs;
@@ -34,8 +38,8 @@
     private final Map<String, Lease> leases = new HashMap<>();
 
     /**
-     * Maximum term that each other voter has reported while this voter does not vote, by the name
-     * of the voter.
+     * The highest term that each of the other voters has reported, by the name of that voter.
+     * Reports are only recorded until this voter votes.
      */
     private final Map<String, Long> reportedTerms = new HashMap<>();
 
@@ -45,13 +49,13 @@
 
     /**
      * Creates a voter from the promises on its disk. If the disk has no {@link
-     * Promise#votingMarker}, the voter has lost its promises or has never voted. It then grants
-     * nothing until an operator initializes it, or until enough other voters have reported which
-     * terms they have promised.
+     * Promise#votingMarker}, the voter has lost its promises or has never voted. The voter then
+     * grants nothing until an operator initializes it, or until enough other voters have reported
+     * which terms they have promised.
      *
      * @param promises the last promise of each duty on the disk
      * @param promiseWriter writes a promise; returns true once the promise is durable, false if it
-     *     may not be on disk
+     *     is not certain that the promise is on disk
      */
     public Voter(
             DutySettings settings,
@@ -71,22 +75,23 @@
     }
 
     /**
-     * Returns the time until which the voter is bound to the holders on its disk after a start.
-     * Renewals are not written to disk, so a full lease is assumed.
+     * Returns the time until which a voter that has just started has to assume that the leases that
+     * it granted before are still valid. Renewals are not written to disk, so a full lease from now
+     * is assumed.
      */
     protected long boundUntilAfterStartUs(long nowUs) {
         return nowUs + settings.leaseUs();
     }
 
     /**
-     * Returns whether this voter may grant a term to a holder other than the one that it has
-     * promised.
+     * Returns whether a requested term is newer than the promised one, so that this voter may grant
+     * the requested term after the end of the promised holder's lease.
      */
     protected boolean isNewer(long term, Promise promised) {
         return term > promised.term();
     }
 
-    /** Writes a promise to disk; returns false if it may not be on disk. */
+    /** Writes a promise to disk. Returns false if it is not certain that the promise is on disk. */
     protected boolean persist(Promise promise) {
         return promiseWriter.test(promise);
     }
@@ -111,16 +116,16 @@
     }
 
     /**
-     * Returns whether this voter grants or refuses requests; false while its promises may be
-     * incomplete.
+     * Returns whether this voter grants or refuses requests. Returns false while promises that this
+     * voter has given may be missing from its disk.
      */
     public boolean isVoting() {
         return voting;
     }
 
     /**
-     * Returns the message that the host sends to all other voters periodically while this voter
-     * does not vote.
+     * Returns a message that asks other voters which terms they have promised. While this voter
+     * does not vote, the caller periodically sends the message to all other voters.
      */
     public DutyMessage createRecall() {
         return new DutyMessage(
@@ -130,9 +135,9 @@
     /**
      * Records the maximum term that another voter reports, and starts voting once that is safe. Two
      * conditions must hold. First, reports from more than half of all voters, without this one, are
-     * needed: each majority that has granted a term includes one of them, so the reports cover
-     * every term that was held. Second, one lease must pass, so that all leases that this voter has
-     * granted have ended.
+     * needed: each majority that has granted a term includes one of the reporting voters, so the
+     * reports cover every term that was held. Second, one lease must pass, so that all leases that
+     * this voter has granted have ended.
      */
     private void onTerms(long nowUs, String from, long term) {
         if (voting || !settings.voters().contains(from)) {
@@ -221,21 +226,21 @@
         }
     }
 
-    /** Returns the promise that this voter has given for a duty; null if there is none. */
+    /** Returns the last promise that this voter has given for a duty; null if there is none. */
     public Promise promiseFor(String duty) {
         Lease lease = leases.get(duty);
         return lease == null ? null : lease.promise;
     }
 
-    /** Returns whether the holder to which this voter granted a duty has released it. */
+    /** Returns whether the holder to which this voter last granted a duty has released the duty. */
     public boolean isReleased(String duty) {
         Lease lease = leases.get(duty);
         return lease != null && lease.released;
     }
 
     /**
-     * Returns how long this voter is still bound to the holder of a duty, in microseconds; 0 if it
-     * is not bound.
+     * Returns the remaining time of the lease that this voter has granted for a duty, in
+     * microseconds; 0 if there is no such lease, or the lease has ended or was released.
      */
     public long boundForUs(long nowUs, String duty) {
         Lease lease = leases.get(duty);
--- a/src/main/java/passhatch/lab/drill/AgentProcess.java
+++ b/src/main/java/passhatch/lab/drill/AgentProcess.java
@@ -74,8 +74,8 @@
      * Writes the agent's configuration.
      *
      * @param members addresses of all members
-     * @param ownAddress the agent's own address among them
-     * @param extraConfig text of further sections of the file
+     * @param ownAddress the agent's own address, which is one of {@code members}
+     * @param extraConfig text of further sections of the configuration file
      */
     public void configure(
             List<InetSocketAddress> members, InetSocketAddress ownAddress, String extraConfig)
--- a/src/main/java/passhatch/lab/drill/AgentTestbed.java
+++ b/src/main/java/passhatch/lab/drill/AgentTestbed.java
@@ -32,9 +32,10 @@
     }
 
     /**
-     * Creates agents whose configurations all have the same further sections.
+     * Creates agents without starting them. The configurations of all agents have the same
+     * additional sections.
      *
-     * @param extraConfig text of the further sections
+     * @param extraConfig text of the additional sections
      */
     AgentTestbed(Path jar, Path folder, List<String> names, long seed, String extraConfig)
             throws IOException {
@@ -42,9 +43,11 @@
     }
 
     /**
-     * Creates agents whose configurations have further sections of their own.
+     * Creates agents without starting them. The configuration of each agent has its own additional
+     * sections.
      *
-     * @param extraConfig returns the text of the further sections for the index of an agent
+     * @param extraConfig returns the text of an agent's additional sections, given the index of the
+     *     agent
      */
     AgentTestbed(
             Path jar, Path folder, List<String> names, long seed, IntFunction<String> extraConfig)
@@ -73,10 +76,10 @@
     }
 
     /**
-     * Removes a member's address from the configuration of one agent.
+     * Writes the configuration of one agent again, without the address of one member.
      *
      * @param index index of the agent whose configuration is written
-     * @param removed index of the member that is removed from it
+     * @param removed index of the member whose address is left out
      */
     void configureWithoutMember(int index, int removed) throws IOException {
         List<InetSocketAddress> peers = new ArrayList<>(relay.relayAddressesOf(index));
@@ -96,7 +99,8 @@
     }
 
     /**
-     * Returns one status for all members, except for some members that have another status.
+     * Returns a map in which all members have one status, except for some members that have another
+     * status.
      *
      * @param status status of most members
      * @param others indices of the members with the other status
--- a/src/main/java/passhatch/lab/drill/ChangesTestbed.java
+++ b/src/main/java/passhatch/lab/drill/ChangesTestbed.java
@@ -94,8 +94,9 @@
     }
 
     /**
-     * Returns the addresses at which one agent reaches other agents through the relay, as a list in
-     * TOML. If the agent itself is among them, its real address is used.
+     * Returns the addresses that the agent {@code observer} uses to reach the agents with the given
+     * indices, as the elements of a TOML array. These are addresses of the relay, except for the
+     * observer itself, whose real address is used.
      */
     private String toTomlAddresses(int observer, List<Integer> indices) {
         return indices.stream()
@@ -139,7 +140,7 @@
         return IntStream.range(0, agentCount).boxed().toList();
     }
 
-    /** Returns the file to which a subscriber writes the values that are in force. */
+    /** Returns the file to which a subscriber writes the values that it has applied. */
     Path valuesFile(int index) {
         return folder.resolve("values-" + index + ".json");
     }
@@ -181,8 +182,8 @@
     }
 
     /**
-     * Returns whether the state of an agent was known to be current at most {@link
-     * #MAX_STATE_AGE_MS} ago.
+     * Returns whether the state of an agent was last known to be current at most {@link
+     * #MAX_STATE_AGE_MS} milliseconds ago.
      */
     private boolean isCurrent(int index) {
         long ageMs =
@@ -191,8 +192,9 @@
     }
 
     /**
-     * Initializes the duties and the log at a replica and returns whether it reports both as
-     * initialized. If an answer is late, the caller can repeat the call.
+     * Asks a replica to initialize the duties and the log of changes, and returns whether the
+     * replica then reports both as initialized. If an answer is late, the caller can repeat the
+     * call.
      */
     private static boolean tryInitialize(AgentProcess replica) {
         replica.ask("found");
@@ -214,13 +216,16 @@
     }
 
     /**
-     * Returns the version of the changes in force at an agent, or -1 if the agent does not answer.
+     * Returns the version of the configuration that an agent has applied, or -1 if the agent does
+     * not answer.
      */
     long versionInForce(int index) {
         return agent(index).queryJson("changes").map(a -> a.get("version").asLong()).orElse(-1L);
     }
 
-    /** Returns the values in force at an agent by key, each in the form VALUE@VERSION. */
+    /**
+     * Returns the values that an agent has applied, by key. Each value has the form VALUE@VERSION.
+     */
     Map<String, String> valuesInForce(int index) {
         Map<String, String> values = new TreeMap<>();
         agent(index)
@@ -241,7 +246,7 @@
         return value.get("value").textValue() + "@" + value.get("version").asLong();
     }
 
-    /** Returns whether a key has this value in force at an agent. */
+    /** Returns whether an agent has applied this value for a key. */
     boolean hasValue(int index, String key, String value) {
         return agent(index)
                 .queryJson("change-get " + key)
--- a/src/main/java/passhatch/lab/drill/ChangesWriter.java
+++ b/src/main/java/passhatch/lab/drill/ChangesWriter.java
@@ -11,8 +11,8 @@
 
 /**
  * Submits changes to the leading replica, one after another. The writer records each change that is
- * reported as committed, and the time until that change was in force at all undisturbed subscribers
- * of its service.
+ * reported as committed, and the time until all undisturbed subscribers of the change's service
+ * have applied the change.
  */
 final class ChangesWriter implements Runnable {
 
@@ -24,7 +24,7 @@
     private static final long IN_FORCE_TIMEOUT_MS = 30_000;
     private static final String ACCEPTED_PREFIX = "accepted ";
 
-    /** A committed change of a key. */
+    /** The version and the new value of a committed change. */
     record Committed(long version, String value) {}
 
     private final ChangesTestbed testbed;
@@ -41,7 +41,7 @@
 
     /**
      * Returns the indices of the subscribers that the writer does not wait for, because they are
-     * killed, stopped or partitioned. The caller adds and removes them.
+     * killed, stopped or partitioned. The caller adds indices to this set and removes them again.
      */
     Set<Integer> disturbedSubscribers() {
         return disturbedSubscribers;
@@ -55,14 +55,17 @@
     }
 
     /**
-     * Returns the time in milliseconds from the submission of each committed change until it was in
-     * force.
+     * Returns, for each committed change, the time in milliseconds from its submission until all
+     * undisturbed subscribers of its service had applied it.
      */
     List<Long> inForceDelaysMs() {
         return inForceDelaysMs;
     }
 
-    /** Returns the number of accepted changes that were not reported as committed. */
+    /**
+     * Returns the number of changes that the leader accepted but did not report as committed in
+     * time.
+     */
     int unknownOutcomes() {
         return unknownOutcomes;
     }
--- a/src/main/java/passhatch/lab/drill/ChildProcess.java
+++ b/src/main/java/passhatch/lab/drill/ChildProcess.java
@@ -58,7 +58,7 @@
     /**
      * Sends a signal to the process.
      *
-     * @param signal name of the signal without SIG
+     * @param signal name of the signal without the prefix SIG, such as TERM
      * @return false if the process is not running or the signal cannot be sent
      */
     synchronized boolean signal(String signal) throws IOException, InterruptedException {
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Sends SIGTERM, and SIGKILL if the process is still running after the timeout. A process that
-     * SIGSTOP has stopped is continued before that.
+     * Sends SIGCONT and SIGTERM. SIGCONT comes first, because a process that SIGSTOP has stopped
+     * does not handle SIGTERM. If the process is still running after the timeout, sends SIGKILL.
      */
     public void terminate(long timeoutMs) {
         try {
--- a/src/main/java/passhatch/lab/drill/Comparison.java
+++ b/src/main/java/passhatch/lab/drill/Comparison.java
@@ -10,17 +10,17 @@
 import org.apache.commons.statistics.distribution.TDistribution;
 
 /**
- * Compares two sets of runs, A and B. For each measure, the comparison gives the mean of each set,
- * the difference of the means, and the confidence interval of the difference. The interval is
- * computed by Welch's method, which does not assume equal variances. There is no interval if a set
- * has only one run.
+ * Compares the results of two sets of drill runs, A and B. For each measure, the comparison gives
+ * the mean of each set, the difference of the means, and the confidence interval of the difference.
+ * The interval is computed by Welch's method, which does not assume equal variances. There is no
+ * interval if a set has only one run.
  */
 final class Comparison {
 
     private static final double CONFIDENCE_LEVEL = 0.95;
 
     /**
-     * The comparison of one measure.
+     * The comparison of one measure, such as a latency, between the two sets.
      *
      * @param meanA mean of set A
      * @param meanB mean of set B
--- a/src/main/java/passhatch/lab/drill/DutyHolderLog.java
+++ b/src/main/java/passhatch/lab/drill/DutyHolderLog.java
@@ -12,8 +12,8 @@
 final class DutyHolderLog {
 
     /**
-     * A report of a process that it may act on the duty in a term. The process could act at some
-     * time between {@code startNs} and {@code endNs}.
+     * One report by a process that it may act as the holder of the duty in a term. The report was
+     * true at some time between {@code startNs} and {@code endNs}.
      */
     record Observation(int process, long term, long startNs, long endNs) {}
 
--- a/src/main/java/passhatch/lab/drill/EventFile.java
+++ b/src/main/java/passhatch/lab/drill/EventFile.java
@@ -24,7 +24,8 @@
     /**
      * An event of a drill.
      *
-     * @param atMs time since the start of the load in milliseconds; negative for an event before it
+     * @param atMs time since the start of the load in milliseconds; negative for an event before
+     *     the start
      */
     record Event(long atMs, String type, Map<String, Object> details) {}
 
@@ -44,7 +45,7 @@
     /**
      * Adds an event and writes it to the file.
      *
-     * @param keysAndValues details of the event: keys and values in turn
+     * @param keysAndValues details of the event, as alternating keys and values
      */
     synchronized void add(String type, Object... keysAndValues) {
         long atMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - loadStartNs);
--- a/src/main/java/passhatch/lab/drill/FaultPlan.java
+++ b/src/main/java/passhatch/lab/drill/FaultPlan.java
@@ -7,9 +7,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Expands a scenario's faults into steps that are ordered by time. Each fault gives one step for
- * each of its targets, and another step that undoes it if it has a duration. The same scenario
- * always gives the same steps.
+ * Expands a scenario's faults into steps that are ordered by time. For each target of a fault, one
+ * step injects the fault. If the fault has a duration, a second step undoes the fault after that
+ * time. The same scenario always results in the same steps.
  */
 final class FaultPlan {
 
@@ -49,7 +49,7 @@
                 }
             }
         }
-        // The sort is stable: steps with the same time keep the order of the file.
+        // The sort is stable: steps with the same time keep the order of the scenario file.
         steps.sort(Comparator.comparing(Step::at));
         return steps;
     }
@@ -65,7 +65,8 @@
     }
 
     /**
-     * Returns the indices, from 0, of targets with names like proxy-1.
+     * Returns the indices of the targets with the given names, such as proxy-1. The index of
+     * proxy-1 is 0.
      *
      * @param all name that stands for all targets
      * @param count number of targets
--- a/src/main/java/passhatch/lab/drill/FaultType.java
+++ b/src/main/java/passhatch/lab/drill/FaultType.java
@@ -28,7 +28,10 @@
     RESET(TargetType.BACKEND),
     /** Crashes a backend and removes it from the list of discovery. */
     CRASH(TargetType.BACKEND),
-    /** Restarts a backend, which is then cold, and returns it to the list of discovery. */
+    /**
+     * Restarts a backend and returns it to the list of discovery. The backend starts cold, with the
+     * reduced capacity that the scenario sets.
+     */
     RETURN(TargetType.BACKEND),
     /** Drains a backend and marks it as draining in the list of discovery. */
     DRAIN(TargetType.BACKEND),
--- a/src/main/java/passhatch/lab/drill/LocalNetwork.java
+++ b/src/main/java/passhatch/lab/drill/LocalNetwork.java
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Sends a call to a control address and returns the answer; an empty text if there is no
-     * answer.
+     * Sends a control call to the process at an address and returns the answer; an empty text if
+     * there is no answer.
      */
     static String ask(InetSocketAddress control, String call) {
         try (Socket socket = new Socket()) {
--- a/src/main/java/passhatch/lab/drill/ProxyProcess.java
+++ b/src/main/java/passhatch/lab/drill/ProxyProcess.java
@@ -17,8 +17,8 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * Maximum number of starts. A start fails if another process takes a port after it was chosen
-     * and before it is used.
+     * Maximum number of starts. A start fails if another process takes one of the proxy's ports
+     * after the port was chosen and before the proxy uses it.
      */
     private static final int MAX_START_ATTEMPTS = 3;
 
@@ -33,8 +33,8 @@
             List<String> jvmOptions) {
 
         /**
-         * Returns the configuration of a single proxy without a scenario file. The proxy may retry
-         * requests, and has the default request classes of a scenario.
+         * Returns the configuration of a single proxy that runs without a scenario file. The proxy
+         * may retry requests, and has the request classes that are the default in scenario files.
          */
         public static SharedConfig standalone(
                 Path jar,
--- a/src/main/java/passhatch/lab/drill/Result.java
+++ b/src/main/java/passhatch/lab/drill/Result.java
@@ -8,10 +8,10 @@
  * The result of one run of a drill, written to {@code result.json}.
  *
  * @param servedShare share of the offered requests that were served
- * @param counts number of requests by outcome, and further counts, such as those that the
- *     expectations limit
+ * @param counts number of requests by outcome, and further counts, such as offered requests,
+ *     attempts and duplicates
  * @param latencyMs time from when a request was due until its response, by quantile
- * @param recoveries time of recovery for each step that injects a fault
+ * @param recoveries the recovery after each step that injects a fault
  * @param behindMs time from when a request was due until it was sent, by quantile
  * @param readyMs time from each restart of a proxy until it was ready, by name of the proxy and
  *     time of the event
@@ -37,7 +37,8 @@
      * @param fault type and target of the fault
      * @param atMs time of the fault after the start of the load
      * @param ms time until at least 95 % of the requests were served again; 0 if the share never
-     *     fell below that, null if it was still lower at the next fault or the end of the load
+     *     fell below that, null if the share was still lower at the next fault or at the end of the
+     *     load
      */
     record Recovery(String fault, long atMs, Long ms) {}
 
--- a/src/main/java/passhatch/lab/drill/ResultEvaluator.java
+++ b/src/main/java/passhatch/lab/drill/ResultEvaluator.java
@@ -18,14 +18,14 @@
 final class ResultEvaluator {
 
     /**
-     * Minimum share of requests in a window that have to be served for the service to count as
-     * recovered.
+     * Minimum share of the requests in a window that have to be served for the proxies to count as
+     * recovered from a fault.
      */
     private static final double MIN_SERVED_RATIO = 0.95;
 
     /**
-     * Number of steps of the load statistics in a window. A window is used because single steps may
-     * have too few requests for a reliable share.
+     * Number of time steps of the load statistics in a window, which is one second long. A window
+     * is used because a single time step may have too few requests for a reliable share.
      */
     private static final int STEPS_PER_WINDOW = 1_000 / LoadStats.STEP_MS;
 
--- a/src/main/java/passhatch/lab/drill/Scenario.java
+++ b/src/main/java/passhatch/lab/drill/Scenario.java
@@ -33,8 +33,8 @@
      * @param readyTimeout maximum time from the start of a process until it reports ready
      * @param openFiles maximum number of open files and sockets of each process; 0 for the
      *     machine's limit
-     * @param asks whether proxies request the server list from discovery, instead of receiving
-     *     changes that discovery pushes
+     * @param asks true if proxies request the server list from discovery; false if discovery pushes
+     *     changes of the list to them
      */
     record Proxies(
             int count,
@@ -47,7 +47,7 @@
 
     /**
      * The backends of a drill, which all have the same capacity. {@link
-     * passhatch.lab.standin.BackendServer.Capacity} describes its components.
+     * passhatch.lab.standin.BackendServer.Capacity} describes the components of this record.
      */
     record Backends(
             int count,
@@ -62,10 +62,7 @@
     /** The distribution of a backend's service times. */
     record ServiceTimes(ServiceTime.Distribution distribution, Duration mean, double sigma) {}
 
-    /**
-     * A class of requests. Clients send requests of this class, and the settings of the proxies
-     * describe it.
-     */
+    /** A class of requests that clients send. The settings of the proxies define the same class. */
     record RequestClass(
             String name, LoadPlan.Effect effect, double share, Duration aim, Duration deadline) {}
 
@@ -96,7 +93,7 @@
     /**
      * A fault that a drill injects.
      *
-     * @param at time of the fault after the start of the load
+     * @param at time from the start of the load until the fault
      * @param duration time until the fault is undone; null if it is not undone
      * @param target names like proxy-1 or backend-2; {@code proxies} or {@code backends} stands for
      *     all of them; empty for faults of discovery and of the network between proxies
@@ -120,8 +117,8 @@
      * The expectations of the result. A component is null if it is not checked.
      *
      * @param served minimum share of requests that are served
-     * @param late maximum number of late requests; the components without a description also are
-     *     maximum numbers
+     * @param late maximum number of late requests; the components that are not described here are
+     *     maximum numbers as well
      * @param recovery maximum time after any fault until 95 % of the requests are served again
      * @param p99 maximum of the 99th percentile of the latency
      */
--- a/src/main/java/passhatch/lab/drill/Testbed.java
+++ b/src/main/java/passhatch/lab/drill/Testbed.java
@@ -26,8 +26,8 @@
 final class Testbed implements Closeable {
 
     /**
-     * Time after which a proxy that does not shut down is killed. It is longer than the maximum
-     * shutdown time of a proxy, which is the longest request deadline, counted up to 3 s, plus 0.7
+     * Time after which a proxy that does not shut down is killed. This is longer than the maximum
+     * shutdown time of a proxy: the longest request deadline, of which at most 3 s count, plus 0.7
      * s.
      */
     private static final long SHUTDOWN_TIMEOUT_MS = 5_000;
--- a/src/main/java/passhatch/store/Format.java
+++ b/src/main/java/passhatch/store/Format.java
@@ -15,8 +15,8 @@
     static final int MAX_RECORD_BYTES = 1 << 16;
 
     /**
-     * Maximum size of a segment in bytes. Records that would exceed it are written to a new
-     * segment.
+     * Maximum size of a segment in bytes. Records that would make a segment larger are written to a
+     * new segment.
      */
     static final int MAX_SEGMENT_BYTES = 1 << 22;
 
@@ -27,8 +27,8 @@
     static final int MAX_OWNER_BYTES = 64;
 
     /**
-     * Kind of a mark, which confirms that the records before it were forced. The kinds that callers
-     * choose are higher.
+     * The kind of a mark. A mark is a record without content, which confirms that the records
+     * before it were forced to disk. The kinds that callers choose are higher.
      */
     static final int MARK_KIND = 0;
 
@@ -56,8 +56,8 @@
      * @param version format version of the file
      * @param owner name of the owner of the store
      * @param epoch epoch of the store when the file was written
-     * @param sequence in a segment, the sequence number of its first record; in a snapshot, that of
-     *     the last record that it includes
+     * @param sequence in a segment, the sequence number of its first record; in a snapshot, the
+     *     sequence number of the last record that the snapshot replaces
      */
     record Header(boolean snapshot, int version, String owner, long epoch, long sequence) {}
 
--- a/src/main/java/passhatch/store/GroupCommit.java
+++ b/src/main/java/passhatch/store/GroupCommit.java
@@ -14,20 +14,20 @@
 public final class GroupCommit implements AutoCloseable {
 
     /**
-     * Maximum number of records that wait to be written; a thread that submits a further record
-     * blocks.
+     * Maximum number of records that wait to be written. A thread that submits a further record
+     * blocks until there is room.
      */
     private static final int MAX_QUEUED_RECORDS = 4096;
 
     /**
-     * Size in bytes at which no further record is added to a group, so that a group always fits
-     * into a segment.
+     * A group that has reached this size in bytes gets no further record, so that a group always
+     * fits into a segment.
      */
     private static final int MAX_GROUP_BYTES = 1 << 20;
 
     /**
-     * A record that waits to be written, with the future for its result. A null entry asks the
-     * writing thread to stop.
+     * A record that waits to be written, with the future that receives the result of the write. A
+     * null entry asks the writing thread to stop.
      */
     private record PendingRecord(Entry entry, CompletableFuture<Long> result) {}
 
--- a/src/main/java/passhatch/store/Inspection.java
+++ b/src/main/java/passhatch/store/Inspection.java
@@ -16,8 +16,8 @@
      * @param records number of valid records
      * @param lastSequence sequence number of the last valid record; 0 if there is none
      * @param epoch highest epoch in the headers
-     * @param warnings descriptions of incomplete data at the end of the log that was never
-     *     acknowledged, and so is no damage
+     * @param warnings descriptions of incomplete data at the end of the log; such data was never
+     *     acknowledged, so it does not count as damage
      * @param damage descriptions of faults in data that may have been acknowledged; empty if there
      *     are none
      */
--- a/src/main/java/passhatch/store/Reader.java
+++ b/src/main/java/passhatch/store/Reader.java
@@ -9,8 +9,9 @@
 import passhatch.store.Format.StoredRecord;
 
 /**
- * Reads all files of a store and distinguishes valid records, records that were never acknowledged,
- * and damage. A reader changes nothing and keeps one file in memory at a time.
+ * Reads all files of a store, and distinguishes valid records, incomplete records that were never
+ * acknowledged, and damaged records. A reader changes no file, and keeps one file in memory at a
+ * time.
  */
 final class Reader {
 
@@ -37,8 +38,8 @@
      * @param truncateAt size in bytes to which the last segment has to be truncated; -1 if its end
      *     is valid
      * @param obsoleteFiles names of files that are not needed to restore the state
-     * @param faults in the order in which they were found; reading stops after a fault in
-     *     acknowledged data, unless the reader salvages
+     * @param faults in the order in which they were found; reading stops after a fault in data that
+     *     may have been acknowledged, unless the reader was created with {@code salvage}
      */
     record Contents(
             long lastSequence,
@@ -126,8 +127,8 @@
     }
 
     /**
-     * Returns the header of a file, and raises {@link #epoch} to the epoch of the header; null if
-     * the header is not valid.
+     * Returns the header of a file; null if the header is not valid. If the epoch of the header is
+     * higher than {@link #epoch}, that field is raised to it.
      */
     private Header readHeader(String file, byte[] content) throws StoreException {
         Header header = Format.decodeHeader(content);
@@ -190,8 +191,8 @@
     }
 
     /**
-     * Reads a segment; returns false if its header is incomplete, so that the segment was never
-     * used.
+     * Reads a segment. Returns false if the segment was never used, because its header is
+     * incomplete.
      */
     private boolean readSegment(String file, boolean isLast) throws IOException, StoreException {
         byte[] content = disk.read(file, Format.MAX_SEGMENT_BYTES);
@@ -278,8 +279,8 @@
     }
 
     /**
-     * Returns a mark that confirms that the expected record was forced; null if there is no such
-     * mark.
+     * Returns the first mark that confirms that the expected record was forced to disk; null if
+     * there is no such mark.
      *
      * @param from offset at which the search begins
      * @param expectedSequence sequence number of the expected record
--- a/src/main/java/passhatch/store/RecordLog.java
+++ b/src/main/java/passhatch/store/RecordLog.java
@@ -11,20 +11,23 @@
  * snapshot replaces all records before it. This class is not thread-safe; {@link GroupCommit}
  * shares a log among threads. Recovery and its rules are described in {@code docs/recovery.md}.
  *
- * <p>After each force the log appends a mark, which confirms that the records before it were
- * forced. Marks make it possible to distinguish a last record that was corrupted later from one
- * that was never completely written (the problem is described by Alagappan et al., "Protocol-Aware
- * Recovery for Consensus-Based Storage", FAST 2018).
+ * <p>Each time the log has forced records to disk, it appends a mark, which confirms that the
+ * records before the mark were forced. Marks make it possible to distinguish a last record that was
+ * corrupted later from one that was never completely written (the problem is described by Alagappan
+ * et al., "Protocol-Aware Recovery for Consensus-Based Storage", FAST 2018).
  */
 public final class RecordLog implements AutoCloseable {
 
-    /** Number of bytes logged since the last snapshot above which a new snapshot is due. */
+    /**
+     * A new snapshot is due once more than this number of bytes has been written since the last
+     * one.
+     */
     private static final long SNAPSHOT_THRESHOLD_BYTES = 1L << 20;
 
     /** Size of a segment without records: its header and the first mark. */
     private static final int EMPTY_SEGMENT_BYTES = Format.HEADER_BYTES + Format.RECORD_HEADER_BYTES;
 
-    /** Prefix that the files of a damaged store get when the store is set aside. */
+    /** Prefix added to the names of a damaged store's files when a new store replaces it. */
     private static final String DAMAGED_PREFIX = "damaged-";
 
     private final Disk disk;
@@ -49,12 +52,12 @@
     }
 
     /**
-     * Opens the store of an owner. If the folder is empty, a new store is created. The new epoch of
-     * the store is on disk before this method returns.
+     * Opens the store of an owner. If the folder is empty, a new store is created. Opening a store
+     * raises its epoch by one, and the new epoch is on disk before this method returns.
      *
      * @param owner name of the owner, at most 64 bytes in UTF-8
      * @param replay receives each record of the snapshot and then each later record, in order
-     * @throws StoreException.Damaged if acknowledged data is corrupt; nothing is changed
+     * @throws StoreException.Damaged if acknowledged data is corrupt; no file is changed
      * @throws StoreException.Foreign if the folder belongs to another owner or was written by a
      *     newer program
      * @throws StoreException.Failed if the disk fails
@@ -86,8 +89,8 @@
     }
 
     /**
-     * Opens a store whose content can be rebuilt. If the store is damaged, its files are renamed, a
-     * new store is created, and a warning in {@link #warnings} reports the damage.
+     * Opens a store whose content can be rebuilt if it is lost. If the store is damaged, its files
+     * are renamed, a new store is created, and a warning in {@link #warnings} reports the damage.
      */
     public static RecordLog openOrSetAside(Disk disk, String owner, Consumer<Entry> replay)
             throws StoreException {
@@ -181,8 +184,8 @@
     }
 
     /**
-     * Returns the epoch of this store, which increases by one each time the store is opened. It
-     * serves as the incarnation of the owner.
+     * Returns the epoch of this store, which increases by one each time the store is opened. The
+     * owner uses the epoch as its incarnation number.
      */
     public long epoch() {
         return epoch;
@@ -201,13 +204,17 @@
         return lastSequence;
     }
 
-    /** Returns whether so much was written since the last snapshot that a new one is due. */
+    /**
+     * Returns whether a new snapshot is due, because the log has grown enough since the last
+     * snapshot.
+     */
     public boolean isSnapshotDue() {
         return bytesSinceSnapshot > SNAPSHOT_THRESHOLD_BYTES;
     }
 
     /**
-     * Writes records. They are acknowledged, and so durable, once this method returns.
+     * Writes records to the log. Once this method returns, the records are acknowledged, which
+     * means that they are durable.
      *
      * @return the sequence number of the last record
      * @throws StoreException.TooLarge if a record, all of these records or the store would exceed
--- a/src/main/java/passhatch/store/StoreException.java
+++ b/src/main/java/passhatch/store/StoreException.java
@@ -23,8 +23,8 @@
     }
 
     /**
-     * The disk failed during this call or an earlier one. Nothing is acknowledged until the store
-     * is opened again.
+     * The disk failed during this call or an earlier one. The store acknowledges no further records
+     * until it is opened again.
      */
     public static final class Failed extends StoreException {
         private static final long serialVersionUID = 1L;
@@ -43,7 +43,10 @@
         }
     }
 
-    /** The folder belongs to another owner or has a newer format; it is left unchanged. */
+    /**
+     * The store in the folder belongs to another owner, or has a newer format than this program
+     * supports. The folder is left unchanged.
+     */
     public static final class Foreign extends StoreException {
         private static final long serialVersionUID = 1L;
 
@@ -53,8 +56,8 @@
     }
 
     /**
-     * A record, or all records together, would exceed the maximum size. The record is not written,
-     * and the store remains usable.
+     * A record, a snapshot, the records of one call or the whole store would exceed the maximum
+     * size. Nothing is written, and the store remains usable.
      */
     public static final class TooLarge extends StoreException {
         private static final long serialVersionUID = 1L;
