--- a/src/main/java/passhatch/Logic.java
+++ b/src/main/java/passhatch/Logic.java
@@ -210,7 +210,10 @@
     private double meanReportedLoad;
     private final LatencyStats latencies;
     private double meanWorkUs;
-    /** How long the client waits for a response to the latest request that is not a client's retry. */
+    /**
+     * How long a client waits for a response to its first try, in microseconds, taken from the latest first
+     * try of any client. A request counts as a first try unless its client marked it as a retry.
+     */
     private double firstTryTimeoutUs;
     private final TenantQuotas tenantQuotas;
     private double meanSendGapUs;
@@ -358,7 +361,10 @@
                 warmEnoughAtUs(server, random.nextDouble()));
     }
 
-    /** Returns when a cold server can safely take a given fraction of a usual server's load. */
+    /**
+     * Returns the time at which a cold server is warm enough to safely take a given fraction of a usual
+     * server's load, in microseconds.
+     */
     private long warmEnoughAtUs(ServerState server, double fraction) {
         Rules rules = settings.rules();
         double extraCapacity =
--- a/src/main/java/passhatch/distribution/Replica.java
+++ b/src/main/java/passhatch/distribution/Replica.java
@@ -310,10 +310,15 @@
     }
 
     /**
-     * Installs the committed state of the leader, because this replica lacks entries that the
-     * leader no longer retains. If this replica's log has an entry with the version and the term of
-     * that state, the log is kept: it is identical to the leader's log up to that version, and this
-     * replica may have confirmed later entries to a leader. Otherwise the state replaces the log.
+     * Installs the committed state of the leader, or of another replica, after the sender has
+     * reported that it no longer retains entries that this replica lacks. A state that is not newer
+     * than this replica's state is ignored.
+     *
+     * <p>The report can be out of date, so this replica's log may have the entries after all. If
+     * the log has an entry with the version and the term of the received state, the log is
+     * identical to the leader's log up to that version. The entries up to that version are then
+     * applied from the log, and the log is kept: this replica may have confirmed later entries to a
+     * leader, and replacing the log would lose them. Otherwise the state replaces the log.
      */
     void installState(ConfigState other) {
         if (other.version() <= state.version()) {
--- a/src/main/java/passhatch/lab/disk/FaultyDisk.java
+++ b/src/main/java/passhatch/lab/disk/FaultyDisk.java
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Returns a new disk with the contents of this disk that survive a power loss. It is drawn at
-     * random which changes survive.
+     * Returns a new disk with the contents of this disk that survive a power loss. The unforced
+     * changes that survive are chosen at random.
      */
     public FaultyDisk afterPowerLoss(UniformRandomProvider random) {
         Map<String, FileState> names = new HashMap<>(durableNames);
--- a/src/main/java/passhatch/lab/drain/DrainChecker.java
+++ b/src/main/java/passhatch/lab/drain/DrainChecker.java
@@ -223,9 +223,9 @@
     }
 
     /**
-     * Returns when the proxy is deemed notified of a change that a silent watch misses. A watch
-     * misses all changes from the moment it falls silent until the watch ends or a later call gets
-     * a response.
+     * Returns the time at which the proxy is deemed notified of a change that a silent watch
+     * misses, in microseconds. A watch misses all changes from the moment it falls silent until the
+     * watch ends or a later call gets a response.
      */
     private long silentWatchNotifiedUs(Change change, String proxy) {
         long notifiedUs = DrainRecord.NEVER;
@@ -253,8 +253,9 @@
     }
 
     /**
-     * Returns when a proxy without a watch is deemed notified of a change. The ask interval starts
-     * at the change or at the proxy's last call, whichever is later.
+     * Returns the time at which a proxy without a watch is deemed notified of a change, in
+     * microseconds. The ask interval starts at the change or at the proxy's last call, whichever is
+     * later.
      */
     private long askIntervalNotifiedUs(Change change, String proxy) {
         long askIntervalUs = record.rules.askEveryUs();
@@ -280,10 +281,10 @@
     }
 
     /**
-     * Returns when the proxy is deemed notified of a change because discovery's address has
-     * changed. Each signal counts by itself: for a change made before the signal the time is 4 s
-     * after the signal, and for a change made within 4 s after the signal it is 4 s after the
-     * change.
+     * Returns the time at which the proxy is deemed notified of a change because discovery's
+     * address has changed, in microseconds. Each signal counts by itself: for a change made before
+     * the signal the time is 4 s after the signal, and for a change made within 4 s after the
+     * signal it is 4 s after the change.
      */
     private long addressChangeNotifiedUs(Change change, String proxy) {
         for (AddressChange signal : record.addressChanges) {
--- a/src/main/java/passhatch/lab/scale/MembershipScaleResult.java
+++ b/src/main/java/passhatch/lab/scale/MembershipScaleResult.java
@@ -5,8 +5,8 @@
 /**
  * The result of {@code scale membership}.
  *
- * @param fits the lines that are fitted to the figures, one for each figure that was measured at
- *     two fleet sizes or more
+ * @param fits the fitted straight lines that show how each measured quantity depends on the fleet
+ *     size; a quantity has a line only if it was measured at two fleet sizes or more
  */
 record MembershipScaleResult(
         long seed,
--- a/src/main/java/passhatch/proxy/discovery/ListWatch.java
+++ b/src/main/java/passhatch/proxy/discovery/ListWatch.java
@@ -78,8 +78,8 @@
         void onWatchLost();
 
         /**
-         * Called when a connection to discovery is established, whatever the result of its call
-         * will be.
+         * Called when the connection for a call to discovery is established, whether the call later
+         * succeeds or fails.
          */
         void onDiscoveryReached();
 
