--- a/src/main/java/passhatch/Balancer.java
+++ b/src/main/java/passhatch/Balancer.java
@@ -78,7 +78,7 @@
      * @param watchedUntilUs changes are told as they come up to this time, unless the watch breaks
      *     before
      */
-    record ListCurrency(long asOfUs, long watchedUntilUs) {}
+    record ListFreshness(long asOfUs, long watchedUntilUs) {}
 
     /** What a list of servers is. */
     enum ListKind {
@@ -350,15 +350,15 @@
      *
      * @param currency how current the list is with it; unused for one from before
      */
-    void serversChanged(long nowUs, ListKind kind, List<Server> servers, ListCurrency currency);
+    void serversChanged(long nowUs, ListKind kind, List<Server> servers, ListFreshness currency);
 
     /** The same on a wire that tells changes at once and says when its subscription breaks. */
     default void serversChanged(long nowUs, ListKind kind, List<Server> servers) {
-        serversChanged(nowUs, kind, servers, new ListCurrency(nowUs, Long.MAX_VALUE));
+        serversChanged(nowUs, kind, servers, new ListFreshness(nowUs, Long.MAX_VALUE));
     }
 
     /** Discovery has said that the list did not change. */
-    void listCurrent(long nowUs, ListCurrency currency);
+    void listCurrent(long nowUs, ListFreshness currency);
 
     /**
      * A call to discovery failed or its subscription broke; the list held stays in force until the
--- a/src/main/java/passhatch/BadSettings.java
+++ b/src/main/java/passhatch/InvalidSettingsException.java
@@ -1,11 +1,11 @@
 package passhatch;
 
 /** Settings that cannot be used; the message names the key that is at fault. */
-public final class BadSettings extends Exception {
+public final class InvalidSettingsException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    BadSettings(String message) {
+    InvalidSettingsException(String message) {
         super(message);
     }
 }
--- a/src/main/java/passhatch/ReportTrust.java
+++ b/src/main/java/passhatch/ReportTrust.java
@@ -8,15 +8,15 @@
 final class ReportTrust {
 
     /** The time is doubled at each further loss of trust, so many times at most. */
-    private static final int MOST_DOUBLINGS = 4;
+    private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
-    private final long pauseUs;
+    private final long initialPauseUs;
     private final double weight;
-    private final double most;
+    private final double maxRefutedRate;
     /** Share of reports that calls refuted. */
-    private double doubt;
-    private long doubtUntilUs = Long.MIN_VALUE;
-    private int doubts;
+    private double refutedRate;
+    private long distrustUntilUs = Long.MIN_VALUE;
+    private int distrustPeriods;
 
     /**
      * All reports are believed at first.
@@ -26,21 +26,21 @@
      * @param most the share of refuted reports above which none is believed
      */
     ReportTrust(long pauseUs, double weight, double most) {
-        this.pauseUs = pauseUs;
+        this.initialPauseUs = pauseUs;
         this.weight = weight;
-        this.most = most;
+        this.maxRefutedRate = most;
     }
 
     /** A call has shown whether a report of idleness was true. */
-    void judge(long nowUs, boolean refuted) {
-        doubt += weight * ((refuted ? 1 : 0) - doubt);
-        if (doubt > most) {
-            doubtUntilUs = nowUs + (pauseUs << Math.min(doubts++, MOST_DOUBLINGS));
-            doubt = 0;
+    void update(long nowUs, boolean refuted) {
+        refutedRate += weight * ((refuted ? 1 : 0) - refutedRate);
+        if (refutedRate > maxRefutedRate) {
+            distrustUntilUs = nowUs + (initialPauseUs << Math.min(distrustPeriods++, MAX_BACKOFF_DOUBLINGS));
+            refutedRate = 0;
         }
     }
 
-    boolean believed(long nowUs) {
-        return doubtUntilUs <= nowUs;
+    boolean trusted(long nowUs) {
+        return distrustUntilUs <= nowUs;
     }
 }
--- a/src/main/java/passhatch/Backend.java
+++ b/src/main/java/passhatch/ServerState.java
@@ -1,11 +1,11 @@
 package passhatch;
 
 /** A server as this copy sees it. */
-final class Backend {
+final class ServerState {
     final String id;
 
     /** Its place in the order that all copies keep the list in: that of hashed ids. */
-    final int place;
+    final int hashOrder;
 
     int zone;
     int group;
@@ -31,55 +31,55 @@
     long turnAtUs;
 
     /** When the latest request was sent that it accepted. */
-    long acceptedUs = ListLease.NEVER;
+    long lastAcceptedSendUs = ListLease.NEVER;
 
-    int failures;
+    int consecutiveFailures;
 
     /** When an outcome last showed that a connection stands. */
-    long reachedUs = Long.MIN_VALUE;
+    long lastConnectedUs = Long.MIN_VALUE;
 
     /** Share of errors among its latest answers, and rests for it with no recovery between. */
-    double errors;
+    double errorRate;
 
-    int errorRests;
+    int errorCooldowns;
 
     /** Overdue attempts since its last answer. */
-    int silences;
+    int overdueAttempts;
 
     /** Probes without an answer since the last one that had one. */
-    int unanswered;
+    int unansweredProbes;
 
     /** Chosen only if all others are busy, until then. */
     long demotedUntilUs = Long.MIN_VALUE;
 
-    /** Calls in flight by its own report, valid until {@link #reportUntilUs}. */
-    int reported;
+    /** Calls in flight by its own report, valid until {@link #reportValidUntilUs}. */
+    int reportedLoad;
 
-    long reportUntilUs = Long.MIN_VALUE;
+    long reportValidUntilUs = Long.MIN_VALUE;
 
     /**
      * Running sums of the time that calls took here and of the calls ahead; when they last changed.
      */
-    double tookUs;
+    double latencySumUs;
 
-    double ahead;
-    long callSeenUs = Long.MIN_VALUE;
+    double loadSum;
+    long lastLatencySampleUs = Long.MIN_VALUE;
 
     /** When the probe that is out was sent, or the least value. */
     long probedAtUs = Long.MIN_VALUE;
 
-    long restUntilUs = Long.MIN_VALUE;
+    long cooldownUntilUs = Long.MIN_VALUE;
 
     /** A cold or newly listed server takes nothing before this time. */
-    long entryAtUs = Long.MIN_VALUE;
+    long admitAtUs = Long.MIN_VALUE;
 
-    Backend(String id) {
+    ServerState(String id) {
         this.id = id;
-        this.place = id.hashCode() * 0x9E3779B1;
+        this.hashOrder = id.hashCode() * 0x9E3779B1;
     }
 
     /** Time that a call takes here for each call in flight; 0 while unknown. */
-    double callUs() {
-        return ahead > 0 ? tookUs / ahead : 0;
+    double unitLatencyUs() {
+        return loadSum > 0 ? latencySumUs / loadSum : 0;
     }
 }
--- a/src/main/java/passhatch/SettingsReader.java
+++ b/src/main/java/passhatch/SettingsReader.java
@@ -26,15 +26,15 @@
     }
 
     /** Reads the settings; the message of what is thrown names the key that is at fault. */
-    public static Settings read(Map<String, Object> params) throws BadSettings {
+    public static Settings read(Map<String, Object> params) throws InvalidSettingsException {
         SettingsReader top = new SettingsReader(params, "");
         List<RequestClass> classes = new ArrayList<>();
         for (SettingsReader c : top.list("categories")) {
             classes.add(
                     new RequestClass(
                             c.text("name", ""),
-                            c.whole("goalTimeUs"),
-                            c.whole("deadlineUs"),
+                            c.wholeNumber("goalTimeUs"),
+                            c.wholeNumber("deadlineUs"),
                             c.number("worth"),
                             c.number("lateWorth", 0),
                             c.effect(),
@@ -58,7 +58,7 @@
         tenants.forEach(built::tenant);
         return built.limits(
                         new Limits(
-                                (int) limits.whole("maxAttempts"),
+                                (int) limits.wholeNumber("maxAttempts"),
                                 limits.flag("cancel"),
                                 limits.flag("probes"),
                                 limits.flag("retryAfter")
@@ -68,15 +68,15 @@
                                 (long) limits.number("keepaliveUs", 0)))
                 .rules(
                         new Rules(
-                                rules.whole("drainGraceUs"),
-                                ask ? rules.whole("askEveryUs") : 0,
+                                rules.wholeNumber("drainGraceUs"),
+                                ask ? rules.wholeNumber("askEveryUs") : 0,
                                 rules.number("coldFrom"),
-                                rules.whole("coldUs"),
+                                rules.wholeNumber("coldUs"),
                                 rules.number("tipMultiple"),
-                                rules.whole("overloadForUs"),
+                                rules.wholeNumber("overloadForUs"),
                                 (long) rules.number("letGoInUs", 0)))
                 .prices(new Prices(prices.number("probe", 0), prices.number("crossZone", 0)))
-                .copies((int) top.whole("balancers"), (int) top.number("me", 0))
+                .copies((int) top.wholeNumber("balancers"), (int) top.number("me", 0))
                 .tier((int) top.number("layer", 0), tiers)
                 .zone((int) top.number("locality", 0))
                 .watch(ask)
@@ -85,37 +85,37 @@
                 .build();
     }
 
-    private Effect effect() throws BadSettings {
+    private Effect effect() throws InvalidSettingsException {
         String text = text("effect", null);
         if (text == null) {
-            throw bad("effect", "is missing");
+            throw invalid("effect", "is missing");
         }
         return switch (text) {
             case "pure" -> Effect.SAFE;
             case "token" -> Effect.KEYED;
             case "side_effect" -> Effect.UNSAFE;
-            default -> throw bad("effect", "'" + text + "' is not known");
+            default -> throw invalid("effect", "'" + text + "' is not known");
         };
     }
 
-    private DedupGroup group() throws BadSettings {
+    private DedupGroup group() throws InvalidSettingsException {
         String text = text("group", "all");
         return switch (text) {
             case "all" -> DedupGroup.ALL;
             case "zone" -> DedupGroup.ZONE;
             case "cell" -> DedupGroup.CELL;
-            default -> throw bad("group", "'" + text + "' is not known");
+            default -> throw invalid("group", "'" + text + "' is not known");
         };
     }
 
-    private double number(String key) throws BadSettings {
+    private double number(String key) throws InvalidSettingsException {
         if (values.get(key) == null) {
-            throw bad(key, "is missing");
+            throw invalid(key, "is missing");
         }
         return number(key, 0);
     }
 
-    private double number(String key, double absent) throws BadSettings {
+    private double number(String key, double absent) throws InvalidSettingsException {
         Object value = values.get(key);
         if (value == null) {
             return absent;
@@ -123,29 +123,29 @@
         if (value instanceof Number n) {
             return n.doubleValue();
         }
-        throw bad(key, "must be a number");
+        throw invalid(key, "must be a number");
     }
 
     /** A list of indices as a set; null where absent. */
-    private Set<Integer> indices(String key) throws BadSettings {
+    private Set<Integer> indices(String key) throws InvalidSettingsException {
         Object value = values.get(key);
         if (value == null) {
             return null;
         }
         if (!(value instanceof List<?> items)) {
-            throw bad(key, "must be an array");
+            throw invalid(key, "must be an array");
         }
         Set<Integer> result = new HashSet<>();
         for (Object item : items) {
             if (!(item instanceof Integer index)) {
-                throw bad(key, "must hold whole numbers");
+                throw invalid(key, "must hold whole numbers");
             }
             result.add(index);
         }
         return result;
     }
 
-    private long whole(String key) throws BadSettings {
+    private long wholeNumber(String key) throws InvalidSettingsException {
         return Math.round(number(key));
     }
 
@@ -153,7 +153,7 @@
         return Boolean.TRUE.equals(values.get(key));
     }
 
-    private String text(String key, String absent) throws BadSettings {
+    private String text(String key, String absent) throws InvalidSettingsException {
         Object value = values.get(key);
         if (value == null) {
             return absent;
@@ -161,20 +161,20 @@
         if (value instanceof String text) {
             return text;
         }
-        throw bad(key, "must be a text");
+        throw invalid(key, "must be a text");
     }
 
-    private SettingsReader object(String key) throws BadSettings {
+    private SettingsReader object(String key) throws InvalidSettingsException {
         Object value = values.get(key);
         return new SettingsReader(
                 value == null ? Map.of() : asObject(value, key), path + key + ".");
     }
 
-    private List<SettingsReader> list(String key) throws BadSettings {
+    private List<SettingsReader> list(String key) throws InvalidSettingsException {
         List<SettingsReader> result = new ArrayList<>();
         Object value = values.get(key);
         if (value != null && !(value instanceof List<?>)) {
-            throw bad(key, "must be an array");
+            throw invalid(key, "must be an array");
         }
         if (value instanceof List<?> items) {
             for (int i = 0; i < items.size(); i++) {
@@ -186,14 +186,14 @@
     }
 
     @SuppressWarnings("unchecked")
-    private Map<String, Object> asObject(Object value, String key) throws BadSettings {
+    private Map<String, Object> asObject(Object value, String key) throws InvalidSettingsException {
         if (value instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw bad(key, "must be an object");
+        throw invalid(key, "must be an object");
     }
 
-    private BadSettings bad(String key, String what) {
-        return new BadSettings("params." + path + key + " " + what);
+    private InvalidSettingsException invalid(String key, String what) {
+        return new InvalidSettingsException("params." + path + key + " " + what);
     }
 }
--- a/src/main/java/passhatch/adapter/BatchReader.java
+++ b/src/main/java/passhatch/adapter/BatchReader.java
@@ -52,10 +52,10 @@
                 }
             }
             if (nowUs == Event.ABSENT) {
-                throw bad("batch: field atTimeUs is missing");
+                throw invalid("batch: field atTimeUs is missing");
             }
             if (!groups) {
-                throw bad("batch: field groups is missing");
+                throw invalid("batch: field groups is missing");
             }
             return true;
         } catch (JsonProcessingException e) {
@@ -102,7 +102,7 @@
                 }
             }
             if (instances[0] == Integer.MIN_VALUE) {
-                throw bad("group: field who is missing");
+                throw invalid("group: field who is missing");
             }
             for (int i = first; i < size; i++) {
                 pool.get(i).who = instances[0];
@@ -125,7 +125,7 @@
                 }
             }
             if (e.msg == null) {
-                throw bad("message: field msg is missing");
+                throw invalid("message: field msg is missing");
             }
         }
     }
@@ -199,7 +199,7 @@
                 }
             }
             if (id == null || status == null) {
-                throw bad(
+                throw invalid(
                         "catalog: field " + (id == null ? "backend" : "readiness") + " is missing");
             }
             nodes.add(new Server(id, startedAtUs, zone, group, status, model));
@@ -211,7 +211,7 @@
             case "U" -> ServerStatus.UP;
             case "L" -> ServerStatus.DRAINING;
             case "D" -> ServerStatus.GONE;
-            default -> throw bad("catalog: readiness '" + text + "' is not known");
+            default -> throw invalid("catalog: readiness '" + text + "' is not known");
         };
     }
 
@@ -255,40 +255,40 @@
                     ? Long.MAX_VALUE
                     : parser.getLongValue();
         }
-        throw bad("field " + field + " must be a whole number");
+        throw invalid("field " + field + " must be a whole number");
     }
 
     private double decimal(String field) throws IOException, WireException {
         if (!parser.currentToken().isNumeric()) {
-            throw bad("field " + field + " must hold numbers");
+            throw invalid("field " + field + " must hold numbers");
         }
         return parser.getDoubleValue();
     }
 
     private String text(String field) throws IOException, WireException {
         if (parser.currentToken() != JsonToken.VALUE_STRING) {
-            throw bad("field " + field + " must be a text");
+            throw invalid("field " + field + " must be a text");
         }
         return parser.getText();
     }
 
     private boolean flag(String field) throws IOException, WireException {
         if (!parser.currentToken().isBoolean()) {
-            throw bad("field " + field + " must be true or false");
+            throw invalid("field " + field + " must be true or false");
         }
         return parser.getBooleanValue();
     }
 
     private void expect(JsonToken token, JsonToken wanted, String what) throws WireException {
         if (token != wanted) {
-            throw bad(
+            throw invalid(
                     what
                             + " must be "
                             + (wanted == JsonToken.START_OBJECT ? "an object" : "an array"));
         }
     }
 
-    private WireException bad(String what) {
+    private WireException invalid(String what) {
         return new WireException("line " + line + ": " + what);
     }
 }
--- a/src/main/java/passhatch/adapter/Wire.java
+++ b/src/main/java/passhatch/adapter/Wire.java
@@ -10,7 +10,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import passhatch.BadSettings;
 import passhatch.Balancer;
 import passhatch.Balancer.Actions;
 import passhatch.Balancer.ListKind;
@@ -19,6 +18,7 @@
 import passhatch.Balancer.Request;
 import passhatch.Balancer.Server;
 import passhatch.Balancer.Settings;
+import passhatch.InvalidSettingsException;
 import passhatch.Logic;
 import passhatch.SettingsReader;
 
@@ -32,9 +32,9 @@
     private static final int MARK_HINT = 1;
 
     /** Where the values of a load report stand; -1 where they are not given. */
-    private record Fields(int inFlight, int queue, int utilisation) {}
+    private record ReportLayout(int inFlight, int queue, int utilisation) {}
 
-    private record Instance(Balancer balancer, Fields fields, boolean asks) {}
+    private record Instance(Balancer balancer, ReportLayout reportLayout, boolean watches) {}
 
     private final BatchReader reader;
     private final OutputStream out;
@@ -42,9 +42,9 @@
     private final JsonGenerator json;
     private final Map<Integer, Instance> instances = new HashMap<>();
     private final Map<Long, List<Server>> catalogs = new HashMap<>();
-    private final Actions actions = new Writer();
-    private int current;
-    private boolean open;
+    private final Actions actions = new ActionWriter();
+    private int currentInstance;
+    private boolean groupOpen;
 
     Wire(InputStream in, OutputStream out) throws IOException {
         this.reader = new BatchReader(in);
@@ -60,14 +60,14 @@
             json.writeArrayFieldStart("groups");
             for (int i = 0; i < reader.size(); i++) {
                 Event e = reader.event(i);
-                if (open && e.who != current) {
-                    close();
+                if (groupOpen && e.who != currentInstance) {
+                    closeGroup();
                 }
-                current = e.who;
+                currentInstance = e.who;
                 handle(e);
             }
-            if (open) {
-                close();
+            if (groupOpen) {
+                closeGroup();
             }
             json.writeEndArray();
             json.writeEndObject();
@@ -122,14 +122,14 @@
                             outcome(e),
                             e.required(e.elapsedUs, "elapsedUs"),
                             e.last,
-                            report(instance.fields(), e.stats));
+                            report(instance.reportLayout(), e.stats));
             case "healthResult" ->
                     balancer.probeResult(
                             now,
                             e.required(e.backend, "backend"),
                             outcome(e),
                             e.required(e.elapsedUs, "elapsedUs"),
-                            report(instance.fields(), e.stats));
+                            report(instance.reportLayout(), e.stats));
             case "backendsChanged" -> listChanged(instance, now, e);
             case "elapsed" -> balancer.timer(now);
             case "left" -> balancer.clientGone(now, e.required(e.opId, "opId"));
@@ -162,22 +162,23 @@
         try {
             Settings settings = SettingsReader.read(params);
             Balancer balancer = new Logic(settings, seed, actions);
-            instances.put(e.who, new Instance(balancer, fields(params), settings.watch()));
-        } catch (BadSettings | IllegalArgumentException bad) {
+            instances.put(e.who, new Instance(balancer, reportLayout(params), settings.watch()));
+        } catch (InvalidSettingsException | IllegalArgumentException bad) {
             throw new WireException("line " + e.line + ": powerOn: " + bad.getMessage());
         }
     }
 
-    private static Fields fields(Map<String, Object> params) {
+    private static ReportLayout reportLayout(Map<String, Object> params) {
         List<?> names =
                 params.get("loadInfo") instanceof Map<?, ?> info
                                 && info.get("fields") instanceof List<?> list
                         ? list
                         : List.of();
-        return new Fields(names.indexOf("inflight"), names.indexOf("queue"), names.indexOf("util"));
+        return new ReportLayout(
+                names.indexOf("inflight"), names.indexOf("queue"), names.indexOf("util"));
     }
 
-    private static LoadReport report(Fields fields, double[] stats) {
+    private static LoadReport report(ReportLayout fields, double[] stats) {
         if (stats == null) {
             return null;
         }
@@ -221,7 +222,7 @@
                             + " was not given");
         }
         balancer.serversChanged(now, kind, list);
-        if (kind == ListKind.RECENT && !instance.asks()) {
+        if (kind == ListKind.RECENT && !instance.watches()) {
             // Changes come by themselves, and no word until there is one.
             balancer.serversChanged(now, ListKind.CHANGES, List.of());
         }
@@ -249,25 +250,25 @@
         };
     }
 
-    private void begin(String msg) throws IOException {
-        if (!open) {
-            open = true;
+    private void beginAction(String msg) throws IOException {
+        if (!groupOpen) {
+            groupOpen = true;
             json.writeStartObject();
-            json.writeNumberField("who", current);
+            json.writeNumberField("who", currentInstance);
             json.writeArrayFieldStart("cmds");
         }
         json.writeStartObject();
         json.writeStringField("msg", msg);
     }
 
-    private void close() throws IOException {
-        open = false;
+    private void closeGroup() throws IOException {
+        groupOpen = false;
         json.writeEndArray();
         json.writeEndObject();
     }
 
     /** Writes the actions of the instance that is deciding now. */
-    private final class Writer implements Actions {
+    private final class ActionWriter implements Actions {
 
         @Override
         public void send(String request, String server, long timeoutUs) {
@@ -337,9 +338,9 @@
             write("trace", () -> json.writeStringField("what", text));
         }
 
-        private void write(String msg, Body body) {
+        private void write(String msg, FieldWriter body) {
             try {
-                begin(msg);
+                beginAction(msg);
                 body.write();
                 json.writeEndObject();
             } catch (IOException e) {
@@ -349,7 +350,7 @@
     }
 
     /** The fields of an action. */
-    private interface Body {
+    private interface FieldWriter {
         void write() throws IOException;
     }
 }
--- a/src/main/java/passhatch/lab/drain/ProxyModel.java
+++ b/src/main/java/passhatch/lab/drain/ProxyModel.java
@@ -13,7 +13,7 @@
 import passhatch.Balancer.DedupGroup;
 import passhatch.Balancer.Effect;
 import passhatch.Balancer.Limits;
-import passhatch.Balancer.ListCurrency;
+import passhatch.Balancer.ListFreshness;
 import passhatch.Balancer.ListKind;
 import passhatch.Balancer.Outcome;
 import passhatch.Balancer.Prices;
@@ -277,7 +277,7 @@
     }
 
     @Override
-    public void listed(EndpointList list, ListCurrency currency) {
+    public void listed(EndpointList list, ListFreshness currency) {
         timeline.accept("the proxy has version " + list.index());
         balancer.serversChanged(
                 queue.nowUs(),
@@ -287,7 +287,7 @@
     }
 
     @Override
-    public void unchanged(ListCurrency currency) {
+    public void unchanged(ListFreshness currency) {
         balancer.listCurrent(queue.nowUs(), currency);
     }
 
--- a/src/main/java/passhatch/proxy/ProxyConfig.java
+++ b/src/main/java/passhatch/proxy/ProxyConfig.java
@@ -8,8 +8,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import passhatch.BadSettings;
 import passhatch.Balancer.Settings;
+import passhatch.InvalidSettingsException;
 import passhatch.SettingsReader;
 import passhatch.proxy.base.Addresses;
 import passhatch.proxy.discovery.EndpointList;
@@ -69,7 +69,7 @@
         Settings settings;
         try {
             settings = SettingsReader.read(params);
-        } catch (BadSettings | IllegalArgumentException bad) {
+        } catch (InvalidSettingsException | IllegalArgumentException bad) {
             throw new BadConfig("config: settings: " + bad.getMessage());
         }
         List<String> zones = strings(params, "dcs");
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -13,7 +13,7 @@
 import passhatch.Balancer;
 import passhatch.Balancer.Actions;
 import passhatch.Balancer.Effect;
-import passhatch.Balancer.ListCurrency;
+import passhatch.Balancer.ListFreshness;
 import passhatch.Balancer.ListKind;
 import passhatch.Balancer.LoadReport;
 import passhatch.Balancer.Outcome;
@@ -143,7 +143,7 @@
         servesKnownAtUs =
                 backends.listed() == 0
                         ? Long.MAX_VALUE
-                        : clock.nowUs() + ListLease.UNHEARD_START_US;
+                        : clock.nowUs() + ListLease.UNCONFIRMED_START_TIMEOUT_US;
         if (!config.settings().watch()) {
             discovery.watch();
         }
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public void listed(EndpointList list, ListCurrency currency) {
+    public void listed(EndpointList list, ListFreshness currency) {
         learn(list);
         listed = true;
         tell(
@@ -208,7 +208,7 @@
     }
 
     @Override
-    public void unchanged(ListCurrency currency) {
+    public void unchanged(ListFreshness currency) {
         tell(null, () -> balancer.listCurrent(clock.nowUs(), currency));
     }
 
@@ -470,7 +470,7 @@
     private void noteHoldUp() {
         long nowUs = clock.nowUs();
         long unreadUs = holdUps.unreadUs(nowUs);
-        if (unreadUs <= ListLease.HOLD_UP_US || catchingUp) {
+        if (unreadUs <= ListLease.MAX_STALL_US || catchingUp) {
             return;
         }
         catchingUp = true;
@@ -484,7 +484,7 @@
 
     private void caughtUp() {
         catchingUp = false;
-        if (holdUps.unreadUs(clock.nowUs()) <= ListLease.HOLD_UP_US) {
+        if (holdUps.unreadUs(clock.nowUs()) <= ListLease.MAX_STALL_US) {
             tell(null, () -> balancer.listRead(clock.nowUs()));
         } else {
             noteHoldUp();
--- a/src/main/java/passhatch/proxy/discovery/ListWatch.java
+++ b/src/main/java/passhatch/proxy/discovery/ListWatch.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import passhatch.Balancer.ListCurrency;
+import passhatch.Balancer.ListFreshness;
 
 /**
  * Decides when discovery is called, what its answers tell, and when a watch counts as broken. A
@@ -49,10 +49,10 @@
     /** Hears what discovery says. */
     public interface Listener {
         /** The list, or changes to it, of which there may be none. */
-        void listed(EndpointList list, ListCurrency currency);
+        void listed(EndpointList list, ListFreshness currency);
 
         /** A watch with nothing to tell has said so. */
-        void unchanged(ListCurrency currency);
+        void unchanged(ListFreshness currency);
 
         /**
          * Something was begun to be told that is not taken in; it may never be.
@@ -436,7 +436,7 @@
                 skipped("it is told from version " + askedFrom + ", and " + index + " is known");
                 return;
             }
-            ListCurrency currency = currency(objectBegunUs);
+            ListFreshness currency = currency(objectBegunUs);
             if (this == current) {
                 hear("version " + list.index());
             }
@@ -467,7 +467,7 @@
             pauses.reset();
             boolean first = !heard;
             // The first may come while the call waits its turn.
-            ListCurrency currency = currency(first ? begunUs : arrivedUs);
+            ListFreshness currency = currency(first ? begunUs : arrivedUs);
             hear("no change since version " + index);
             if (!first) {
                 listener.unchanged(currency);
@@ -477,9 +477,9 @@
         }
 
         /** An answer has all that discovery had when it was begun; a watch may tell later. */
-        private ListCurrency currency(long toldUs) {
+        private ListFreshness currency(long toldUs) {
             long asOfUs = heard && source.onRequest() ? toldUs - LATEST_CHANGE_US : toldUs;
-            return new ListCurrency(
+            return new ListFreshness(
                     asOfUs,
                     fetch || this == previous
                             ? asOfUs
--- a/src/main/java/passhatch/proxy/discovery/WatchBudget.java
+++ b/src/main/java/passhatch/proxy/discovery/WatchBudget.java
@@ -52,7 +52,7 @@
      */
     static WatchBudget of(boolean asked, long graceUs) {
         long shareMs =
-                TimeUnit.MICROSECONDS.toMillis(graceUs - ListLease.HOLD_UP_US) / PUSHED_SHARES;
+                TimeUnit.MICROSECONDS.toMillis(graceUs - ListLease.MAX_STALL_US) / PUSHED_SHARES;
         long pushedMs = Math.max(PUSHED_LEAST_MS, Math.min(shareMs, ASKED_CONNECT_MS));
         return new WatchBudget(
                 EMPTY_LINE_EVERY_MS + EMPTY_LINE_SLACK_MS,
